--- a/ctl/experiment/choice/policies.go
+++ b/ctl/experiment/choice/policies.go
@@ -135,7 +135,7 @@
 		offer := p.servers[free[candidate]].Probe(work.Prompt)
 		offers[index] = choose.Offer{
 			Refuses: offer.Refuses, RetryAfter: offer.RetryAfter,
-			FirstToken: offer.FirstToken, Trip: trip, Running: offer.Running, Headroom: offer.Headroom,
+			FirstToken: offer.FirstToken, RTT: trip, Running: offer.Running, Headroom: offer.Headroom,
 		}
 	}
 	cost := len(asked) * probeBytes(len(work.Prompt.Blocks))
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -64,7 +64,7 @@
 
 func (v *Server) configure() {
 	v.agent = admission.State{}.Configure(admission.Settings{
-		Full: v.engine.Full, Cold: v.engine.Cold, Reports: true,
+		Full: v.engine.Full, Cold: v.engine.Cold, ReportsLoad: true,
 	})
 }
 
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -227,7 +227,7 @@
 			offer := r.servers[server].Probe(q.work.Prompt)
 			offers[index] = choose.Offer{
 				Refuses: offer.Refuses, RetryAfter: offer.RetryAfter, FirstToken: offer.FirstToken,
-				Trip: trip, Running: offer.Running, Headroom: offer.Headroom,
+				RTT: trip, Running: offer.Running, Headroom: offer.Headroom,
 			}
 		}
 		index, err := choose.Best(offers, deadline, r.random.Uint64())
--- a/ctl/experiment/shares/run.go
+++ b/ctl/experiment/shares/run.go
@@ -113,7 +113,7 @@
 }
 
 func (r *runner) homeOf(o *org, names []string) int {
-	return choose.Rendezvous(names, choose.KeyOf(o.name), 1)[0]
+	return choose.Rendezvous(names, choose.RendezvousKey(o.name), 1)[0]
 }
 
 // moveHomes gives the lost entry's organisations new homes.
@@ -125,9 +125,9 @@
 	names[r.lost] = "gone"
 	for _, o := range r.found.orgs {
 		if o.home == r.lost {
-			o.home = choose.Rendezvous(names, choose.KeyOf(o.name), 2)[0]
+			o.home = choose.Rendezvous(names, choose.RendezvousKey(o.name), 2)[0]
 			if o.home == r.lost {
-				o.home = choose.Rendezvous(names, choose.KeyOf(o.name), 2)[1]
+				o.home = choose.Rendezvous(names, choose.RendezvousKey(o.name), 2)[1]
 			}
 		}
 	}
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -22,20 +22,20 @@
 
 // Settings are what the configuration says of the backend server.
 type Settings struct {
-	Full    int  // Requests at a time when warm.
-	Cold    int  // Requests at a time in cold start.
-	Reports bool // The backend server reports its load.
+	Full        int  // Requests at a time when warm.
+	Cold        int  // Requests at a time in cold start.
+	ReportsLoad bool // The backend server reports its load.
 }
 
 // Summary is what traffic goroutines may read of the State.
 type Summary struct {
-	Limit   int // Requests at a time.
-	Running int // Started by this agent.
-	Foreign int // At the backend server, but not started by this agent.
-	Queued  int
-	Cold    bool // In cold start, or in doubt.
-	Down    bool // The backend server can't be reached.
-	Doubts  int  // Signs of coldness so far.
+	Limit     int // Requests at a time.
+	Running   int // Started by this agent.
+	External  int // At the backend server, but not started by this agent.
+	Queued    int
+	Cold      bool // In cold start, or in doubt.
+	Down      bool // The backend server can't be reached.
+	ColdSigns int  // Signs of coldness so far.
 }
 
 // State is the agent's account of its backend server. Only the Summary may be
@@ -231,7 +231,7 @@
 		return 0
 	}
 	within := max(0, s.currentLimit()-len(s.running)-s.limit.foreign)
-	if !s.settings.Reports {
+	if !s.settings.ReportsLoad {
 		return within
 	}
 	return max(0, min(within, s.settings.Cold-s.unproved()))
@@ -292,7 +292,7 @@
 		s.prove(w)
 	}
 	s.pace.sample(now, took, cost)
-	if !s.settings.Reports {
+	if !s.settings.ReportsLoad {
 		s.pace.confirm(now)
 	}
 }
@@ -342,7 +342,7 @@
 		s.limit.doubt(now, signReset)
 	}
 	w.ended = now
-	if event.Completed || !s.settings.Reports {
+	if event.Completed || !s.settings.ReportsLoad {
 		delete(s.running, event.Ticket)
 	}
 	s.history.record(now, s.alive())
@@ -363,8 +363,8 @@
 
 func (s *State) summarise() {
 	s.Summary = Summary{
-		Limit: s.currentLimit(), Running: len(s.running), Foreign: s.limit.foreign, Queued: s.queue.len(),
-		Cold: s.limit.doubted(), Down: s.limit.down, Doubts: s.limit.doubts,
+		Limit: s.currentLimit(), Running: len(s.running), External: s.limit.foreign, Queued: s.queue.len(),
+		Cold: s.limit.doubted(), Down: s.limit.down, ColdSigns: s.limit.doubts,
 	}
 }
 
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -104,12 +104,12 @@
 // The invariants of the package hold for any order of events.
 func TestAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{Full: 16, Cold: rapid.IntRange(1, 4).Draw(t, "cold"), Reports: rapid.Bool().Draw(t, "reports")}
+		settings := Settings{Full: 16, Cold: rapid.IntRange(1, 4).Draw(t, "cold"), ReportsLoad: rapid.Bool().Draw(t, "reports")}
 		d := newDriver(settings)
 		lastSign := time.Time{}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			d.now = d.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			before, foreign := len(d.order), d.state.Foreign
+			before, foreign := len(d.order), d.state.External
 			switch rapid.SampledFrom([]string{"ask", "ask", "ask", "begin", "complete", "complete", "break", "leave", "report", "warm", "cold", "tick"}).Draw(t, "action") {
 			case "ask":
 				org := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "org")
@@ -168,7 +168,7 @@
 			unproved++
 		}
 	}
-	if settings.Reports && started && unproved > settings.Cold {
+	if settings.ReportsLoad && started && unproved > settings.Cold {
 		t.Fatalf("%d pieces of work without a first piece, cold limit %d", unproved, settings.Cold)
 	}
 	for ticket, since := range d.asked {
@@ -184,7 +184,7 @@
 }
 
 func TestAnAgentThatRestartsCountsTheWorkOfItsPredecessor(t *testing.T) {
-	d := newDriver(Settings{Full: 16, Cold: 4, Reports: true})
+	d := newDriver(Settings{Full: 16, Cold: 4, ReportsLoad: true})
 	d.ask("a", 1, 0)
 	if len(d.order) != 0 {
 		t.Fatal("started work before the first report")
@@ -201,7 +201,7 @@
 
 // A report may lack work that was on its way to the engine when it was made.
 func TestWorkOnItsWayDoesNotHideThatOfAPredecessor(t *testing.T) {
-	d := newDriver(Settings{Full: 16, Cold: 4, Reports: true})
+	d := newDriver(Settings{Full: 16, Cold: 4, ReportsLoad: true})
 	d.now = d.now.Add(time.Second)
 	d.report("boot", 3, true)
 	d.ask("a", 1, 0)
@@ -214,7 +214,7 @@
 
 // An engine may go on with work that was given up.
 func TestWorkGivenUpKeepsItsSlotUntilALaterReport(t *testing.T) {
-	d := newDriver(Settings{Full: 16, Cold: 2, Reports: true})
+	d := newDriver(Settings{Full: 16, Cold: 2, ReportsLoad: true})
 	d.now = d.now.Add(time.Second)
 	d.report("boot", 0, true)
 	first, second := d.ask("a", 1, 0), d.ask("a", 1, 0)
@@ -251,7 +251,7 @@
 		},
 	}
 	for name, give := range signs {
-		d := newDriver(Settings{Full: 16, Cold: 2, Reports: true})
+		d := newDriver(Settings{Full: 16, Cold: 2, ReportsLoad: true})
 		d.warm(16)
 		give(d)
 		if d.state.Limit != 2 || !d.state.Cold {
@@ -261,7 +261,7 @@
 }
 
 func TestAFalseAlarmEndsWithALaterWarmReport(t *testing.T) {
-	d := newDriver(Settings{Full: 16, Cold: 2, Reports: true})
+	d := newDriver(Settings{Full: 16, Cold: 2, ReportsLoad: true})
 	d.warm(16)
 	ticket := d.ask("a", 1, 0)
 	d.now = d.now.Add(time.Second)
--- a/policy/admission/limit.go
+++ b/policy/admission/limit.go
@@ -56,7 +56,7 @@
 
 // unknown reports whether nothing is known yet of work that runs at the
 // backend server since before the agent's start.
-func (l *limiter) unknown(settings Settings) bool { return settings.Reports && !l.reported }
+func (l *limiter) unknown(settings Settings) bool { return settings.ReportsLoad && !l.reported }
 
 // current returns the limit: a doubt has set raised back, and nothing raises it
 // meanwhile.
@@ -97,7 +97,7 @@
 // without reports, and raises the limit.
 func (l *limiter) completed(settings Settings, running int) {
 	l.finished++
-	if !settings.Reports && l.doubted() && l.finished >= completionsBeforeRaise*settings.Cold {
+	if !settings.ReportsLoad && l.doubted() && l.finished >= completionsBeforeRaise*settings.Cold {
 		l.warm(running)
 	}
 	if !l.doubted() {
@@ -119,10 +119,10 @@
 }
 
 func (l *limiter) tick(settings Settings, now time.Time) {
-	if !settings.Reports && l.down && now.Sub(l.since) > downRetryAfter {
+	if !settings.ReportsLoad && l.down && now.Sub(l.since) > downRetryAfter {
 		l.down = false
 	}
-	if settings.Reports && l.reported && !l.doubted() && now.Sub(l.lastReport) > reportMaxAge {
+	if settings.ReportsLoad && l.reported && !l.doubted() && now.Sub(l.lastReport) > reportMaxAge {
 		l.doubt(now, signSilent)
 	}
 }
--- a/policy/answer/answer.go
+++ b/policy/answer/answer.go
@@ -15,8 +15,8 @@
 const maxHeld = 64
 
 var (
-	// ErrForeign means that a part belongs to another answer.
-	ErrForeign = errors.New("part belongs to another answer")
+	// ErrWrongAnswer means that a part belongs to another answer.
+	ErrWrongAnswer = errors.New("part belongs to another answer")
 	// ErrOverlap means that a part repeats some tokens and brings new ones.
 	ErrOverlap = errors.New("part overlaps tokens already delivered")
 	// ErrGap means that tokens before the part are missing and it can't be held.
@@ -43,33 +43,33 @@
 	held  map[int]Part[T] // Parts that wait for earlier ones, by From.
 }
 
-// Continue returns an assembler of an answer whose first from tokens were
+// ResumeAt returns an assembler of an answer whose first from tokens were
 // delivered before.
-func Continue[T any](from int) Assembler[T] { return Assembler[T]{next: from} }
+func ResumeAt[T any](from int) Assembler[T] { return Assembler[T]{next: from} }
 
-// Next returns the number of tokens delivered so far.
-func (a *Assembler[T]) Next() int { return a.next }
+// Delivered returns the number of tokens delivered so far.
+func (a *Assembler[T]) Delivered() int { return a.next }
 
 // Ended reports whether the end has been delivered.
 func (a *Assembler[T]) Ended() bool { return a.ended }
 
-// Complete returns nil once the end has been delivered, otherwise ErrGap.
-func (a *Assembler[T]) Complete() error {
+// CheckComplete returns nil once the end has been delivered, otherwise ErrGap.
+func (a *Assembler[T]) CheckComplete() error {
 	if a.ended {
 		return nil
 	}
 	return fmt.Errorf("%w: source ended, delivered %d", ErrGap, a.next)
 }
 
-// DropHeld forgets the parts that wait for earlier ones; a new source sends
+// DropPending forgets the parts that wait for earlier ones; a new source sends
 // them again.
-func (a *Assembler[T]) DropHeld() { a.held = nil }
+func (a *Assembler[T]) DropPending() { a.held = nil }
 
 // Accept takes the next part from the source with this id and returns the
 // payloads that are now due, in order. A duplicate yields none.
 func (a *Assembler[T]) Accept(id string, part Part[T]) ([]T, error) {
 	if part.ID != id {
-		return nil, fmt.Errorf("%w: part of %q in %q", ErrForeign, part.ID, id)
+		return nil, fmt.Errorf("%w: part of %q in %q", ErrWrongAnswer, part.ID, id)
 	}
 	if part.From < 0 || part.Tokens < 0 {
 		return nil, fmt.Errorf("%w: from %d, %d tokens", ErrGap, part.From, part.Tokens)
--- a/policy/answer/answer_test.go
+++ b/policy/answer/answer_test.go
@@ -88,7 +88,7 @@
 			part Part[string]
 			want error
 		}{
-			{"a part of another answer", Part[string]{ID: "b", From: 4, Tokens: 1}, ErrForeign},
+			{"a part of another answer", Part[string]{ID: "b", From: 4, Tokens: 1}, ErrWrongAnswer},
 			{"a part that overlaps", Part[string]{ID: "a", From: 2, Tokens: 4}, ErrOverlap},
 			{"an end inside the answer", Part[string]{ID: "a", From: 3, End: true}, ErrOverlap},
 			{"a negative place", Part[string]{ID: "a", From: -1, Tokens: 1}, ErrGap},
--- a/policy/choose/candidates.go
+++ b/policy/choose/candidates.go
@@ -115,5 +115,5 @@
 	return append(chosen, index)
 }
 
-// KeyOf returns the rendezvous key of a name.
-func KeyOf(name string) uint64 { return xxhash.Sum64String(name) }
+// RendezvousKey returns the rendezvous key of a name.
+func RendezvousKey(name string) uint64 { return xxhash.Sum64String(name) }
--- a/policy/choose/choose.go
+++ b/policy/choose/choose.go
@@ -29,7 +29,7 @@
 	Refuses    result.Code // OK, or why the agent takes no new work.
 	RetryAfter time.Duration
 	FirstToken time.Duration // Expected at the agent: queue, cold state, and prompt tokens not cached.
-	Trip       time.Duration // Round trip to the agent.
+	RTT        time.Duration // Round trip to the agent.
 	Running    int
 	Headroom   int // Requests below the agent's limit.
 }
@@ -39,11 +39,11 @@
 func (o Offer) expected() time.Duration {
 	limit := max(1, o.Running+o.Headroom)
 	used := float64(o.Running) / float64(limit)
-	return o.FirstToken + o.Trip + time.Duration(used*used*float64(fullBatchCost))
+	return o.FirstToken + o.RTT + time.Duration(used*used*float64(fullBatchCost))
 }
 
-// Trip returns the expected round trip between two data centres.
-func Trip(snapshot *config.Snapshot, from, to string) time.Duration {
+// RTT returns the expected round trip between two data centres.
+func RTT(snapshot *config.Snapshot, from, to string) time.Duration {
 	switch {
 	case from == to:
 		return sameCentreTrip
@@ -71,7 +71,7 @@
 	if fastest < 0 {
 		return -1, refusal(offers)
 	}
-	if expected := offers[fastest].FirstToken + offers[fastest].Trip; expected > remaining {
+	if expected := offers[fastest].FirstToken + offers[fastest].RTT; expected > remaining {
 		return -1, &result.Error{Code: result.DeadlineTooShort, RetryAfter: expected}
 	}
 	return spread(offers, offers[fastest].expected()+tieMargin, random), nil
--- a/policy/choose/choose_test.go
+++ b/policy/choose/choose_test.go
@@ -102,7 +102,7 @@
 				t.Fatalf("took %v before %v", offers[index], offer)
 			}
 		}
-		if offers[index].Refuses != result.OK || offers[index].FirstToken+offers[index].Trip > remaining+fullBatchCost+tieMargin {
+		if offers[index].Refuses != result.OK || offers[index].FirstToken+offers[index].RTT > remaining+fullBatchCost+tieMargin {
 			t.Fatalf("took %v with %v left", offers[index], remaining)
 		}
 	})
@@ -112,7 +112,7 @@
 	return Offer{
 		Refuses:    rapid.SampledFrom([]result.Code{result.OK, result.Overloaded, result.Leaving}).Draw(t, "refuses"),
 		FirstToken: time.Duration(rapid.IntRange(0, 200).Draw(t, "first")) * time.Millisecond,
-		Trip:       time.Duration(rapid.IntRange(0, 80).Draw(t, "trip")) * time.Millisecond,
+		RTT:        time.Duration(rapid.IntRange(0, 80).Draw(t, "trip")) * time.Millisecond,
 		Headroom:   rapid.IntRange(-3, 10).Draw(t, "headroom"),
 	}
 }
--- a/policy/control/control.go
+++ b/policy/control/control.go
@@ -51,7 +51,7 @@
 	wasOut := state.takenOut()
 	state, effects = stepConfiguration(state, input)
 	server := state.backendServer()
-	state.Admission = state.Admission.Configure(admission.Settings{Full: server.FullLimit, Cold: server.ColdLimit, Reports: server.Model != ""})
+	state.Admission = state.Admission.Configure(admission.Settings{Full: server.FullLimit, Cold: server.ColdLimit, ReportsLoad: server.Model != ""})
 	if wasOut && !state.takenOut() {
 		state.Admission, more = admission.Step(state.Admission, reduce.Input{Now: input.Now, Event: admission.Returned{}})
 		effects = append(effects, more...)
--- a/policy/dispatch/choice_test.go
+++ b/policy/dispatch/choice_test.go
@@ -14,7 +14,7 @@
 // busyGroup is a group of engines that several entries send to, each with reports
 // that are up to reportEvery old.
 type busyGroup struct {
-	entries  []*Desk
+	entries  []*Scheduler
 	active   []int         // Requests by server.
 	ends     [][]time.Time // By server.
 	arrivals [][]time.Time // By server.
@@ -33,7 +33,7 @@
 		random: rand.New(rand.NewPCG(1, 2)),
 	}
 	for range entries {
-		d := NewDesk(Ramp{Entries: entries})
+		d := NewScheduler(WarmUpLimit{Entries: entries})
 		d.Configure(candidates(servers, 10), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		g.entries = append(g.entries, d)
 	}
@@ -103,7 +103,7 @@
 				if i%max(1, size.perSecond/int(time.Second/reportEvery)) == 0 {
 					g.report(now)
 				}
-				decision := g.entries[g.random.IntN(size.entries)].Ask(ticket(uint64(i), now), g.random.Float64(), now)
+				decision := g.entries[g.random.IntN(size.entries)].Submit(ticket(uint64(i), now), g.random.Float64(), now)
 				if decision.Verdict != Go {
 					continue
 				}
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -28,13 +28,13 @@
 
 // Ticket is a request that wants a place at a backend server.
 type Ticket struct {
-	ID       uint64
-	Arrived  time.Time
-	InTime   time.Time // When the first answer must be there for full credit.
-	GiveUp   time.Time // When it is of no use any more.
-	Priority int       // 0 is the most urgent.
-	Avoid    string    // A server that has just failed the request; empty for none.
-	Tried    bool      // The request has found the group closed; another one tries next.
+	ID          uint64
+	Arrived     time.Time
+	SLODeadline time.Time // When the first answer must be there for full credit.
+	Deadline    time.Time // When it is of no use any more.
+	Priority    int       // 0 is the most urgent.
+	Avoid       string    // A server that has just failed the request; empty for none.
+	FoundClosed bool      // The request has found the group closed; another one tries next.
 }
 
 // Verdict is what the desk decides about a ticket.
@@ -49,23 +49,23 @@
 
 // Decision is a verdict with the inputs that decided it, for the log.
 type Decision struct {
-	Ticket     uint64
-	Verdict    Verdict
-	Server     topology.Candidate // Of Go.
-	RetryAfter time.Duration      // Of Refuse.
-	Reason     string
-	Own        int           // Requests of this entry under way at the service.
-	Total      int           // Of all entries, as far as known.
-	Limit      int           // Of Total; 0 for none.
-	Predicted  time.Duration // Wait.
-	FirstEvent time.Duration // Of Go at an engine: from now, as predicted.
-	ReportAge  time.Duration // Of the oldest report that counted.
+	Ticket              uint64
+	Verdict             Verdict
+	Server              topology.Candidate // Of Go.
+	RetryAfter          time.Duration      // Of Refuse.
+	Reason              string
+	OwnInFlight         int           // Requests of this entry under way at the service.
+	TotalInFlight       int           // Of all entries, as far as known.
+	Limit               int           // Of Total; 0 for none.
+	PredictedWait       time.Duration // Wait.
+	PredictedFirstEvent time.Duration // Of Go at an engine: from now, as predicted.
+	ReportAge           time.Duration // Of the oldest report that counted.
 }
 
-// Desk is the state of one service at one entry.
-type Desk struct {
-	pace    Pace
-	ramp    Ramp
+// Scheduler is the state of one service at one entry.
+type Scheduler struct {
+	pace    ConcurrencyLimiter
+	ramp    WarmUpLimit
 	servers []*server
 	byID    map[string]*server
 	waiting []Ticket
@@ -76,14 +76,14 @@
 	groupSince time.Time // Since when the group's servers are heard of; zero while none is.
 }
 
-// NewDesk returns the desk of a service.
-func NewDesk(ramp Ramp) *Desk {
-	return &Desk{ramp: ramp, byID: map[string]*server{}}
+// NewScheduler returns the desk of a service.
+func NewScheduler(ramp WarmUpLimit) *Scheduler {
+	return &Scheduler{ramp: ramp, byID: map[string]*server{}}
 }
 
 // Configure sets the servers that may get new work and the engine's model, nil
 // for plain services.
-func (d *Desk) Configure(candidates []topology.Candidate, service topology.Service, pauseGoal time.Duration) {
+func (d *Scheduler) Configure(candidates []topology.Candidate, service topology.Service, pauseGoal time.Duration) {
 	d.pace.configure(service.Engine, pauseGoal)
 	d.ramp.PerSecond = service.WarmUpPerSecond
 	d.ramp.grow(len(candidates))
@@ -101,21 +101,21 @@
 	d.servers, d.byID = servers, byID
 }
 
-// Gap takes in the time between two events of a stream at a server.
-func (d *Desk) Gap(id string, gap time.Duration, now time.Time) {
-	d.Heard(id, now)
+// ObserveGap takes in the time between two events of a stream at a server.
+func (d *Scheduler) ObserveGap(id string, gap time.Duration, now time.Time) {
+	d.ObserveEvent(id, now)
 	d.pace.observe(gap, d.writers(now), now)
 }
 
-// Ask decides about a new ticket.
-func (d *Desk) Ask(ticket Ticket, random float64, now time.Time) Decision {
+// Submit decides about a new ticket.
+func (d *Scheduler) Submit(ticket Ticket, random float64, now time.Time) Decision {
 	if len(d.waiting) == 0 || d.inTime(ticket, now) && !d.anyInTime(now) {
 		if decision, ok := d.place(ticket, random, now); ok {
 			return decision
 		}
 	}
 	decision := d.describe(ticket, now)
-	decision.Predicted = d.predictedWait(ticket, now)
+	decision.PredictedWait = d.predictedWait(ticket, now)
 	if len(d.servers) == 0 {
 		decision.Verdict, decision.Reason = Refuse, "no_server"
 		decision.RetryAfter = maxPredictedWait
@@ -128,11 +128,11 @@
 			decision.RetryAfter = closedRetryAfter
 			return decision
 		}
-		decision.Predicted = 0
+		decision.PredictedWait = 0
 	}
-	if decision.Predicted > maxPredictedWait || now.Add(decision.Predicted).After(ticket.GiveUp) {
+	if decision.PredictedWait > maxPredictedWait || now.Add(decision.PredictedWait).After(ticket.Deadline) {
 		decision.Verdict, decision.Reason = Refuse, "wait_too_long"
-		decision.RetryAfter = max(minRetryAfter, decision.Predicted-maxPredictedWait/2)
+		decision.RetryAfter = max(minRetryAfter, decision.PredictedWait-maxPredictedWait/2)
 		return decision
 	}
 	d.waiting = append(d.waiting, ticket)
@@ -140,9 +140,9 @@
 	return decision
 }
 
-// Next decides about waiting tickets; it is called whenever a place may have
+// DispatchQueued decides about waiting tickets; it is called whenever a place may have
 // become free, and every few tens of milliseconds.
-func (d *Desk) Next(random func() float64, now time.Time) []Decision {
+func (d *Scheduler) DispatchQueued(random func() float64, now time.Time) []Decision {
 	var decisions []Decision
 	d.order(now)
 	kept := d.waiting[:0]
@@ -154,7 +154,7 @@
 				continue
 			}
 			// Those behind one that has tried a closed group may still try.
-			full = !(d.gate.closed && ticket.Tried)
+			full = !(d.gate.closed && ticket.FoundClosed)
 		}
 		if d.hopeless(ticket, now) {
 			decision := d.describe(ticket, now)
@@ -173,11 +173,11 @@
 }
 
 // Accepted notes that a server has begun to answer a request.
-func (d *Desk) Accepted() { d.gate.accepted() }
+func (d *Scheduler) Accepted() { d.gate.accepted() }
 
 // place finds a server for the ticket and takes a place there.
-func (d *Desk) place(ticket Ticket, random float64, now time.Time) (Decision, bool) {
-	if !d.gate.passes(d.reportedOpen(now), now) || d.gate.closed && ticket.Tried {
+func (d *Scheduler) place(ticket Ticket, random float64, now time.Time) (Decision, bool) {
+	if !d.gate.passes(d.reportedOpen(now), now) || d.gate.closed && ticket.FoundClosed {
 		return Decision{}, false
 	}
 	total := d.writers(now)
@@ -194,16 +194,16 @@
 	}
 	decision := d.describe(ticket, now)
 	decision.Verdict, decision.Server, decision.Reason = Go, best.candidate, "least_loaded"
-	decision.FirstEvent = d.pace.firstEvent()
+	decision.PredictedFirstEvent = d.pace.firstEvent()
 	best.take(now)
 	d.gate.passed()
 	return decision, true
 }
 
-func (d *Desk) describe(ticket Ticket, now time.Time) Decision {
-	decision := Decision{Ticket: ticket.ID, Limit: d.limit, Total: d.writers(now)}
+func (d *Scheduler) describe(ticket Ticket, now time.Time) Decision {
+	decision := Decision{Ticket: ticket.ID, Limit: d.limit, TotalInFlight: d.writers(now)}
 	for _, server := range d.servers {
-		decision.Own += server.own
+		decision.OwnInFlight += server.own
 		if server.fresh(now) {
 			decision.ReportAge = max(decision.ReportAge, now.Sub(server.reportAt))
 		}
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -22,8 +22,8 @@
 }
 
 // plainDesk is the desk of a plain service.
-func plainDesk(servers, slots int) *Desk {
-	d := NewDesk(Ramp{Entries: 1})
+func plainDesk(servers, slots int) *Scheduler {
+	d := NewScheduler(WarmUpLimit{Entries: 1})
 	d.Configure(candidates(servers, slots), topology.Service{}, 0)
 	return d
 }
@@ -33,7 +33,7 @@
 }
 
 func ticket(id uint64, arrived time.Time) Ticket {
-	return Ticket{ID: id, Arrived: arrived, InTime: arrived.Add(400 * time.Millisecond), GiveUp: arrived.Add(1700 * time.Millisecond)}
+	return Ticket{ID: id, Arrived: arrived, SLODeadline: arrived.Add(400 * time.Millisecond), Deadline: arrived.Add(1700 * time.Millisecond)}
 }
 
 func noRandom() float64 { return 0 }
@@ -45,16 +45,16 @@
 		now := start
 		for i := range 8 {
 			now = now.Add(time.Millisecond)
-			verdicts[d.Ask(ticket(uint64(i), now), 0, now).Verdict]++
+			verdicts[d.Submit(ticket(uint64(i), now), 0, now).Verdict]++
 		}
 		So(verdicts[Go], ShouldEqual, 4)
 		So(d.writers(now), ShouldEqual, 4)
 
 		Convey("a place that becomes free goes to the first that can still be in time", func() {
-			So(d.Waiting(), ShouldBeGreaterThan, 0)
+			So(d.QueueLen(), ShouldBeGreaterThan, 0)
 			first := d.waiting[0].ID
 			d.Done("s0", Served, now)
-			decisions := d.Next(noRandom, now)
+			decisions := d.DispatchQueued(noRandom, now)
 			So(decisions, ShouldHaveLength, 1)
 			So(decisions[0].Verdict, ShouldEqual, Go)
 			So(decisions[0].Ticket, ShouldEqual, first)
@@ -63,21 +63,21 @@
 			late := now.Add(380 * time.Millisecond)
 			d.waiting = append(d.waiting, ticket(99, late))
 			d.Done("s0", Served, late)
-			So(d.Next(noRandom, late)[0].Ticket, ShouldEqual, uint64(99))
+			So(d.DispatchQueued(noRandom, late)[0].Ticket, ShouldEqual, uint64(99))
 		})
 		Convey("nobody is held beyond the longest wait", func() {
 			later := now.Add(maxWait + time.Millisecond)
-			for _, decision := range d.Next(noRandom, later) {
+			for _, decision := range d.DispatchQueued(noRandom, later) {
 				So(decision.Verdict, ShouldEqual, Refuse)
 				So(decision.RetryAfter, ShouldBeGreaterThanOrEqualTo, minRetryAfter)
 			}
-			So(d.Waiting(), ShouldEqual, 0)
+			So(d.QueueLen(), ShouldEqual, 0)
 		})
 		Convey("a caller that leaves the queue is not placed", func() {
 			gone := d.waiting[0].ID
-			d.Leave(gone)
+			d.Cancel(gone)
 			d.Done("s0", Served, now)
-			for _, decision := range d.Next(noRandom, now) {
+			for _, decision := range d.DispatchQueued(noRandom, now) {
 				So(decision.Ticket, ShouldNotEqual, gone)
 			}
 		})
@@ -85,10 +85,10 @@
 	Convey("A request whose predicted wait is too long is refused at once, with a time to come back", t, func() {
 		d := plainDesk(1, 1)
 		now := start
-		d.Ask(ticket(0, now), 0, now)
+		d.Submit(ticket(0, now), 0, now)
 		refused := Decision{}
 		for i := range 20 {
-			if decision := d.Ask(ticket(uint64(i+1), now), 0, now); decision.Verdict == Refuse {
+			if decision := d.Submit(ticket(uint64(i+1), now), 0, now); decision.Verdict == Refuse {
 				refused = decision
 				break
 			}
@@ -98,14 +98,14 @@
 	})
 	Convey("Without any server a request is refused at once", t, func() {
 		d := plainDesk(0, 0)
-		So(d.Ask(ticket(1, start), 0, start).Verdict, ShouldEqual, Refuse)
+		So(d.Submit(ticket(1, start), 0, start).Verdict, ShouldEqual, Refuse)
 	})
 }
 
 func TestJumpOfDemandInALargeGroup(t *testing.T) {
 	Convey("A large group keeps more of the longest pause free for a jump of demand", t, func() {
 		passAtLimit := func(servers int) time.Duration {
-			d := NewDesk(Ramp{Entries: 1})
+			d := NewScheduler(WarmUpLimit{Entries: 1})
 			d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 			base := d.pace.base()
 			requests := servers * 5
@@ -114,7 +114,7 @@
 			for range 100 {
 				now = now.Add(10 * time.Millisecond)
 				d.writersFor(requests, now)
-				d.Gap("s0", time.Duration((base+slope*float64(requests))*float64(time.Second)), now)
+				d.ObserveGap("s0", time.Duration((base+slope*float64(requests))*float64(time.Second)), now)
 			}
 			pass := base + slope*float64(d.pace.limit(servers))
 			return time.Duration(pass * float64(time.Second))
@@ -126,23 +126,23 @@
 
 func TestPredictedFirstEvent(t *testing.T) {
 	Convey("The first event is predicted from the passes that are seen", t, func() {
-		d := NewDesk(Ramp{Entries: 1})
+		d := NewScheduler(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
-		unseen := d.Ask(ticket(1, start), 0, start)
+		unseen := d.Submit(ticket(1, start), 0, start)
 		So(unseen.Verdict, ShouldEqual, Go)
-		So(unseen.FirstEvent, ShouldAlmostEqual, 84*time.Millisecond, time.Millisecond) // Passes without work.
+		So(unseen.PredictedFirstEvent, ShouldAlmostEqual, 84*time.Millisecond, time.Millisecond) // Passes without work.
 		now := start
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
-			d.Gap("s0", 60*time.Millisecond, now)
+			d.ObserveGap("s0", 60*time.Millisecond, now)
 		}
-		So(d.Ask(ticket(2, now), 0, now).FirstEvent, ShouldAlmostEqual, 174*time.Millisecond, time.Millisecond)
+		So(d.Submit(ticket(2, now), 0, now).PredictedFirstEvent, ShouldAlmostEqual, 174*time.Millisecond, time.Millisecond)
 	})
 }
 
 func TestEvenLoad(t *testing.T) {
 	Convey("Requests spread evenly, other entries' included", t, func() {
-		d := NewDesk(Ramp{Entries: 1})
+		d := NewScheduler(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		d.Report("s0", Report{Queued: 0, Active: 4, Open: true}, start)
 		d.Report("s1", Report{Queued: 0, Active: 0, Open: true}, start)
@@ -150,7 +150,7 @@
 		random := rand.New(rand.NewPCG(1, 1))
 		got := map[string]int{"s0": 4}
 		for i := range 800 {
-			id := d.Ask(ticket(uint64(i), start), random.Float64(), start).Server.ID
+			id := d.Submit(ticket(uint64(i), start), random.Float64(), start).Server.ID
 			got[id]++
 			least, most := min(got["s0"], got["s1"], got["s2"]), max(got["s0"], got["s1"], got["s2"])
 			if got["s1"]+got["s2"] >= 8 {
@@ -168,7 +168,7 @@
 		got := map[string]int{}
 		for i := range 300 {
 			d := plainDesk(3, 2)
-			got[d.Ask(ticket(1, start), float64(i)/300, start).Server.ID]++
+			got[d.Submit(ticket(1, start), float64(i)/300, start).Server.ID]++
 		}
 		So(got, ShouldHaveLength, 3)
 		for _, count := range got {
@@ -179,13 +179,13 @@
 
 func TestSkewedExperts(t *testing.T) {
 	Convey("Long passes lower the number of requests that may write at once", t, func() {
-		d := NewDesk(Ramp{Entries: 1})
+		d := NewScheduler(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		fill := func() int {
 			placed := 0
 			for i := range 200 {
-				if d.Ask(ticket(uint64(1000+i), now), 0, now).Verdict != Go {
+				if d.Submit(ticket(uint64(1000+i), now), 0, now).Verdict != Go {
 					break
 				}
 				placed++
@@ -197,7 +197,7 @@
 		}
 		for range 50 {
 			now = now.Add(10 * time.Millisecond)
-			d.Gap("s0", 150*time.Millisecond, now) // 60 requests under a skew that is too much.
+			d.ObserveGap("s0", 150*time.Millisecond, now) // 60 requests under a skew that is too much.
 		}
 		for i := range 12 {
 			d.Report(fmt.Sprint("s", i), Report{Queued: 0, Active: 2, Open: true}, now)
@@ -206,68 +206,68 @@
 		So(24+fill(), ShouldBeBetween, 30, 40)
 	})
 	Convey("A group that takes no work gets none", t, func() {
-		d := NewDesk(Ramp{Entries: 1})
+		d := NewScheduler(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(1, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		d.Report("s0", Report{Queued: 0, Active: 0, Open: false}, start)
-		So(d.Ask(ticket(1, start), 0, start).Verdict, ShouldEqual, Wait)
+		So(d.Submit(ticket(1, start), 0, start).Verdict, ShouldEqual, Wait)
 		d.Report("s0", Report{Queued: 0, Active: 0, Open: true}, start)
-		So(d.Next(noRandom, start)[0].Verdict, ShouldEqual, Go)
+		So(d.DispatchQueued(noRandom, start)[0].Verdict, ShouldEqual, Go)
 	})
 }
 
 func TestBacklog(t *testing.T) {
 	Convey("A backlog of late requests leaves places to those that come now", t, func() {
-		d := NewDesk(Ramp{Entries: 1})
+		d := NewScheduler(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		for i := range 12 {
 			d.Report(fmt.Sprint("s", i), Report{Open: false}, now)
 		}
 		for i := range 200 {
-			d.Ask(ticket(uint64(i), now), 0, now)
+			d.Submit(ticket(uint64(i), now), 0, now)
 		}
 		later := now.Add(time.Second)
 		for i := range 12 {
 			d.Report(fmt.Sprint("s", i), Report{Open: true}, later)
 		}
-		placed := len(d.Next(noRandom, later))
+		placed := len(d.DispatchQueued(noRandom, later))
 		So(placed, ShouldBeBetween, 20, 100)
-		So(d.Ask(ticket(1000, later), 0, later).Verdict, ShouldEqual, Go)
+		So(d.Submit(ticket(1000, later), 0, later).Verdict, ShouldEqual, Go)
 	})
 }
 
 func TestClosedGroup(t *testing.T) {
 	Convey("Given a group that refuses a request although it has room", t, func() {
-		d := NewDesk(Ramp{Entries: 1})
+		d := NewScheduler(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(4, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
-		first := d.Ask(ticket(0, now), 0, now)
+		first := d.Submit(ticket(0, now), 0, now)
 		d.Done(first.Server.ID, Busy, now)
 		for i := range 10 {
-			So(d.Ask(ticket(uint64(i+1), now), 0, now).Verdict, ShouldEqual, Wait)
+			So(d.Submit(ticket(uint64(i+1), now), 0, now).Verdict, ShouldEqual, Wait)
 		}
 
 		Convey("one request at a time tries whether it takes work again", func() {
 			later := now.Add(gatePause)
-			So(d.Next(noRandom, later), ShouldHaveLength, 1)
-			So(d.Next(noRandom, later.Add(gatePause)), ShouldBeEmpty)
+			So(d.DispatchQueued(noRandom, later), ShouldHaveLength, 1)
+			So(d.DispatchQueued(noRandom, later.Add(gatePause)), ShouldBeEmpty)
 
 			Convey("and all follow when it does", func() {
 				d.Accepted()
-				So(d.Next(noRandom, later), ShouldHaveLength, 9)
+				So(d.DispatchQueued(noRandom, later), ShouldHaveLength, 9)
 			})
 			Convey("one that has tried does not try again", func() {
 				d.Done("s0", Busy, later)
 				tried := ticket(0, now)
-				tried.Tried = true
+				tried.FoundClosed = true
 				d.waiting = append([]Ticket{tried}, d.waiting...)
-				decisions := d.Next(noRandom, later.Add(gatePause))
+				decisions := d.DispatchQueued(noRandom, later.Add(gatePause))
 				So(decisions, ShouldHaveLength, 1)
 				So(decisions[0].Ticket, ShouldNotEqual, uint64(0))
 			})
 			Convey("and the next when it doesn't", func() {
 				d.Done("s0", Busy, later)
-				So(d.Next(noRandom, later.Add(gatePause)), ShouldHaveLength, 1)
+				So(d.DispatchQueued(noRandom, later.Add(gatePause)), ShouldHaveLength, 1)
 			})
 		})
 		Convey("all follow at once when the reports say that it is open", func() {
@@ -275,13 +275,13 @@
 			for i := range 4 {
 				d.Report(fmt.Sprint("s", i), Report{Open: true}, later)
 			}
-			So(d.Next(noRandom, later), ShouldHaveLength, 10)
+			So(d.DispatchQueued(noRandom, later), ShouldHaveLength, 10)
 		})
 		Convey("those who have waited in vain are told when to come back", func() {
 			for i := range 4 {
 				d.Report(fmt.Sprint("s", i), Report{Open: false}, now.Add(1900*time.Millisecond))
 			}
-			decisions := d.Next(noRandom, now.Add(1900*time.Millisecond))
+			decisions := d.DispatchQueued(noRandom, now.Add(1900*time.Millisecond))
 			So(decisions, ShouldHaveLength, 10)
 			for _, decision := range decisions {
 				So(decision.Verdict, ShouldEqual, Refuse)
@@ -293,14 +293,14 @@
 		d := plainDesk(2, 100)
 		d.Done("s0", Replaced, start)
 		for i := range 10 {
-			So(d.Ask(ticket(uint64(i), start), 0, start).Server.ID, ShouldEqual, "s1")
+			So(d.Submit(ticket(uint64(i), start), 0, start).Server.ID, ShouldEqual, "s1")
 		}
 	})
 }
 
 func TestSlowRank(t *testing.T) {
 	Convey("Given a group with one rank three times as slow as usual", t, func() {
-		d := NewDesk(Ramp{Entries: 1})
+		d := NewScheduler(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		for i := range 12 {
@@ -312,23 +312,23 @@
 		}
 		Convey("it gets work only when the others are full", func() {
 			for i := range 60 {
-				So(d.Ask(ticket(uint64(i), now), 0.3, now).Server.ID, ShouldNotEqual, "s3")
+				So(d.Submit(ticket(uint64(i), now), 0.3, now).Server.ID, ShouldNotEqual, "s3")
 			}
 		})
 		Convey("streams are moved off it alone, and off none where most are slow", func() {
-			So(d.MoveOff("s3", now), ShouldBeTrue)
-			So(d.MoveOff("s4", now), ShouldBeFalse)
+			So(d.ShouldMigrateStreams("s3", now), ShouldBeTrue)
+			So(d.ShouldMigrateStreams("s4", now), ShouldBeFalse)
 			for i := range 12 {
 				d.Report(fmt.Sprint("s", i), Report{Open: true, Pace: 3}, now)
 			}
-			So(d.MoveOff("s3", now), ShouldBeFalse)
+			So(d.ShouldMigrateStreams("s3", now), ShouldBeFalse)
 		})
 		Convey("passes that are long because of it alone do not lower the limit", func() {
 			for range 50 {
 				now = now.Add(10 * time.Millisecond)
 				// 3 * 29 ms without work, and 12 ms for 40 requests.
 				d.writersFor(40, now)
-				d.Gap("s0", 99*time.Millisecond, now)
+				d.ObserveGap("s0", 99*time.Millisecond, now)
 			}
 			So(d.pace.limit(12), ShouldBeGreaterThan, 40)
 		})
@@ -336,7 +336,7 @@
 }
 
 // writersFor makes the desk believe that the group has so many requests.
-func (d *Desk) writersFor(total int, now time.Time) {
+func (d *Scheduler) writersFor(total int, now time.Time) {
 	for i, s := range d.servers {
 		s.others, s.reportAt = total/len(d.servers), now
 		if i < total%len(d.servers) {
@@ -348,16 +348,16 @@
 func TestColdReturn(t *testing.T) {
 	Convey("All entries together stay under what a cold server bears", t, func() {
 		const entries = 4
-		ramp := Ramp{Overshoot: 1.5, Allowance: 5, Entries: entries}
+		ramp := WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: entries}
 		service := topology.Service{WarmUpPerSecond: 36}
 		total := 0
 		for range entries {
-			d := NewDesk(ramp)
+			d := NewScheduler(ramp)
 			cold := candidates(1, 1000)
 			d.Configure(cold, service, 0)
 			for i := range 1000 {
 				now := start.Add(time.Duration(i) * time.Millisecond / 2)
-				if d.Ask(ticket(uint64(i), now), 0, now).Verdict == Go {
+				if d.Submit(ticket(uint64(i), now), 0, now).Verdict == Go {
 					total++
 				}
 			}
@@ -370,12 +370,12 @@
 	Convey("Eighteen entries stay under what one of 63 servers bears, though none says that it is cold", t, func() {
 		total := 0
 		for range 18 {
-			d := NewDesk(Ramp{Overshoot: 1.5, Allowance: 5, Entries: 8})
+			d := NewScheduler(WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: 8})
 			d.Configure(candidates(63, 1000), topology.Service{WarmUpPerSecond: 26}, 0)
 			d.Configure(candidates(1, 1000), topology.Service{WarmUpPerSecond: 26}, 0) // All others have left.
 			for i := range 1000 {
 				now := start.Add(time.Duration(i) * time.Millisecond / 2)
-				if d.Ask(ticket(uint64(i), now), 0, now).Verdict == Go {
+				if d.Submit(ticket(uint64(i), now), 0, now).Verdict == Go {
 					total++
 				}
 			}
@@ -391,7 +391,7 @@
 		lost := 0
 		for i := range 100 {
 			now = now.Add(10 * time.Millisecond)
-			id := d.Ask(ticket(uint64(i), now), float64(i*37%100)/100, now).Server.ID
+			id := d.Submit(ticket(uint64(i), now), float64(i*37%100)/100, now).Server.ID
 			outcome := Served
 			if id == "s0" {
 				outcome = Failed
@@ -408,7 +408,7 @@
 		now, excluded := start, 0
 		for i := range 3000 {
 			now = now.Add(10 * time.Millisecond)
-			id := d.Ask(ticket(uint64(i), now), float64(i*37%100)/100, now).Server.ID
+			id := d.Submit(ticket(uint64(i), now), float64(i*37%100)/100, now).Server.ID
 			outcome := Served
 			if i%7 == 0 {
 				outcome = Failed
@@ -424,20 +424,20 @@
 	})
 	Convey("A server that can't be reached is passed over at once", t, func() {
 		d := plainDesk(2, 100)
-		d.Done("s0", Unreached, start)
+		d.Done("s0", Unreachable, start)
 		for i := range 10 {
-			So(d.Ask(ticket(uint64(i), start), 0, start).Server.ID, ShouldEqual, "s1")
+			So(d.Submit(ticket(uint64(i), start), 0, start).Server.ID, ShouldEqual, "s1")
 		}
 	})
 }
 
 func TestLastResort(t *testing.T) {
 	Convey("A server whose row has vanished gets work only when no other has room", t, func() {
-		d := NewDesk(Ramp{Entries: 1})
+		d := NewScheduler(WarmUpLimit{Entries: 1})
 		list := candidates(2, 1)
 		list[0].Unlisted = true
 		d.Configure(list, topology.Service{}, 0)
-		So(d.Ask(ticket(1, start), 0, start).Server.ID, ShouldEqual, "s1")
-		So(d.Ask(ticket(2, start), 0, start).Server.ID, ShouldEqual, "s0")
+		So(d.Submit(ticket(1, start), 0, start).Server.ID, ShouldEqual, "s1")
+		So(d.Submit(ticket(2, start), 0, start).Server.ID, ShouldEqual, "s0")
 	})
 }
--- a/policy/dispatch/pace.go
+++ b/policy/dispatch/pace.go
@@ -31,11 +31,11 @@
 	minPerServer = 1.0
 )
 
-// Pace bounds how many requests may write at once in a group so that the
+// ConcurrencyLimiter bounds how many requests may write at once in a group so that the
 // pause between events stays under its goal. All ranks advance in lock-step,
 // so a pass grows with the requests of the whole group; the slope is observed
 // and holds the skew of the experts and the prompts that are read meanwhile.
-type Pace struct {
+type ConcurrencyLimiter struct {
 	engine  *topology.Engine
 	goal    time.Duration
 	slowest float64 // Slowness of the group's slowest server; 0 while unknown.
@@ -44,22 +44,22 @@
 	pass    time.Duration // Smoothed duration of a pass.
 }
 
-func (p *Pace) configure(engine *topology.Engine, goal time.Duration) {
+func (p *ConcurrencyLimiter) configure(engine *topology.Engine, goal time.Duration) {
 	p.engine, p.goal = engine, goal
 }
 
 // base is the duration of a pass without work, in seconds: that of the slowest
 // server.
-func (p *Pace) base() float64 {
+func (p *ConcurrencyLimiter) base() float64 {
 	return float64(p.engine.Stride) * p.engine.StepMS / 1000 * max(1, p.slowest)
 }
 
 // evenSlope is the slope of a group whose experts are spread perfectly.
-func (p *Pace) evenSlope(servers int) float64 {
+func (p *ConcurrencyLimiter) evenSlope(servers int) float64 {
 	return float64(p.engine.Stride) * p.engine.PerSequenceMS / 1000 / float64(max(1, servers))
 }
 
-func (p *Pace) observe(gap time.Duration, writers int, now time.Time) {
+func (p *ConcurrencyLimiter) observe(gap time.Duration, writers int, now time.Time) {
 	if p.engine == nil || writers <= 0 || gap <= 0 {
 		return
 	}
@@ -78,7 +78,7 @@
 
 // limit returns how many requests may be at the group's servers, 0 for no
 // bound.
-func (p *Pace) limit(servers int) int {
+func (p *ConcurrencyLimiter) limit(servers int) int {
 	if p.engine == nil || p.goal <= 0 || servers == 0 {
 		return 0
 	}
@@ -99,18 +99,18 @@
 }
 
 // passTime returns the usual duration of a pass at present.
-func (p *Pace) passTime() time.Duration {
+func (p *ConcurrencyLimiter) passTime() time.Duration {
 	return max(p.pass, time.Duration(p.base()*float64(time.Second)))
 }
 
 // passes returns the duration of so many passes at present.
-func (p *Pace) passes(count float64) time.Duration {
+func (p *ConcurrencyLimiter) passes(count float64) time.Duration {
 	return time.Duration(count * float64(p.passTime()))
 }
 
 // firstEvent predicts the time from placing a request to its first event, zero
 // where there is no engine.
-func (p *Pace) firstEvent() time.Duration {
+func (p *ConcurrencyLimiter) firstEvent() time.Duration {
 	if p.engine == nil {
 		return 0
 	}
--- a/policy/dispatch/queue.go
+++ b/policy/dispatch/queue.go
@@ -38,8 +38,8 @@
 	likelyEntries = 3
 )
 
-// Leave takes a waiting ticket out, because its caller has left.
-func (d *Desk) Leave(id uint64) {
+// Cancel takes a waiting ticket out, because its caller has left.
+func (d *Scheduler) Cancel(id uint64) {
 	for i, ticket := range d.waiting {
 		if ticket.ID == id {
 			d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
@@ -48,25 +48,25 @@
 	}
 }
 
-// Waiting returns the number of waiting tickets.
-func (d *Desk) Waiting() int { return len(d.waiting) }
+// QueueLen returns the number of waiting tickets.
+func (d *Scheduler) QueueLen() int { return len(d.waiting) }
 
 // Outcome is how a request at a server ended.
 type Outcome int
 
 // The outcomes.
 const (
-	Served     Outcome = iota
-	Busy               // Refused for load; it did not run.
-	Failed             // The server failed, or the exchange broke off.
-	Unreached          // No connection could be made.
-	Replaced           // Another server answers at its address.
-	CallerLeft         // Says nothing of the server.
+	Served      Outcome = iota
+	Busy                // Refused for load; it did not run.
+	Failed              // The server failed, or the exchange broke off.
+	Unreachable         // No connection could be made.
+	Replaced            // Another server answers at its address.
+	CallerLeft          // Says nothing of the server.
 )
 
 // Done gives the request's place at the server back. It reports whether the
 // server's group takes no work.
-func (d *Desk) Done(id string, outcome Outcome, now time.Time) (closed bool) {
+func (d *Scheduler) Done(id string, outcome Outcome, now time.Time) (closed bool) {
 	server := d.byID[id]
 	if server == nil {
 		return d.gate.closed // The server has left the list meanwhile.
@@ -75,7 +75,7 @@
 	switch outcome {
 	case Served:
 		d.freed = append(d.freed, now)
-		d.Heard(id, now)
+		d.ObserveEvent(id, now)
 		server.health.succeeded()
 	case Busy:
 		server.busyUntil = now.Add(busyPause)
@@ -86,7 +86,7 @@
 		server.busyUntil = now.Add(replacedPause)
 	case Failed:
 		server.health.failed(now)
-	case Unreached:
+	case Unreachable:
 		server.health.unreached(now)
 	case CallerLeft:
 		d.freed = append(d.freed, now)
@@ -96,7 +96,7 @@
 
 // room returns this entry's part of the places, for requests that wait for a
 // closed group.
-func (d *Desk) room() int {
+func (d *Scheduler) room() int {
 	places := 0
 	for _, server := range d.servers {
 		places += server.candidate.Slots
@@ -106,7 +106,7 @@
 
 // order sorts the waiting tickets: those that can still be in time first, by
 // urgency and then by arrival; after them the late ones by arrival.
-func (d *Desk) order(now time.Time) {
+func (d *Scheduler) order(now time.Time) {
 	sort.SliceStable(d.waiting, func(i, j int) bool {
 		a, b := d.waiting[i], d.waiting[j]
 		if inTime := d.inTime(a, now); inTime != d.inTime(b, now) {
@@ -121,12 +121,12 @@
 
 // inTime reports whether the ticket, placed now, would have its first answer in
 // time.
-func (d *Desk) inTime(ticket Ticket, now time.Time) bool {
-	return now.Add(d.margin()).Before(ticket.InTime)
+func (d *Scheduler) inTime(ticket Ticket, now time.Time) bool {
+	return now.Add(d.margin()).Before(ticket.SLODeadline)
 }
 
 // margin is how long a placed request needs until its first answer at least.
-func (d *Desk) margin() time.Duration {
+func (d *Scheduler) margin() time.Duration {
 	if d.pace.engine == nil {
 		return serveMargin
 	}
@@ -134,15 +134,15 @@
 }
 
 // hopeless reports whether the ticket has waited for as long as it pays.
-func (d *Desk) hopeless(ticket Ticket, now time.Time) bool {
-	late := ticket.InTime.Add(lateWait - d.margin())
+func (d *Scheduler) hopeless(ticket Ticket, now time.Time) bool {
+	late := ticket.SLODeadline.Add(lateWait - d.margin())
 	if d.gate.closed {
-		late = ticket.GiveUp // The group may open at any moment, with all its places free.
+		late = ticket.Deadline // The group may open at any moment, with all its places free.
 	}
-	return now.Sub(ticket.Arrived) > maxWait || now.After(late) || !now.Before(ticket.GiveUp)
+	return now.Sub(ticket.Arrived) > maxWait || now.After(late) || !now.Before(ticket.Deadline)
 }
 
-func (d *Desk) anyInTime(now time.Time) bool {
+func (d *Scheduler) anyInTime(now time.Time) bool {
 	for _, ticket := range d.waiting {
 		if d.inTime(ticket, now) {
 			return true
@@ -153,7 +153,7 @@
 
 // predictedWait is how long the ticket would wait if it joined the waiting ones:
 // one that can be in time goes before those that can't.
-func (d *Desk) predictedWait(ticket Ticket, now time.Time) time.Duration {
+func (d *Scheduler) predictedWait(ticket Ticket, now time.Time) time.Duration {
 	cut := 0
 	for cut < len(d.freed) && now.Sub(d.freed[cut]) > rateWindow {
 		cut++
--- a/policy/dispatch/silence.go
+++ b/policy/dispatch/silence.go
@@ -20,8 +20,8 @@
 	groupHeardWithin = 250 * time.Millisecond
 )
 
-// Heard notes that a server has sent an event of a stream.
-func (d *Desk) Heard(id string, now time.Time) {
+// ObserveEvent notes that a server has sent an event of a stream.
+func (d *Scheduler) ObserveEvent(id string, now time.Time) {
 	if server := d.byID[id]; server != nil {
 		server.heardAt, server.silent = now, false
 	}
@@ -44,7 +44,7 @@
 // A silence that began while the whole group stood still is counted from the
 // moment at which the group went on. A silent server that is tried again gets one
 // request until it is heard of.
-func (d *Desk) FindSilent(now time.Time) []string {
+func (d *Scheduler) FindSilent(now time.Time) []string {
 	if d.pace.engine == nil {
 		return nil // Calls of plain services end when they end.
 	}
@@ -68,7 +68,7 @@
 
 // followGroup keeps the moment since which servers of the group have been heard
 // of without a long break; the zero time while none is.
-func (d *Desk) followGroup(now time.Time) {
+func (d *Scheduler) followGroup(now time.Time) {
 	heard := slices.ContainsFunc(d.servers, func(s *server) bool { return now.Sub(s.heardAt) < groupHeardWithin })
 	switch {
 	case !heard:
--- a/policy/dispatch/silence_test.go
+++ b/policy/dispatch/silence_test.go
@@ -14,8 +14,8 @@
 
 // streamingDesk is the desk of an engine's service with one stream at each
 // server.
-func streamingDesk(servers int) *Desk {
-	d := NewDesk(Ramp{Entries: 1})
+func streamingDesk(servers int) *Scheduler {
+	d := NewScheduler(WarmUpLimit{Entries: 1})
 	d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 	for _, server := range d.servers {
 		server.take(start)
@@ -25,10 +25,10 @@
 
 // write lets the servers send an event in each pass until the time is over, and
 // returns the servers that were found silent meanwhile.
-func write(d *Desk, from time.Time, lasting time.Duration, servers ...string) (silent []string, now time.Time) {
+func write(d *Scheduler, from time.Time, lasting time.Duration, servers ...string) (silent []string, now time.Time) {
 	for now = from; now.Sub(from) < lasting; now = now.Add(pass) {
 		for _, id := range servers {
-			d.Heard(id, now)
+			d.ObserveEvent(id, now)
 		}
 		silent = append(silent, d.FindSilent(now)...)
 	}
@@ -46,7 +46,7 @@
 			So(silent, ShouldResemble, []string{"s1"})
 			Convey("and gets no new requests for a while", func() {
 				for i := range 4 {
-					decision := d.Ask(ticket(uint64(i), now), float64(i)/4, now)
+					decision := d.Submit(ticket(uint64(i), now), float64(i)/4, now)
 					So(decision.Verdict, ShouldEqual, Go)
 					So(decision.Server.ID, ShouldNotEqual, "s1")
 				}
@@ -58,7 +58,7 @@
 				Convey("with one request until it is heard of", func() {
 					tried := func() (tried int) {
 						for i := range 8 {
-							if d.Ask(ticket(uint64(i), now), float64(i)/8, now).Server.ID == "s1" {
+							if d.Submit(ticket(uint64(i), now), float64(i)/8, now).Server.ID == "s1" {
 								tried++
 							}
 						}
@@ -66,7 +66,7 @@
 					}
 					So(tried(), ShouldEqual, 1)
 					So(tried(), ShouldEqual, 0)
-					d.Heard("s1", now)
+					d.ObserveEvent("s1", now)
 					So(d.hasRoom(d.byID["s1"], now), ShouldBeTrue)
 				})
 			})
@@ -84,7 +84,7 @@
 		})
 		Convey("a group that goes on after standing still has time to write", func() {
 			_, now = write(d, now, 3*time.Second)
-			d.Heard("s0", now)
+			d.ObserveEvent("s0", now)
 			So(d.FindSilent(now), ShouldBeEmpty)
 			silent, _ = write(d, now.Add(pass), 2*time.Second, "s0", "s1", "s2")
 			So(silent, ShouldBeEmpty)
--- a/server/agent/generate.go
+++ b/server/agent/generate.go
@@ -70,7 +70,7 @@
 	return &carrier{
 		engine: engine, id: request.ID, writer: stream.NewWriter(w, flusher.Flush),
 		next:      func(_ context.Context, pieces *stream.Reader) (stream.Piece, error) { return pieces.Next() },
-		assembler: answer.Continue[stream.Piece](request.From),
+		assembler: answer.ResumeAt[stream.Piece](request.From),
 	}
 }
 
@@ -78,19 +78,19 @@
 // last token sent.
 func (c *carrier) carry(ctx context.Context, pieces *stream.Reader) error {
 	for resumes := 0; ; resumes++ {
-		before := c.assembler.Next()
+		before := c.assembler.Delivered()
 		err := c.copyPieces(ctx, pieces)
 		_ = pieces.Close()
 		c.writer.Flush()
-		if c.assembler.Next() > before {
+		if c.assembler.Delivered() > before {
 			resumes = 0
 		}
 		if err == nil || c.sendErr != nil || ctx.Err() != nil || resumes == maxResumes {
 			return err
 		}
 		time.Sleep(resumePause)
-		c.assembler.DropHeld()
-		resumed, resumeErr := c.engine.Resume(ctx, c.id, c.assembler.Next())
+		c.assembler.DropPending()
+		resumed, resumeErr := c.engine.Resume(ctx, c.id, c.assembler.Delivered())
 		if resumeErr != nil {
 			return errors.Join(err, resumeErr)
 		}
@@ -102,7 +102,7 @@
 	for {
 		piece, err := c.next(ctx, pieces)
 		if errors.Is(err, io.EOF) {
-			return c.assembler.Complete()
+			return c.assembler.CheckComplete()
 		}
 		if err != nil {
 			return err
@@ -143,7 +143,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	_ = c.writer.Write(stream.Piece{
-		ID: c.id, Seq: c.sent, From: c.assembler.Next(),
+		ID: c.id, Seq: c.sent, From: c.assembler.Delivered(),
 		End: true, Code: result.CutAnswer, Detail: err.Error(),
 	})
 }
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -72,25 +72,25 @@
 		return true
 	default:
 		// An answer that has begun is worth another try after a refusal.
-		return g.assembler.Next() > 0 && err.NotRun() && result.Describe(err.Code).ComeBack
+		return g.assembler.Delivered() > 0 && err.NotRun() && result.Describe(err.Code).ComeBack
 	}
 }
 
 // final returns the result of an answer that isn't continued. Once a part was
 // passed on, the work has run and the answer is cut.
 func (g *generation) final(err *result.Error) *result.Error {
-	if g.assembler.Next() == 0 {
+	if g.assembler.Delivered() == 0 {
 		return err
 	}
-	return result.Errorf(result.CutAnswer, "after %d tokens: %v", g.assembler.Next(), err)
+	return result.Errorf(result.CutAnswer, "after %d tokens: %v", g.assembler.Delivered(), err)
 }
 
 // attempt makes one attempt; begun tells the retry loop that it passed on a part
 // of the answer, which is to be continued.
 func (g *generation) attempt(ctx context.Context, target route.Target, work wire.Work) (begun bool, refusal *result.Error) {
 	g.request.earlier = max(g.request.earlier, work.Attempt)
-	before := g.assembler.Next()
-	g.assembler.DropHeld()
+	before := g.assembler.Delivered()
+	g.assembler.DropPending()
 	ctx, watchdog := newWatchdog(ctx, firstPieceTimeout)
 	defer watchdog.stop()
 	defer g.runner.liveness.watch(target.Control, watchdog)()
@@ -102,14 +102,14 @@
 	if refusal != nil && !refusal.NotRun() {
 		g.request.avoided = append(g.request.avoided, target.BackendServer)
 	}
-	return g.assembler.Next() > before, refusal
+	return g.assembler.Delivered() > before, refusal
 }
 
 // remaining returns the generation behind the tokens already passed on.
 func (g *generation) remaining() ports.Generation {
 	return ports.Generation{
 		Model: g.request.Model, Adapter: g.request.Adapter, Prompt: g.request.Prompt,
-		MaxTokens: g.request.MaxTokens, Priority: g.request.Priority, From: g.assembler.Next(),
+		MaxTokens: g.request.MaxTokens, Priority: g.request.Priority, From: g.assembler.Delivered(),
 	}
 }
 
@@ -118,7 +118,7 @@
 	for {
 		piece, err := pieces.Next()
 		if errors.Is(err, io.EOF) {
-			err = g.assembler.Complete()
+			err = g.assembler.CheckComplete()
 		}
 		if err != nil {
 			return result.Errorf(result.CutAnswer, "%v", err)
@@ -144,7 +144,7 @@
 	for index, next := range due {
 		next.More = piece.More || index < len(due)-1
 		if next.Usage != nil {
-			next.Usage.CompletionTokens = g.assembler.Next()
+			next.Usage.CompletionTokens = g.assembler.Delivered()
 		}
 		if err := g.sink(next); err != nil {
 			g.sinkErr = err
--- a/server/entry/attempt/generation_test.go
+++ b/server/entry/attempt/generation_test.go
@@ -28,7 +28,7 @@
 	Convey("An answer goes on elsewhere after", t, func() {
 		for _, row := range rows {
 			Convey(row.name, func() {
-				g := &generation{request: Request{Idempotent: row.idempotent}, assembler: answer.Continue[stream.Piece](row.passed)}
+				g := &generation{request: Request{Idempotent: row.idempotent}, assembler: answer.ResumeAt[stream.Piece](row.passed)}
 				So(g.continuable(&result.Error{Code: row.code}), ShouldEqual, row.want)
 			})
 		}
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -158,7 +158,7 @@
 
 // rank returns this entry's place among all for the organisation.
 func (l *Limiter) rank(org string) int {
-	order := choose.Rendezvous(l.entries, choose.KeyOf(org), len(l.entries))
+	order := choose.Rendezvous(l.entries, choose.RendezvousKey(org), len(l.entries))
 	return slices.Index(order, slices.Index(l.entries, l.self))
 }
 
@@ -185,7 +185,7 @@
 
 func (l *Limiter) homeOf(org string) (id, address string) {
 	l.mu.Lock()
-	id = l.entries[choose.Rendezvous(l.entries, choose.KeyOf(org), 1)[0]]
+	id = l.entries[choose.Rendezvous(l.entries, choose.RendezvousKey(org), 1)[0]]
 	l.mu.Unlock()
 	for _, instance := range l.node.Instances() {
 		if instance.ID == id {
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -171,7 +171,7 @@
 		offers[index] = choose.Offer{
 			Refuses: probe.Refuses, RetryAfter: time.Duration(probe.RetryAfterMS) * time.Millisecond,
 			FirstToken: time.Duration(probe.ExpectedWaitMS * float64(time.Millisecond)),
-			Trip:       choose.Trip(state.View.InForce, state.Self.DataCentre, probe.Stamp.DataCentre),
+			RTT:        choose.RTT(state.View.InForce, state.Self.DataCentre, probe.Stamp.DataCentre),
 			Running:    probe.Running,
 			Headroom:   probe.Headroom,
 		}
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -158,8 +158,8 @@
 		return refusal
 	}
 	c.server = decision.Server.ID
-	if decision.FirstEvent > 0 && !c.begun {
-		c.expectedAt = time.Now().Add(decision.FirstEvent)
+	if decision.PredictedFirstEvent > 0 && !c.begun {
+		c.expectedAt = time.Now().Add(decision.PredictedFirstEvent)
 	}
 	outcome, failure := c.exchange(ctx, service, decision.Server)
 	closed := c.gateway.desks.done(service, decision.Server.ID, outcome)
@@ -181,8 +181,8 @@
 		priority = c.organisation.Priority
 	}
 	return dispatch.Ticket{
-		Arrived: c.arrived, InTime: c.arrived.Add(c.route.Objective), GiveUp: c.lastStart(),
-		Priority: priority, Avoid: c.avoid, Tried: c.tried,
+		Arrived: c.arrived, SLODeadline: c.arrived.Add(c.route.Objective), Deadline: c.lastStart(),
+		Priority: priority, Avoid: c.avoid, FoundClosed: c.tried,
 	}
 }
 
@@ -228,7 +228,7 @@
 		MaxIdle: c.snapshot.Service(service).MaxConnections / (2 * assumedEntries),
 	})
 	if err != nil {
-		return dispatch.Unreached, result.Errorf(result.NoBackendServer, "%v", err)
+		return dispatch.Unreachable, result.Errorf(result.NoBackendServer, "%v", err)
 	}
 	c.sends++
 	exchange, err := c.gateway.pool.Do(ctx, conn, c.forward(server))
@@ -293,8 +293,8 @@
 	verdicts := [...]string{"wait", "go", "refuse"}
 	logevent.Write(c.log, logevent.RequestPlaced, logrus.Fields{
 		"verdict": verdicts[decision.Verdict], "reason": decision.Reason, "server": decision.Server.ID,
-		"own": decision.Own, "total": decision.Total, "limit": decision.Limit,
-		"predicted_ms": decision.Predicted.Milliseconds(), "retry_after_ms": decision.RetryAfter.Milliseconds(),
+		"own": decision.OwnInFlight, "total": decision.TotalInFlight, "limit": decision.Limit,
+		"predicted_ms": decision.PredictedWait.Milliseconds(), "retry_after_ms": decision.RetryAfter.Milliseconds(),
 		"report_age_ms": decision.ReportAge.Milliseconds(), "config": c.snapshot.Config.Version,
 		"after_ms": time.Since(c.arrived).Milliseconds(),
 	})
--- a/server/gateway/desks.go
+++ b/server/gateway/desks.go
@@ -19,7 +19,7 @@
 
 // desks holds one desk for each service and lets requests wait for it.
 type desks struct {
-	ramp dispatch.Ramp
+	ramp dispatch.WarmUpLimit
 	log  *logrus.Entry
 
 	mu       sync.Mutex
@@ -29,12 +29,12 @@
 }
 
 type desk struct {
-	*dispatch.Desk
+	*dispatch.Scheduler
 	waiting map[uint64]chan dispatch.Decision
 	movable map[string]map[*call]context.CancelCauseFunc // Streams that may be moved, by server.
 }
 
-func newDesks(ramp dispatch.Ramp, log *logrus.Entry) *desks {
+func newDesks(ramp dispatch.WarmUpLimit, log *logrus.Entry) *desks {
 	return &desks{ramp: ramp, log: log, byName: map[string]*desk{}}
 }
 
@@ -49,7 +49,7 @@
 	pauses := pauseGoals(snapshot.Config)
 	for name := range snapshot.Config.Services {
 		if d.byName[name] == nil {
-			d.byName[name] = &desk{Desk: dispatch.NewDesk(d.ramp), waiting: map[uint64]chan dispatch.Decision{}, movable: map[string]map[*call]context.CancelCauseFunc{}}
+			d.byName[name] = &desk{Scheduler: dispatch.NewScheduler(d.ramp), waiting: map[uint64]chan dispatch.Decision{}, movable: map[string]map[*call]context.CancelCauseFunc{}}
 		}
 	}
 	for name, desk := range d.byName {
@@ -83,7 +83,7 @@
 	}
 	d.next++
 	ticket.ID = d.next
-	decision := desk.Ask(ticket, rand.Float64(), time.Now())
+	decision := desk.Submit(ticket, rand.Float64(), time.Now())
 	if decision.Verdict != dispatch.Wait {
 		d.mu.Unlock()
 		return decision, nil
@@ -106,7 +106,7 @@
 			desk.settle()
 		}
 	default:
-		desk.Leave(ticket.ID)
+		desk.Cancel(ticket.ID)
 		delete(desk.waiting, ticket.ID)
 	}
 	return dispatch.Decision{}, ctx.Err()
@@ -128,12 +128,12 @@
 
 // heard notes that a server has sent the first event of a stream.
 func (d *desks) heard(service, server string) {
-	d.with(service, func(desk *desk) { desk.Heard(server, time.Now()) })
+	d.with(service, func(desk *desk) { desk.ObserveEvent(server, time.Now()) })
 }
 
 // gap takes in the time between two events of a stream.
 func (d *desks) gap(service, server string, gap time.Duration) {
-	d.with(service, func(desk *desk) { desk.Gap(server, gap, time.Now()) })
+	d.with(service, func(desk *desk) { desk.ObserveGap(server, gap, time.Now()) })
 }
 
 // report takes in the load of a server from the agent beside it, and moves
@@ -141,7 +141,7 @@
 func (d *desks) report(service, server string, report dispatch.Report) {
 	d.with(service, func(desk *desk) {
 		desk.Report(server, report, time.Now())
-		if len(desk.movable[server]) > 0 && desk.MoveOff(server, time.Now()) {
+		if len(desk.movable[server]) > 0 && desk.ShouldMigrateStreams(server, time.Now()) {
 			desk.moveOff(server, errMovedSlow)
 		}
 	})
@@ -215,7 +215,7 @@
 	if len(d.waiting) == 0 {
 		return
 	}
-	for _, decision := range d.Next(rand.Float64, time.Now()) {
+	for _, decision := range d.DispatchQueued(rand.Float64, time.Now()) {
 		if decided, ok := d.waiting[decision.Ticket]; ok {
 			decided <- decision
 			delete(d.waiting, decision.Ticket)
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -51,8 +51,8 @@
 // New returns a gateway that knows nothing yet.
 func New(settings platform.Settings, log *logrus.Entry, metrics *Metrics) *Gateway {
 	return &Gateway{
-		desks: newDesks(dispatch.Ramp{
-			Overshoot: settings.WarmUpOvershoot, Allowance: settings.WarmUpAllowance, Entries: assumedEntries,
+		desks: newDesks(dispatch.WarmUpLimit{
+			OverloadFactor: settings.WarmUpOvershoot, Allowance: settings.WarmUpAllowance, Entries: assumedEntries,
 		}, log),
 		pool:    upstream.NewPool(upstream.Dial),
 		log:     log,
