--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -16,7 +16,7 @@
 // room.
 func (d *Scheduler) choose(ticket Ticket, random float64, now time.Time) *server {
 	usable := d.usable(ticket, now)
-	if d.pace.engine == nil {
+	if d.limiter.engine == nil {
 		return leastLoaded(usable, len(usable), random, now)
 	}
 	return leastLoaded(usable, sampledServers, random, now)
@@ -43,9 +43,9 @@
 
 // leastLoaded draws as many of the servers as it is told and returns the one
 // with the fewest requests, nil for none. It changes the order of the servers.
-func leastLoaded(servers []*server, drawn int, random float64, now time.Time) *server {
+func leastLoaded(servers []*server, sampleSize int, random float64, now time.Time) *server {
 	var best *server
-	for i := range min(drawn, len(servers)) {
+	for i := range min(sampleSize, len(servers)) {
 		// A drawn server changes places with the first that is not drawn yet.
 		random *= float64(len(servers) - i)
 		pick := i + int(random)
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// busyPause is how long a server that refused a request for load gets none.
-	busyPause = 60 * time.Millisecond
-	// replacedPause outlasts the time in which the list learns of a server that
+	// overloadBackoff is how long a server that refused a request for load gets none.
+	overloadBackoff = 60 * time.Millisecond
+	// replacedBackoff outlasts the time in which the list learns of a server that
 	// has gone: three heartbeats of about a second.
-	replacedPause = 5 * time.Second
-	// lateShare of the places are open to requests that can no longer be in time.
+	replacedBackoff = 5 * time.Second
+	// lateCapacityShare of the places are open to requests that can no longer be in time.
 	// A backlog would otherwise take all places of a group that has just opened,
 	// and everyone who comes in the next seconds would be late too.
-	lateShare = 0.7
-	// fillShare of an engine group's places are used, so that entries which place
+	lateCapacityShare = 0.7
+	// engineFillShare of an engine group's places are used, so that entries which place
 	// at the same moment rarely find a server full.
-	fillShare = 0.95
+	engineFillShare = 0.95
 )
 
 // Ticket is a request that wants a place at a backend server.
@@ -64,29 +64,29 @@
 
 // Scheduler is the state of one service at one entry.
 type Scheduler struct {
-	pace    ConcurrencyLimiter
-	ramp    WarmUpLimit
+	limiter ConcurrencyLimiter
+	warmUp  WarmUpLimit
 	servers []*server
 	byID    map[string]*server
 	waiting []Ticket
-	freed   []time.Time // When places became free, within rateWindow.
+	freedAt []time.Time // When places became free, within rateWindow.
 	limit   int         // Places of all servers together; 0 for no bound.
 	gate    gate
 
-	groupSince time.Time // Since when the group's servers are heard of; zero while none is.
+	groupActiveSince time.Time // Since when the group's servers are heard of; zero while none is.
 }
 
 // NewScheduler returns the desk of a service.
-func NewScheduler(ramp WarmUpLimit) *Scheduler {
-	return &Scheduler{ramp: ramp, byID: map[string]*server{}}
+func NewScheduler(warmUp WarmUpLimit) *Scheduler {
+	return &Scheduler{warmUp: warmUp, byID: map[string]*server{}}
 }
 
 // Configure sets the servers that may get new work and the engine's model, nil
 // for plain services.
 func (d *Scheduler) Configure(candidates []topology.Candidate, service topology.Service, pauseGoal time.Duration) {
-	d.pace.configure(service.Engine, pauseGoal)
-	d.ramp.PerSecond = service.WarmUpPerSecond
-	d.ramp.grow(len(candidates))
+	d.limiter.configure(service.Engine, pauseGoal)
+	d.warmUp.PerSecond = service.WarmUpPerSecond
+	d.warmUp.raiseEntries(len(candidates))
 	servers := make([]*server, 0, len(candidates))
 	byID := make(map[string]*server, len(candidates))
 	for _, candidate := range candidates {
@@ -104,12 +104,12 @@
 // ObserveGap takes in the time between two events of a stream at a server.
 func (d *Scheduler) ObserveGap(id string, gap time.Duration, now time.Time) {
 	d.ObserveEvent(id, now)
-	d.pace.observe(gap, d.writers(now), now)
+	d.limiter.observe(gap, d.inFlight(now), now)
 }
 
 // Submit decides about a new ticket.
 func (d *Scheduler) Submit(ticket Ticket, random float64, now time.Time) Decision {
-	if len(d.waiting) == 0 || d.inTime(ticket, now) && !d.anyInTime(now) {
+	if len(d.waiting) == 0 || d.meetsSLO(ticket, now) && !d.anyMeetsSLO(now) {
 		if decision, ok := d.place(ticket, random, now); ok {
 			return decision
 		}
@@ -123,7 +123,7 @@
 	}
 	if d.gate.closed {
 		// Nobody knows when the group opens; as many as it can take may wait.
-		if len(d.waiting) >= d.room() {
+		if len(d.waiting) >= d.closedQueueLimit() {
 			decision.Verdict, decision.Reason = Refuse, "group_closed"
 			decision.RetryAfter = closedRetryAfter
 			return decision
@@ -144,7 +144,7 @@
 // become free, and every few tens of milliseconds.
 func (d *Scheduler) DispatchQueued(random func() float64, now time.Time) []Decision {
 	var decisions []Decision
-	d.order(now)
+	d.sortQueue(now)
 	kept := d.waiting[:0]
 	full := false
 	for _, ticket := range d.waiting {
@@ -156,7 +156,7 @@
 			// Those behind one that has tried a closed group may still try.
 			full = !(d.gate.closed && ticket.FoundClosed)
 		}
-		if d.hopeless(ticket, now) {
+		if d.timedOut(ticket, now) {
 			decision := d.describe(ticket, now)
 			decision.Verdict, decision.Reason = Refuse, "waited_too_long"
 			decision.RetryAfter = max(minRetryAfter, d.predictedWait(ticket, now))
@@ -177,15 +177,15 @@
 
 // place finds a server for the ticket and takes a place there.
 func (d *Scheduler) place(ticket Ticket, random float64, now time.Time) (Decision, bool) {
-	if !d.gate.passes(d.reportedOpen(now), now) || d.gate.closed && ticket.FoundClosed {
+	if !d.gate.allows(d.reportedOpen(now), now) || d.gate.closed && ticket.FoundClosed {
 		return Decision{}, false
 	}
-	total := d.writers(now)
-	d.limit = d.pace.limit(len(d.servers))
+	total := d.inFlight(now)
+	d.limit = d.limiter.limit(len(d.servers))
 	if d.limit > 0 && total >= d.limit {
 		return Decision{}, false
 	}
-	if d.limit > 0 && !d.inTime(ticket, now) && float64(total) >= lateShare*float64(d.limit) {
+	if d.limit > 0 && !d.meetsSLO(ticket, now) && float64(total) >= lateCapacityShare*float64(d.limit) {
 		return Decision{}, false
 	}
 	best := d.choose(ticket, random, now)
@@ -194,14 +194,14 @@
 	}
 	decision := d.describe(ticket, now)
 	decision.Verdict, decision.Server, decision.Reason = Go, best.candidate, "least_loaded"
-	decision.PredictedFirstEvent = d.pace.firstEvent()
-	best.take(now)
-	d.gate.passed()
+	decision.PredictedFirstEvent = d.limiter.predictFirstEvent()
+	best.requestSent(now)
+	d.gate.requestSent()
 	return decision, true
 }
 
 func (d *Scheduler) describe(ticket Ticket, now time.Time) Decision {
-	decision := Decision{Ticket: ticket.ID, Limit: d.limit, TotalInFlight: d.writers(now)}
+	decision := Decision{Ticket: ticket.ID, Limit: d.limit, TotalInFlight: d.inFlight(now)}
 	for _, server := range d.servers {
 		decision.OwnInFlight += server.own
 		if server.fresh(now) {
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -48,7 +48,7 @@
 			verdicts[d.Submit(ticket(uint64(i), now), 0, now).Verdict]++
 		}
 		So(verdicts[Go], ShouldEqual, 4)
-		So(d.writers(now), ShouldEqual, 4)
+		So(d.inFlight(now), ShouldEqual, 4)
 
 		Convey("a place that becomes free goes to the first that can still be in time", func() {
 			So(d.QueueLen(), ShouldBeGreaterThan, 0)
@@ -107,16 +107,16 @@
 		passAtLimit := func(servers int) time.Duration {
 			d := NewScheduler(WarmUpLimit{Entries: 1})
 			d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
-			base := d.pace.base()
+			base := d.limiter.base()
 			requests := servers * 5
-			slope := 4 * d.pace.evenSlope(servers) // The pace binds, not the places.
+			slope := 4 * d.limiter.evenSlope(servers) // The pace binds, not the places.
 			now := start
 			for range 100 {
 				now = now.Add(10 * time.Millisecond)
-				d.writersFor(requests, now)
+				d.setInFlight(requests, now)
 				d.ObserveGap("s0", time.Duration((base+slope*float64(requests))*float64(time.Second)), now)
 			}
-			pass := base + slope*float64(d.pace.limit(servers))
+			pass := base + slope*float64(d.limiter.limit(servers))
 			return time.Duration(pass * float64(time.Second))
 		}
 		So(passAtLimit(12), ShouldAlmostEqual, 102*time.Millisecond, 2*time.Millisecond)
@@ -248,9 +248,9 @@
 		}
 
 		Convey("one request at a time tries whether it takes work again", func() {
-			later := now.Add(gatePause)
+			later := now.Add(closedProbeInterval)
 			So(d.DispatchQueued(noRandom, later), ShouldHaveLength, 1)
-			So(d.DispatchQueued(noRandom, later.Add(gatePause)), ShouldBeEmpty)
+			So(d.DispatchQueued(noRandom, later.Add(closedProbeInterval)), ShouldBeEmpty)
 
 			Convey("and all follow when it does", func() {
 				d.Accepted()
@@ -261,17 +261,17 @@
 				tried := ticket(0, now)
 				tried.FoundClosed = true
 				d.waiting = append([]Ticket{tried}, d.waiting...)
-				decisions := d.DispatchQueued(noRandom, later.Add(gatePause))
+				decisions := d.DispatchQueued(noRandom, later.Add(closedProbeInterval))
 				So(decisions, ShouldHaveLength, 1)
 				So(decisions[0].Ticket, ShouldNotEqual, uint64(0))
 			})
 			Convey("and the next when it doesn't", func() {
 				d.Done("s0", Busy, later)
-				So(d.DispatchQueued(noRandom, later.Add(gatePause)), ShouldHaveLength, 1)
+				So(d.DispatchQueued(noRandom, later.Add(closedProbeInterval)), ShouldHaveLength, 1)
 			})
 		})
 		Convey("all follow at once when the reports say that it is open", func() {
-			later := now.Add(gatePause)
+			later := now.Add(closedProbeInterval)
 			for i := range 4 {
 				d.Report(fmt.Sprint("s", i), Report{Open: true}, later)
 			}
@@ -304,11 +304,11 @@
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		for i := range 12 {
-			pace := 1.0
+			slowdown := 1.0
 			if i == 3 {
-				pace = 3
+				slowdown = 3
 			}
-			d.Report(fmt.Sprint("s", i), Report{Open: true, Pace: pace}, now)
+			d.Report(fmt.Sprint("s", i), Report{Open: true, Pace: slowdown}, now)
 		}
 		Convey("it gets work only when the others are full", func() {
 			for i := range 60 {
@@ -327,16 +327,16 @@
 			for range 50 {
 				now = now.Add(10 * time.Millisecond)
 				// 3 * 29 ms without work, and 12 ms for 40 requests.
-				d.writersFor(40, now)
+				d.setInFlight(40, now)
 				d.ObserveGap("s0", 99*time.Millisecond, now)
 			}
-			So(d.pace.limit(12), ShouldBeGreaterThan, 40)
+			So(d.limiter.limit(12), ShouldBeGreaterThan, 40)
 		})
 	})
 }
 
-// writersFor makes the desk believe that the group has so many requests.
-func (d *Scheduler) writersFor(total int, now time.Time) {
+// setInFlight makes the desk believe that the group has so many requests.
+func (d *Scheduler) setInFlight(total int, now time.Time) {
 	for i, s := range d.servers {
 		s.others, s.reportAt = total/len(d.servers), now
 		if i < total%len(d.servers) {
@@ -348,11 +348,11 @@
 func TestColdReturn(t *testing.T) {
 	Convey("All entries together stay under what a cold server bears", t, func() {
 		const entries = 4
-		ramp := WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: entries}
+		warmUp := WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: entries}
 		service := topology.Service{WarmUpPerSecond: 36}
 		total := 0
 		for range entries {
-			d := NewScheduler(ramp)
+			d := NewScheduler(warmUp)
 			cold := candidates(1, 1000)
 			d.Configure(cold, service, 0)
 			for i := range 1000 {
--- a/policy/dispatch/health.go
+++ b/policy/dispatch/health.go
@@ -9,23 +9,23 @@
 	// failureLimit is the failure rate above which a server is passed over.
 	// Services that fail a seventh of their calls by themselves stay under it.
 	failureLimit = 0.55
-	// firstExclusion doubles with every further failure, up to maxExclusion.
-	firstExclusion = 500 * time.Millisecond
-	maxExclusion   = 4 * time.Second
+	// initialExclusion doubles with every further failure, up to maxExclusion.
+	initialExclusion = 500 * time.Millisecond
+	maxExclusion     = 4 * time.Second
 )
 
 // health is what callers' requests have shown of a server. Health checks don't
 // count: they may be false either way.
 type health struct {
-	rate      float64 // Share of failures, weighted towards the latest.
-	until     time.Time
-	exclusion time.Duration
+	rate            float64 // Share of failures, weighted towards the latest.
+	excludedUntil   time.Time
+	exclusionPeriod time.Duration
 }
 
 func (h *health) succeeded() {
 	h.rate -= failureWeight * h.rate
 	if h.rate < failureLimit/2 {
-		h.exclusion = 0
+		h.exclusionPeriod = 0
 	}
 }
 
@@ -36,15 +36,15 @@
 	}
 }
 
-// unreached excludes at once: nothing listens there, or nothing answers.
-func (h *health) unreached(now time.Time) {
+// unreachable excludes at once: nothing listens there, or nothing answers.
+func (h *health) unreachable(now time.Time) {
 	h.rate = max(h.rate, failureLimit)
 	h.exclude(now)
 }
 
 func (h *health) exclude(now time.Time) {
-	h.exclusion = min(max(firstExclusion, 2*h.exclusion), maxExclusion)
-	h.until = now.Add(h.exclusion)
+	h.exclusionPeriod = min(max(initialExclusion, 2*h.exclusionPeriod), maxExclusion)
+	h.excludedUntil = now.Add(h.exclusionPeriod)
 }
 
-func (h *health) excluded(now time.Time) bool { return now.Before(h.until) }
+func (h *health) excluded(now time.Time) bool { return now.Before(h.excludedUntil) }
--- a/policy/dispatch/queue.go
+++ b/policy/dispatch/queue.go
@@ -12,30 +12,30 @@
 	maxPredictedWait = time.Second
 	// maxWait is how long a request waits at most where predictions fail.
 	maxWait = 2 * time.Second
-	// lateWait is how long a request that can no longer be in time waits for a
+	// lateGrace is how long a request that can no longer be in time waits for a
 	// place that nobody else wants.
-	lateWait = 800 * time.Millisecond
+	lateGrace = 800 * time.Millisecond
 	// minRetryAfter keeps refused callers from coming back while nothing has
 	// changed.
 	minRetryAfter = 300 * time.Millisecond
 
 	// rateWindow is the span over which the rate of freed places is measured.
 	rateWindow = 2 * time.Second
-	// minRate is the rate that is assumed where fewer places became free: after a
+	// minFreedRate is the rate that is assumed where fewer places became free: after a
 	// start or an outage there were none yet.
-	minRate = 5.0
+	minFreedRate = 5.0
 
-	// serveMargin is the time before its objective by which a request must start
+	// plainServiceMargin is the time before its objective by which a request must start
 	// to be in time, at a plain service: the usual work of a call.
-	serveMargin = 60 * time.Millisecond
-	// servePasses is the same at an engine: the rest of the pass under way, the
+	plainServiceMargin = 60 * time.Millisecond
+	// engineMarginPasses is the same at an engine: the rest of the pass under way, the
 	// pass that reads the prompt, and half of one for a long prompt. It is less than
 	// firstEventPasses: who may still be in time is treated so.
-	servePasses = 2.5
+	engineMarginPasses = 2.5
 
-	// likelyEntries share the places of a group that opens; a data centre has one
+	// assumedEntries share the places of a group that opens; a data centre has one
 	// or two entries, and the users three data centres.
-	likelyEntries = 3
+	assumedEntries = 3
 )
 
 // Cancel takes a waiting ticket out, because its caller has left.
@@ -74,43 +74,43 @@
 	server.own = max(0, server.own-1)
 	switch outcome {
 	case Served:
-		d.freed = append(d.freed, now)
+		d.freedAt = append(d.freedAt, now)
 		d.ObserveEvent(id, now)
 		server.health.succeeded()
 	case Busy:
-		server.busyUntil = now.Add(busyPause)
-		if d.pace.engine != nil && 2*server.load(now) < server.candidate.Slots {
+		server.busyUntil = now.Add(overloadBackoff)
+		if d.limiter.engine != nil && 2*server.load(now) < server.candidate.Slots {
 			d.gate.refused(now)
 		}
 	case Replaced:
-		server.busyUntil = now.Add(replacedPause)
+		server.busyUntil = now.Add(replacedBackoff)
 	case Failed:
 		server.health.failed(now)
 	case Unreachable:
-		server.health.unreached(now)
+		server.health.unreachable(now)
 	case CallerLeft:
-		d.freed = append(d.freed, now)
+		d.freedAt = append(d.freedAt, now)
 	}
 	return d.gate.closed
 }
 
-// room returns this entry's part of the places, for requests that wait for a
+// closedQueueLimit returns this entry's part of the places, for requests that wait for a
 // closed group.
-func (d *Scheduler) room() int {
+func (d *Scheduler) closedQueueLimit() int {
 	places := 0
 	for _, server := range d.servers {
 		places += server.candidate.Slots
 	}
-	return places / likelyEntries
+	return places / assumedEntries
 }
 
-// order sorts the waiting tickets: those that can still be in time first, by
+// sortQueue sorts the waiting tickets: those that can still be in time first, by
 // urgency and then by arrival; after them the late ones by arrival.
-func (d *Scheduler) order(now time.Time) {
+func (d *Scheduler) sortQueue(now time.Time) {
 	sort.SliceStable(d.waiting, func(i, j int) bool {
 		a, b := d.waiting[i], d.waiting[j]
-		if inTime := d.inTime(a, now); inTime != d.inTime(b, now) {
-			return inTime
+		if meetsSLO := d.meetsSLO(a, now); meetsSLO != d.meetsSLO(b, now) {
+			return meetsSLO
 		}
 		if a.Priority != b.Priority {
 			return a.Priority < b.Priority
@@ -119,32 +119,32 @@
 	})
 }
 
-// inTime reports whether the ticket, placed now, would have its first answer in
+// meetsSLO reports whether the ticket, placed now, would have its first answer in
 // time.
-func (d *Scheduler) inTime(ticket Ticket, now time.Time) bool {
-	return now.Add(d.margin()).Before(ticket.SLODeadline)
+func (d *Scheduler) meetsSLO(ticket Ticket, now time.Time) bool {
+	return now.Add(d.firstAnswerMargin()).Before(ticket.SLODeadline)
 }
 
 // margin is how long a placed request needs until its first answer at least.
-func (d *Scheduler) margin() time.Duration {
-	if d.pace.engine == nil {
-		return serveMargin
+func (d *Scheduler) firstAnswerMargin() time.Duration {
+	if d.limiter.engine == nil {
+		return plainServiceMargin
 	}
-	return d.pace.passes(servePasses)
+	return d.limiter.passesDuration(engineMarginPasses)
 }
 
 // hopeless reports whether the ticket has waited for as long as it pays.
-func (d *Scheduler) hopeless(ticket Ticket, now time.Time) bool {
-	late := ticket.SLODeadline.Add(lateWait - d.margin())
+func (d *Scheduler) timedOut(ticket Ticket, now time.Time) bool {
+	late := ticket.SLODeadline.Add(lateGrace - d.firstAnswerMargin())
 	if d.gate.closed {
 		late = ticket.Deadline // The group may open at any moment, with all its places free.
 	}
 	return now.Sub(ticket.Arrived) > maxWait || now.After(late) || !now.Before(ticket.Deadline)
 }
 
-func (d *Scheduler) anyInTime(now time.Time) bool {
+func (d *Scheduler) anyMeetsSLO(now time.Time) bool {
 	for _, ticket := range d.waiting {
-		if d.inTime(ticket, now) {
+		if d.meetsSLO(ticket, now) {
 			return true
 		}
 	}
@@ -154,20 +154,20 @@
 // predictedWait is how long the ticket would wait if it joined the waiting ones:
 // one that can be in time goes before those that can't.
 func (d *Scheduler) predictedWait(ticket Ticket, now time.Time) time.Duration {
-	cut := 0
-	for cut < len(d.freed) && now.Sub(d.freed[cut]) > rateWindow {
-		cut++
+	expired := 0
+	for expired < len(d.freedAt) && now.Sub(d.freedAt[expired]) > rateWindow {
+		expired++
 	}
-	d.freed = d.freed[cut:]
+	d.freedAt = d.freedAt[expired:]
 	ahead := len(d.waiting)
-	if d.inTime(ticket, now) {
+	if d.meetsSLO(ticket, now) {
 		ahead = 0
 		for _, other := range d.waiting {
-			if d.inTime(other, now) {
+			if d.meetsSLO(other, now) {
 				ahead++
 			}
 		}
 	}
-	rate := max(minRate, float64(len(d.freed))/rateWindow.Seconds())
+	rate := max(minFreedRate, float64(len(d.freedAt))/rateWindow.Seconds())
 	return time.Duration(float64(ahead) / rate * float64(time.Second))
 }
--- a/policy/dispatch/server.go
+++ b/policy/dispatch/server.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	// blindLimit is the number of own requests at an engine whose load is not
+	// unreportedLimit is the number of own requests at an engine whose load is not
 	// reported: three from each of four entries fill an engine's slots.
-	blindLimit = 3
-	// reportLife is the age up to which a report of a server's load counts;
+	unreportedLimit = 3
+	// reportMaxAge is the age up to which a report of a server's load counts;
 	// reports come about every 100 ms.
-	reportLife = time.Second
+	reportMaxAge = time.Second
 
-	// slowLimit is the slowness from which a rank is given work only when all
+	// slowThreshold is the slowness from which a rank is given work only when all
 	// others are full: in lock-step its own part is in every pass of the group.
-	slowLimit = 1.25
-	// moveLimit is the slowness from which resumable streams are moved off a
+	slowThreshold = 1.25
+	// migrateThreshold is the slowness from which resumable streams are moved off a
 	// rank: its base time alone is then half of the longest pause that users
 	// allow. A rank without requests does not slow its group.
-	moveLimit = 2.0
+	migrateThreshold = 2.0
 )
 
 type server struct {
-	candidate topology.Candidate
-	own       int
-	others    int // Requests of other entries, as of reportAt.
-	reportAt  time.Time
-	closed    bool    // The server's group takes no work.
-	slowness  float64 // 1 for a usual server.
-	busyUntil time.Time
-	takenAt   time.Time // When the first of the own requests under way was sent.
-	heardAt   time.Time // When it last sent an event.
-	silent    bool      // Found silent and not heard of since.
-	health    health
-	tokens    rampTokens
+	candidate   topology.Candidate
+	own         int
+	others      int // Requests of other entries, as of reportAt.
+	reportAt    time.Time
+	closed      bool    // The server's group takes no work.
+	slowdown    float64 // 1 for a usual server.
+	busyUntil   time.Time
+	busySince   time.Time // When the first of the own requests under way was sent.
+	lastEventAt time.Time // When it last sent an event.
+	silent      bool      // Found silent and not heard of since.
+	health      health
+	sends       sendWindow
 }
 
-// take notes that a request is sent to the server.
-func (s *server) take(now time.Time) {
+// requestSent notes that a request is sent to the server.
+func (s *server) requestSent(now time.Time) {
 	if s.own == 0 {
-		s.takenAt = now
+		s.busySince = now
 	}
 	s.own++
-	s.tokens.take(now)
+	s.sends.add(now)
 }
 
 // Report is the load of a server as reported from beside it.
@@ -62,8 +62,8 @@
 		return
 	}
 	server.others = max(0, report.Queued+report.Active-server.own)
-	server.closed, server.slowness, server.reportAt = !report.Open, max(1, report.Pace), now
-	d.pace.slowest = d.slowest(now)
+	server.closed, server.slowdown, server.reportAt = !report.Open, max(1, report.Pace), now
+	d.limiter.slowest = d.slowest(now)
 }
 
 // slowest returns the slowness of the slowest server that has requests, 1 for a
@@ -72,7 +72,7 @@
 	slowest := 1.0
 	for _, server := range d.servers {
 		if server.fresh(now) && server.own+server.others > 0 {
-			slowest = max(slowest, server.slowness)
+			slowest = max(slowest, server.slowdown)
 		}
 	}
 	return slowest
@@ -82,16 +82,16 @@
 // one holds its whole group up, and most others would not.
 func (d *Scheduler) ShouldMigrateStreams(id string, now time.Time) bool {
 	server := d.byID[id]
-	if server == nil || d.pace.engine == nil || !server.fresh(now) || server.slowness < moveLimit {
+	if server == nil || d.limiter.engine == nil || !server.fresh(now) || server.slowdown < migrateThreshold {
 		return false
 	}
-	usual := 0
+	normal := 0
 	for _, other := range d.servers {
-		if other.fresh(now) && !other.closed && other.slowness < slowLimit {
-			usual++
+		if other.fresh(now) && !other.closed && other.slowdown < slowThreshold {
+			normal++
 		}
 	}
-	return 2*usual > len(d.servers)
+	return 2*normal > len(d.servers)
 }
 
 // reportedOpen returns whether most servers report that their group takes work,
@@ -121,11 +121,11 @@
 	if now.Before(s.busyUntil) || s.closed && s.fresh(now) || s.health.excluded(now) {
 		return false
 	}
-	if s.silent && s.own > 0 || !s.tokens.has(d.ramp, now) {
+	if s.silent && s.own > 0 || !s.sends.allows(d.warmUp, now) {
 		return false
 	}
-	if d.pace.engine != nil && !s.fresh(now) {
-		return s.own < blindLimit
+	if d.limiter.engine != nil && !s.fresh(now) {
+		return s.own < unreportedLimit
 	}
 	return s.load(now) < max(1, s.candidate.Slots)
 }
@@ -135,7 +135,7 @@
 
 // Tiers of servers, the best first.
 const (
-	usualServer = iota
+	normalServer = iota
 	slowServer
 	unlistedServer
 )
@@ -145,15 +145,15 @@
 	switch {
 	case s.candidate.Unlisted:
 		return unlistedServer
-	case s.fresh(now) && s.slowness >= slowLimit:
+	case s.fresh(now) && s.slowdown >= slowThreshold:
 		return slowServer
 	default:
-		return usualServer
+		return normalServer
 	}
 }
 
 func (s *server) fresh(now time.Time) bool {
-	return !s.reportAt.IsZero() && now.Sub(s.reportAt) < reportLife
+	return !s.reportAt.IsZero() && now.Sub(s.reportAt) < reportMaxAge
 }
 
 func (s *server) freshOthers(now time.Time) int {
@@ -164,7 +164,7 @@
 }
 
 // writers returns the requests of all entries at the service, as far as known.
-func (d *Scheduler) writers(now time.Time) int {
+func (d *Scheduler) inFlight(now time.Time) int {
 	total := 0
 	for _, server := range d.servers {
 		total += server.load(now)
--- a/policy/dispatch/silence.go
+++ b/policy/dispatch/silence.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// silentAfter is how long a server with requests sends nothing before it
+	// silenceTimeout is how long a server with requests sends nothing before it
 	// counts as silent: four of the longest pauses that users allow, and two
 	// retransmissions of a lost packet. Callers leave after two seconds.
-	silentAfter = 500 * time.Millisecond
-	// firstSilentAfter holds for a server none of whose requests has had an event yet:
+	silenceTimeout = 500 * time.Millisecond
+	// firstEventSilenceTimeout holds for a server none of whose requests has had an event yet:
 	// in a group that has just opened, prompts wait for those of other entries. It is
 	// half of the time after which callers leave.
-	firstSilentAfter = time.Second
-	// groupHeardWithin is how recently another server of the group must have been
+	firstEventSilenceTimeout = time.Second
+	// groupActiveWindow is how recently another server of the group must have been
 	// heard of: two of the longest passes. If none was, the group stands still and
 	// its streams are as well off where they are.
-	groupHeardWithin = 250 * time.Millisecond
+	groupActiveWindow = 250 * time.Millisecond
 )
 
 // ObserveEvent notes that a server has sent an event of a stream.
 func (d *Scheduler) ObserveEvent(id string, now time.Time) {
 	if server := d.byID[id]; server != nil {
-		server.heardAt, server.silent = now, false
+		server.lastEventAt, server.silent = now, false
 	}
 }
 
 // silenceLimit is how long the server may send nothing.
 func (s *server) silenceLimit() time.Duration {
-	if s.heardAt.After(s.takenAt) {
-		return silentAfter
+	if s.lastEventAt.After(s.busySince) {
+		return silenceTimeout
 	}
-	return firstSilentAfter
+	return firstEventSilenceTimeout
 }
 
 // FindSilent returns the servers that have requests of this entry and send
@@ -45,20 +45,20 @@
 // moment at which the group went on. A silent server that is tried again gets one
 // request until it is heard of.
 func (d *Scheduler) FindSilent(now time.Time) []string {
-	if d.pace.engine == nil {
+	if d.limiter.engine == nil {
 		return nil // Calls of plain services end when they end.
 	}
-	d.followGroup(now)
-	if d.groupSince.IsZero() {
+	d.trackGroupActivity(now)
+	if d.groupActiveSince.IsZero() {
 		return nil
 	}
 	var silent []string
 	for _, server := range d.servers {
-		if server.own == 0 || server.health.excluded(now) || now.Sub(server.reportAt) < silentAfter {
+		if server.own == 0 || server.health.excluded(now) || now.Sub(server.reportAt) < silenceTimeout {
 			continue
 		}
-		if now.Sub(latest(server.heardAt, server.takenAt, d.groupSince)) >= server.silenceLimit() {
-			server.health.unreached(now)
+		if now.Sub(latest(server.lastEventAt, server.busySince, d.groupActiveSince)) >= server.silenceLimit() {
+			server.health.unreachable(now)
 			server.silent = true
 			silent = append(silent, server.candidate.ID)
 		}
@@ -66,15 +66,15 @@
 	return silent
 }
 
-// followGroup keeps the moment since which servers of the group have been heard
+// trackGroupActivity keeps the moment since which servers of the group have been heard
 // of without a long break; the zero time while none is.
-func (d *Scheduler) followGroup(now time.Time) {
-	heard := slices.ContainsFunc(d.servers, func(s *server) bool { return now.Sub(s.heardAt) < groupHeardWithin })
+func (d *Scheduler) trackGroupActivity(now time.Time) {
+	active := slices.ContainsFunc(d.servers, func(s *server) bool { return now.Sub(s.lastEventAt) < groupActiveWindow })
 	switch {
-	case !heard:
-		d.groupSince = time.Time{}
-	case d.groupSince.IsZero():
-		d.groupSince = now
+	case !active:
+		d.groupActiveSince = time.Time{}
+	case d.groupActiveSince.IsZero():
+		d.groupActiveSince = now
 	}
 }
 
--- a/policy/dispatch/silence_test.go
+++ b/policy/dispatch/silence_test.go
@@ -18,7 +18,7 @@
 	d := NewScheduler(WarmUpLimit{Entries: 1})
 	d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 	for _, server := range d.servers {
-		server.take(start)
+		server.requestSent(start)
 	}
 	return d
 }
@@ -42,7 +42,7 @@
 		So(silent, ShouldBeEmpty)
 
 		Convey("a server that falls silent while the others write is found, once", func() {
-			silent, now = write(d, now, silentAfter+3*pass, "s0", "s2")
+			silent, now = write(d, now, silenceTimeout+3*pass, "s0", "s2")
 			So(silent, ShouldResemble, []string{"s1"})
 			Convey("and gets no new requests for a while", func() {
 				for i := range 4 {
@@ -53,7 +53,7 @@
 			})
 			Convey("and after its pause is tried again", func() {
 				d.Done("s1", CallerLeft, now)
-				_, now = write(d, now, firstExclusion, "s0", "s2")
+				_, now = write(d, now, initialExclusion, "s0", "s2")
 				So(d.byID["s1"].health.excluded(now), ShouldBeFalse)
 				Convey("with one request until it is heard of", func() {
 					tried := func() (tried int) {
@@ -94,16 +94,16 @@
 			silent, now = write(d, now, 2*time.Second, "s0", "s2")
 			So(silent, ShouldBeEmpty)
 			Convey("and its next request has as long as any to be heard of", func() {
-				d.byID["s1"].take(now)
-				silent, _ = write(d, now, firstSilentAfter-pass, "s0", "s2")
+				d.byID["s1"].requestSent(now)
+				silent, _ = write(d, now, firstEventSilenceTimeout-pass, "s0", "s2")
 				So(silent, ShouldBeEmpty)
 			})
 		})
 	})
 	Convey("Servers of a plain service are never found silent: calls take as long as they take", t, func() {
 		d := plainDesk(2, 4)
-		d.byID["s0"].take(start)
-		d.byID["s1"].take(start)
+		d.byID["s0"].requestSent(start)
+		d.byID["s1"].requestSent(start)
 		silent, _ := write(d, start, 3*time.Second, "s0")
 		So(silent, ShouldBeEmpty)
 	})
--- a/policy/dispatch/ramp.go
+++ b/policy/dispatch/warm_up_limit.go
@@ -16,30 +16,30 @@
 // included, on large sites: 63 for 18. Small ones are covered by the count assumed.
 const serversPerEntry = 3
 
-// grow counts the entries higher where there are many servers. The count never
+// raiseEntries counts the entries higher where there are many servers. The count never
 // falls: servers leave and come back, entries go on.
-func (r *WarmUpLimit) grow(servers int) { r.Entries = max(r.Entries, servers/serversPerEntry) }
+func (r *WarmUpLimit) raiseEntries(servers int) { r.Entries = max(r.Entries, servers/serversPerEntry) }
 
-// share returns the requests in a second that this entry may send to a server,
+// perEntryLimit returns the requests in a second that this entry may send to a server,
 // cold or not: it may have turned cold a moment ago.
-func (r WarmUpLimit) share() float64 {
+func (r WarmUpLimit) perEntryLimit() float64 {
 	return (r.PerSecond*r.OverloadFactor + r.Allowance) / float64(max(1, r.Entries))
 }
 
-// rampTokens are the requests sent to one server within the last second.
-type rampTokens struct{ sent []time.Time }
+// sendWindow are the requests sent to one server within the last second.
+type sendWindow struct{ sent []time.Time }
 
-func (t *rampTokens) has(ramp WarmUpLimit, now time.Time) bool {
-	if ramp.PerSecond <= 0 {
-		t.sent = t.sent[:0]
+func (w *sendWindow) allows(limit WarmUpLimit, now time.Time) bool {
+	if limit.PerSecond <= 0 {
+		w.sent = w.sent[:0]
 		return true
 	}
-	cut := 0
-	for cut < len(t.sent) && now.Sub(t.sent[cut]) >= time.Second {
-		cut++
+	expired := 0
+	for expired < len(w.sent) && now.Sub(w.sent[expired]) >= time.Second {
+		expired++
 	}
-	t.sent = t.sent[cut:]
-	return float64(len(t.sent)+1) <= max(1, ramp.share())
+	w.sent = w.sent[expired:]
+	return float64(len(w.sent)+1) <= max(1, limit.perEntryLimit())
 }
 
-func (t *rampTokens) take(now time.Time) { t.sent = append(t.sent, now) }
+func (w *sendWindow) add(now time.Time) { w.sent = append(w.sent, now) }
