--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -14,7 +14,7 @@
 // choose returns the least loaded of a few servers with room, nil for none.
 // Servers that may have left and slow ones are taken only where no others have
 // room.
-func (d *Scheduler) choose(ticket Ticket, random float64, now time.Time) *server {
+func (d *Dispatcher) choose(ticket Ticket, random float64, now time.Time) *server {
 	usable := d.usable(ticket, now)
 	if d.limiter.engine == nil {
 		return leastLoaded(usable, len(usable), random, now)
@@ -23,7 +23,7 @@
 }
 
 // usable returns the servers with room of the best tier that has any.
-func (d *Scheduler) usable(ticket Ticket, now time.Time) []*server {
+func (d *Dispatcher) usable(ticket Ticket, now time.Time) []*server {
 	var usable []*server
 	best := 0
 	for _, candidate := range d.servers {
--- a/policy/dispatch/choice_test.go
+++ b/policy/dispatch/choice_test.go
@@ -14,7 +14,7 @@
 // busyGroup is a group of engines that several entries send to, each with reports
 // that are up to reportEvery old.
 type busyGroup struct {
-	entries  []*Scheduler
+	entries  []*Dispatcher
 	active   []int         // Requests by server.
 	ends     [][]time.Time // By server.
 	arrivals [][]time.Time // By server.
@@ -33,7 +33,7 @@
 		random: rand.New(rand.NewPCG(1, 2)),
 	}
 	for range entries {
-		d := NewScheduler(WarmUpLimit{Entries: entries})
+		d := NewDispatcher(WarmUpLimit{Entries: entries})
 		d.Configure(candidates(servers, 10), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		g.entries = append(g.entries, d)
 	}
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -62,8 +62,8 @@
 	ReportAge           time.Duration // Of the oldest report that counted.
 }
 
-// Scheduler is the state of one service at one entry.
-type Scheduler struct {
+// Dispatcher is the state of one service at one entry.
+type Dispatcher struct {
 	limiter ConcurrencyLimiter
 	warmUp  WarmUpLimit
 	servers []*server
@@ -76,14 +76,14 @@
 	groupActiveSince time.Time // Since when the group's servers are heard of; zero while none is.
 }
 
-// NewScheduler returns the desk of a service.
-func NewScheduler(warmUp WarmUpLimit) *Scheduler {
-	return &Scheduler{warmUp: warmUp, byID: map[string]*server{}}
+// NewDispatcher returns the desk of a service.
+func NewDispatcher(warmUp WarmUpLimit) *Dispatcher {
+	return &Dispatcher{warmUp: warmUp, byID: map[string]*server{}}
 }
 
 // Configure sets the servers that may get new work and the engine's model, nil
 // for plain services.
-func (d *Scheduler) Configure(candidates []topology.Candidate, service topology.Service, pauseGoal time.Duration) {
+func (d *Dispatcher) Configure(candidates []topology.Candidate, service topology.Service, pauseGoal time.Duration) {
 	d.limiter.configure(service.Engine, pauseGoal)
 	d.warmUp.PerSecond = service.WarmUpPerSecond
 	d.warmUp.raiseEntries(len(candidates))
@@ -102,13 +102,13 @@
 }
 
 // ObserveGap takes in the time between two events of a stream at a server.
-func (d *Scheduler) ObserveGap(id string, gap time.Duration, now time.Time) {
+func (d *Dispatcher) ObserveGap(id string, gap time.Duration, now time.Time) {
 	d.ObserveEvent(id, now)
 	d.limiter.observe(gap, d.inFlight(now), now)
 }
 
 // Submit decides about a new ticket.
-func (d *Scheduler) Submit(ticket Ticket, random float64, now time.Time) Decision {
+func (d *Dispatcher) Submit(ticket Ticket, random float64, now time.Time) Decision {
 	if len(d.waiting) == 0 || d.meetsSLO(ticket, now) && !d.anyMeetsSLO(now) {
 		if decision, ok := d.place(ticket, random, now); ok {
 			return decision
@@ -142,7 +142,7 @@
 
 // DispatchQueued decides about waiting tickets; it is called whenever a place may have
 // become free, and every few tens of milliseconds.
-func (d *Scheduler) DispatchQueued(random func() float64, now time.Time) []Decision {
+func (d *Dispatcher) DispatchQueued(random func() float64, now time.Time) []Decision {
 	var decisions []Decision
 	d.sortQueue(now)
 	kept := d.waiting[:0]
@@ -173,10 +173,10 @@
 }
 
 // Accepted notes that a server has begun to answer a request.
-func (d *Scheduler) Accepted() { d.gate.accepted() }
+func (d *Dispatcher) Accepted() { d.gate.accepted() }
 
 // place finds a server for the ticket and takes a place there.
-func (d *Scheduler) place(ticket Ticket, random float64, now time.Time) (Decision, bool) {
+func (d *Dispatcher) place(ticket Ticket, random float64, now time.Time) (Decision, bool) {
 	if !d.gate.allows(d.reportedOpen(now), now) || d.gate.closed && ticket.FoundClosed {
 		return Decision{}, false
 	}
@@ -200,7 +200,7 @@
 	return decision, true
 }
 
-func (d *Scheduler) describe(ticket Ticket, now time.Time) Decision {
+func (d *Dispatcher) describe(ticket Ticket, now time.Time) Decision {
 	decision := Decision{Ticket: ticket.ID, Limit: d.limit, TotalInFlight: d.inFlight(now)}
 	for _, server := range d.servers {
 		decision.OwnInFlight += server.own
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -22,8 +22,8 @@
 }
 
 // plainDesk is the desk of a plain service.
-func plainDesk(servers, slots int) *Scheduler {
-	d := NewScheduler(WarmUpLimit{Entries: 1})
+func plainDesk(servers, slots int) *Dispatcher {
+	d := NewDispatcher(WarmUpLimit{Entries: 1})
 	d.Configure(candidates(servers, slots), topology.Service{}, 0)
 	return d
 }
@@ -105,7 +105,7 @@
 func TestJumpOfDemandInALargeGroup(t *testing.T) {
 	Convey("A large group keeps more of the longest pause free for a jump of demand", t, func() {
 		passAtLimit := func(servers int) time.Duration {
-			d := NewScheduler(WarmUpLimit{Entries: 1})
+			d := NewDispatcher(WarmUpLimit{Entries: 1})
 			d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 			base := d.limiter.base()
 			requests := servers * 5
@@ -126,7 +126,7 @@
 
 func TestPredictedFirstEvent(t *testing.T) {
 	Convey("The first event is predicted from the passes that are seen", t, func() {
-		d := NewScheduler(WarmUpLimit{Entries: 1})
+		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		unseen := d.Submit(ticket(1, start), 0, start)
 		So(unseen.Verdict, ShouldEqual, Go)
@@ -142,7 +142,7 @@
 
 func TestEvenLoad(t *testing.T) {
 	Convey("Requests spread evenly, other entries' included", t, func() {
-		d := NewScheduler(WarmUpLimit{Entries: 1})
+		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		d.Report("s0", Report{Queued: 0, Active: 4, Open: true}, start)
 		d.Report("s1", Report{Queued: 0, Active: 0, Open: true}, start)
@@ -179,7 +179,7 @@
 
 func TestSkewedExperts(t *testing.T) {
 	Convey("Long passes lower the number of requests that may write at once", t, func() {
-		d := NewScheduler(WarmUpLimit{Entries: 1})
+		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		fill := func() int {
@@ -206,7 +206,7 @@
 		So(24+fill(), ShouldBeBetween, 30, 40)
 	})
 	Convey("A group that takes no work gets none", t, func() {
-		d := NewScheduler(WarmUpLimit{Entries: 1})
+		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(1, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		d.Report("s0", Report{Queued: 0, Active: 0, Open: false}, start)
 		So(d.Submit(ticket(1, start), 0, start).Verdict, ShouldEqual, Wait)
@@ -217,7 +217,7 @@
 
 func TestBacklog(t *testing.T) {
 	Convey("A backlog of late requests leaves places to those that come now", t, func() {
-		d := NewScheduler(WarmUpLimit{Entries: 1})
+		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		for i := range 12 {
@@ -238,7 +238,7 @@
 
 func TestClosedGroup(t *testing.T) {
 	Convey("Given a group that refuses a request although it has room", t, func() {
-		d := NewScheduler(WarmUpLimit{Entries: 1})
+		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(4, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		first := d.Submit(ticket(0, now), 0, now)
@@ -300,7 +300,7 @@
 
 func TestSlowRank(t *testing.T) {
 	Convey("Given a group with one rank three times as slow as usual", t, func() {
-		d := NewScheduler(WarmUpLimit{Entries: 1})
+		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		for i := range 12 {
@@ -336,7 +336,7 @@
 }
 
 // setInFlight makes the desk believe that the group has so many requests.
-func (d *Scheduler) setInFlight(total int, now time.Time) {
+func (d *Dispatcher) setInFlight(total int, now time.Time) {
 	for i, s := range d.servers {
 		s.others, s.reportAt = total/len(d.servers), now
 		if i < total%len(d.servers) {
@@ -352,7 +352,7 @@
 		service := topology.Service{WarmUpPerSecond: 36}
 		total := 0
 		for range entries {
-			d := NewScheduler(warmUp)
+			d := NewDispatcher(warmUp)
 			cold := candidates(1, 1000)
 			d.Configure(cold, service, 0)
 			for i := range 1000 {
@@ -370,7 +370,7 @@
 	Convey("Eighteen entries stay under what one of 63 servers bears, though none says that it is cold", t, func() {
 		total := 0
 		for range 18 {
-			d := NewScheduler(WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: 8})
+			d := NewDispatcher(WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: 8})
 			d.Configure(candidates(63, 1000), topology.Service{WarmUpPerSecond: 26}, 0)
 			d.Configure(candidates(1, 1000), topology.Service{WarmUpPerSecond: 26}, 0) // All others have left.
 			for i := range 1000 {
@@ -433,7 +433,7 @@
 
 func TestLastResort(t *testing.T) {
 	Convey("A server whose row has vanished gets work only when no other has room", t, func() {
-		d := NewScheduler(WarmUpLimit{Entries: 1})
+		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		list := candidates(2, 1)
 		list[0].Unlisted = true
 		d.Configure(list, topology.Service{}, 0)
--- a/policy/dispatch/queue.go
+++ b/policy/dispatch/queue.go
@@ -39,7 +39,7 @@
 )
 
 // Cancel takes a waiting ticket out, because its caller has left.
-func (d *Scheduler) Cancel(id uint64) {
+func (d *Dispatcher) Cancel(id uint64) {
 	for i, ticket := range d.waiting {
 		if ticket.ID == id {
 			d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
@@ -49,7 +49,7 @@
 }
 
 // QueueLen returns the number of waiting tickets.
-func (d *Scheduler) QueueLen() int { return len(d.waiting) }
+func (d *Dispatcher) QueueLen() int { return len(d.waiting) }
 
 // Outcome is how a request at a server ended.
 type Outcome int
@@ -66,7 +66,7 @@
 
 // Done gives the request's place at the server back. It reports whether the
 // server's group takes no work.
-func (d *Scheduler) Done(id string, outcome Outcome, now time.Time) (closed bool) {
+func (d *Dispatcher) Done(id string, outcome Outcome, now time.Time) (closed bool) {
 	server := d.byID[id]
 	if server == nil {
 		return d.gate.closed // The server has left the list meanwhile.
@@ -96,7 +96,7 @@
 
 // closedQueueLimit returns this entry's part of the places, for requests that wait for a
 // closed group.
-func (d *Scheduler) closedQueueLimit() int {
+func (d *Dispatcher) closedQueueLimit() int {
 	places := 0
 	for _, server := range d.servers {
 		places += server.candidate.Slots
@@ -106,7 +106,7 @@
 
 // sortQueue sorts the waiting tickets: those that can still be in time first, by
 // urgency and then by arrival; after them the late ones by arrival.
-func (d *Scheduler) sortQueue(now time.Time) {
+func (d *Dispatcher) sortQueue(now time.Time) {
 	sort.SliceStable(d.waiting, func(i, j int) bool {
 		a, b := d.waiting[i], d.waiting[j]
 		if meetsSLO := d.meetsSLO(a, now); meetsSLO != d.meetsSLO(b, now) {
@@ -121,12 +121,12 @@
 
 // meetsSLO reports whether the ticket, placed now, would have its first answer in
 // time.
-func (d *Scheduler) meetsSLO(ticket Ticket, now time.Time) bool {
+func (d *Dispatcher) meetsSLO(ticket Ticket, now time.Time) bool {
 	return now.Add(d.firstAnswerMargin()).Before(ticket.SLODeadline)
 }
 
 // margin is how long a placed request needs until its first answer at least.
-func (d *Scheduler) firstAnswerMargin() time.Duration {
+func (d *Dispatcher) firstAnswerMargin() time.Duration {
 	if d.limiter.engine == nil {
 		return plainServiceMargin
 	}
@@ -134,7 +134,7 @@
 }
 
 // hopeless reports whether the ticket has waited for as long as it pays.
-func (d *Scheduler) timedOut(ticket Ticket, now time.Time) bool {
+func (d *Dispatcher) timedOut(ticket Ticket, now time.Time) bool {
 	late := ticket.SLODeadline.Add(lateGrace - d.firstAnswerMargin())
 	if d.gate.closed {
 		late = ticket.Deadline // The group may open at any moment, with all its places free.
@@ -142,7 +142,7 @@
 	return now.Sub(ticket.Arrived) > maxWait || now.After(late) || !now.Before(ticket.Deadline)
 }
 
-func (d *Scheduler) anyMeetsSLO(now time.Time) bool {
+func (d *Dispatcher) anyMeetsSLO(now time.Time) bool {
 	for _, ticket := range d.waiting {
 		if d.meetsSLO(ticket, now) {
 			return true
@@ -153,7 +153,7 @@
 
 // predictedWait is how long the ticket would wait if it joined the waiting ones:
 // one that can be in time goes before those that can't.
-func (d *Scheduler) predictedWait(ticket Ticket, now time.Time) time.Duration {
+func (d *Dispatcher) predictedWait(ticket Ticket, now time.Time) time.Duration {
 	expired := 0
 	for expired < len(d.freedAt) && now.Sub(d.freedAt[expired]) > rateWindow {
 		expired++
--- a/policy/dispatch/server.go
+++ b/policy/dispatch/server.go
@@ -56,7 +56,7 @@
 }
 
 // Report takes in the load of a server.
-func (d *Scheduler) Report(id string, report Report, now time.Time) {
+func (d *Dispatcher) Report(id string, report Report, now time.Time) {
 	server := d.byID[id]
 	if server == nil {
 		return
@@ -68,7 +68,7 @@
 
 // slowest returns the slowness of the slowest server that has requests, 1 for a
 // usual one.
-func (d *Scheduler) slowest(now time.Time) float64 {
+func (d *Dispatcher) slowest(now time.Time) float64 {
 	slowest := 1.0
 	for _, server := range d.servers {
 		if server.fresh(now) && server.own+server.others > 0 {
@@ -80,7 +80,7 @@
 
 // ShouldMigrateStreams reports whether resumable streams should go on at another server: this
 // one holds its whole group up, and most others would not.
-func (d *Scheduler) ShouldMigrateStreams(id string, now time.Time) bool {
+func (d *Dispatcher) ShouldMigrateStreams(id string, now time.Time) bool {
 	server := d.byID[id]
 	if server == nil || d.limiter.engine == nil || !server.fresh(now) || server.slowdown < migrateThreshold {
 		return false
@@ -96,7 +96,7 @@
 
 // reportedOpen returns whether most servers report that their group takes work,
 // and whether there are reports at all.
-func (d *Scheduler) reportedOpen(now time.Time) reportedState {
+func (d *Dispatcher) reportedOpen(now time.Time) reportedState {
 	open, closed := 0, 0
 	for _, server := range d.servers {
 		switch {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (d *Scheduler) hasRoom(s *server, now time.Time) bool {
+func (d *Dispatcher) hasRoom(s *server, now time.Time) bool {
 	if now.Before(s.busyUntil) || s.closed && s.fresh(now) || s.health.excluded(now) {
 		return false
 	}
@@ -164,7 +164,7 @@
 }
 
 // writers returns the requests of all entries at the service, as far as known.
-func (d *Scheduler) inFlight(now time.Time) int {
+func (d *Dispatcher) inFlight(now time.Time) int {
 	total := 0
 	for _, server := range d.servers {
 		total += server.load(now)
--- a/policy/dispatch/silence.go
+++ b/policy/dispatch/silence.go
@@ -21,7 +21,7 @@
 )
 
 // ObserveEvent notes that a server has sent an event of a stream.
-func (d *Scheduler) ObserveEvent(id string, now time.Time) {
+func (d *Dispatcher) ObserveEvent(id string, now time.Time) {
 	if server := d.byID[id]; server != nil {
 		server.lastEventAt, server.silent = now, false
 	}
@@ -44,7 +44,7 @@
 // A silence that began while the whole group stood still is counted from the
 // moment at which the group went on. A silent server that is tried again gets one
 // request until it is heard of.
-func (d *Scheduler) FindSilent(now time.Time) []string {
+func (d *Dispatcher) FindSilent(now time.Time) []string {
 	if d.limiter.engine == nil {
 		return nil // Calls of plain services end when they end.
 	}
@@ -68,7 +68,7 @@
 
 // trackGroupActivity keeps the moment since which servers of the group have been heard
 // of without a long break; the zero time while none is.
-func (d *Scheduler) trackGroupActivity(now time.Time) {
+func (d *Dispatcher) trackGroupActivity(now time.Time) {
 	active := slices.ContainsFunc(d.servers, func(s *server) bool { return now.Sub(s.lastEventAt) < groupActiveWindow })
 	switch {
 	case !active:
--- a/policy/dispatch/silence_test.go
+++ b/policy/dispatch/silence_test.go
@@ -14,8 +14,8 @@
 
 // streamingDesk is the desk of an engine's service with one stream at each
 // server.
-func streamingDesk(servers int) *Scheduler {
-	d := NewScheduler(WarmUpLimit{Entries: 1})
+func streamingDesk(servers int) *Dispatcher {
+	d := NewDispatcher(WarmUpLimit{Entries: 1})
 	d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 	for _, server := range d.servers {
 		server.requestSent(start)
@@ -25,7 +25,7 @@
 
 // write lets the servers send an event in each pass until the time is over, and
 // returns the servers that were found silent meanwhile.
-func write(d *Scheduler, from time.Time, lasting time.Duration, servers ...string) (silent []string, now time.Time) {
+func write(d *Dispatcher, from time.Time, lasting time.Duration, servers ...string) (silent []string, now time.Time) {
 	for now = from; now.Sub(from) < lasting; now = now.Add(pass) {
 		for _, id := range servers {
 			d.ObserveEvent(id, now)
--- a/server/gateway/desks.go
+++ b/server/gateway/desks.go
@@ -29,7 +29,7 @@
 }
 
 type desk struct {
-	*dispatch.Scheduler
+	*dispatch.Dispatcher
 	waiting map[uint64]chan dispatch.Decision
 	movable map[string]map[*call]context.CancelCauseFunc // Streams that may be moved, by server.
 }
@@ -49,7 +49,7 @@
 	pauses := pauseGoals(snapshot.Config)
 	for name := range snapshot.Config.Services {
 		if d.byName[name] == nil {
-			d.byName[name] = &desk{Scheduler: dispatch.NewScheduler(d.ramp), waiting: map[uint64]chan dispatch.Decision{}, movable: map[string]map[*call]context.CancelCauseFunc{}}
+			d.byName[name] = &desk{Dispatcher: dispatch.NewDispatcher(d.ramp), waiting: map[uint64]chan dispatch.Decision{}, movable: map[string]map[*call]context.CancelCauseFunc{}}
 		}
 	}
 	for name, desk := range d.byName {
