--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -4,25 +4,26 @@
 	"time"
 )
 
-// sampledServers is the number of servers that are compared for one request.
-// Reports of load are about a pass old: entries that all took the least loaded
-// server of the whole group would send it everything that comes within a pass, and
-// its prompts would wait for each other. Of two random ones the less loaded is
-// rarely the same for two entries.
+// sampledServers is the number of random servers compared for one request.
+// Load reports are about one pass old: if every entry chose the least loaded
+// server of the whole group, that server would get all requests that arrive
+// within a pass, and their prompts would queue behind each other. Two entries
+// rarely choose the same server when each takes the less loaded of two random
+// ones.
 const sampledServers = 2
 
-// choose returns the least loaded of a few servers with room, nil for none.
-// Servers that may have left and slow ones are taken only where no others have
-// room.
+// choose returns the least loaded of the sampled servers with room, nil for
+// none. At a plain service all servers with room are compared. Slow servers, and
+// servers that may have left the service, are used only when no other has room.
 func (d *Dispatcher) choose(ticket Ticket, random float64, now time.Time) *server {
 	usable := d.usable(ticket, now)
-	if d.limiter.engine == nil {
+	if d.pace.engine == nil {
 		return leastLoaded(usable, len(usable), random, now)
 	}
 	return leastLoaded(usable, sampledServers, random, now)
 }
 
-// usable returns the servers with room of the best tier that has any.
+// usable returns the servers with room in the best tier that has any.
 func (d *Dispatcher) usable(ticket Ticket, now time.Time) []*server {
 	var usable []*server
 	best := 0
@@ -41,12 +42,12 @@
 	return usable
 }
 
-// leastLoaded draws as many of the servers as it is told and returns the one
-// with the fewest requests, nil for none. It changes the order of the servers.
+// leastLoaded draws sampleSize random servers and returns the one with the
+// fewest requests, nil for none. It reorders servers.
 func leastLoaded(servers []*server, sampleSize int, random float64, now time.Time) *server {
 	var best *server
 	for i := range min(sampleSize, len(servers)) {
-		// A drawn server changes places with the first that is not drawn yet.
+		// Partial Fisher-Yates shuffle: the drawn server is swapped to position i.
 		random *= float64(len(servers) - i)
 		pick := i + int(random)
 		random = fraction(random)
--- a/policy/dispatch/choice_test.go
+++ b/policy/dispatch/choice_test.go
@@ -11,8 +11,8 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// busyGroup is a group of engines that several entries send to, each with reports
-// that are up to reportEvery old.
+// busyGroup simulates a group of engines to which several entries send requests.
+// The entries' load reports are up to reportEvery old.
 type busyGroup struct {
 	entries  []*Dispatcher
 	active   []int         // Requests by server.
@@ -40,7 +40,7 @@
 	return g
 }
 
-// report tells all entries the load of all servers.
+// report passes the load of all servers to all entries.
 func (g *busyGroup) report(now time.Time) {
 	for server := range g.active {
 		for _, d := range g.entries {
@@ -49,7 +49,8 @@
 	}
 }
 
-// end ends the streams whose time has come. Every entry has about as many.
+// end ends the streams that are due. Each is released at the first entry that has
+// a request at the server.
 func (g *busyGroup) end(now time.Time) {
 	for server := range g.ends {
 		for len(g.ends[server]) > 0 && !g.ends[server][0].After(now) {
@@ -66,8 +67,8 @@
 	}
 }
 
-// crowded returns the share of requests that came to a server within a pass of
-// three or more others.
+// crowded returns the share of requests that reached a server within one pass of
+// at least three others.
 func (g *busyGroup) crowded() float64 {
 	crowded, all := 0, 0
 	for _, arrivals := range g.arrivals {
@@ -87,13 +88,13 @@
 	return float64(crowded) / float64(all)
 }
 
-func TestEntriesWithOldReports(t *testing.T) {
+func TestStaleReportsDoNotCrowdOneServer(t *testing.T) {
 	sizes := map[string]struct{ entries, servers, perSecond int }{
 		"today":        {4, 12, 57},
 		"after growth": {12, 63, 240},
 	}
 	for name, size := range sizes {
-		Convey("Entries whose reports are a pass old don't crowd one server: "+name, t, func() {
+		Convey("Entries with load reports one pass old don't overload one server: "+name, t, func() {
 			g := newBusyGroup(size.entries, size.servers)
 			now := start
 			const seconds = 20
@@ -114,7 +115,7 @@
 				g.ends[server] = append(g.ends[server], now.Add(streamTime))
 				g.arrivals[server] = append(g.arrivals[server], now)
 			}
-			// A pass reads about three usual prompts at a server.
+			// A server reads about three usual prompts in one pass.
 			So(g.crowded(), ShouldBeLessThan, 0.02)
 		})
 	}
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -1,7 +1,7 @@
-// Package dispatch decides at one entry which backend server of a service gets
-// a request, which requests wait and which are refused at once.
+// Package dispatch decides, at one entry, which backend server of a service gets
+// a request, which requests are queued and which are refused at once.
 //
-// A Desk holds the state of one service. It reads no clock and takes no lock:
+// A Dispatcher holds the state of one service. It reads no clock and takes no lock:
 // the caller passes the time and serializes the calls.
 package dispatch
 
@@ -12,79 +12,81 @@
 )
 
 const (
-	// overloadBackoff is how long a server that refused a request for load gets none.
+	// overloadBackoff is how long a server gets no requests after it refused one
+	// because of load.
 	overloadBackoff = 60 * time.Millisecond
-	// replacedBackoff outlasts the time in which the list learns of a server that
-	// has gone: three heartbeats of about a second.
+	// replacedBackoff is longer than the server list takes to drop a server that
+	// has gone, which is three heartbeats of about one second each.
 	replacedBackoff = 5 * time.Second
-	// lateCapacityShare of the places are open to requests that can no longer be in time.
-	// A backlog would otherwise take all places of a group that has just opened,
-	// and everyone who comes in the next seconds would be late too.
+	// lateCapacityShare is the share of the concurrency limit open to requests
+	// that can no longer meet their latency objective. Otherwise a backlog would
+	// take the whole capacity of a group that has just opened, and all requests of
+	// the next seconds would be late too.
 	lateCapacityShare = 0.7
-	// engineFillShare of an engine group's places are used, so that entries which place
-	// at the same moment rarely find a server full.
+	// engineFillShare is the share of an engine group's slots that is used, so that
+	// entries which dispatch at the same moment rarely find a server full.
 	engineFillShare = 0.95
 )
 
-// Ticket is a request that wants a place at a backend server.
+// Ticket is a request that needs a slot at a backend server.
 type Ticket struct {
 	ID          uint64
 	Arrived     time.Time
-	SLODeadline time.Time // When the first answer must be there for full credit.
-	Deadline    time.Time // When it is of no use any more.
+	SLODeadline time.Time // When the first answer is due by the latency objective.
+	Deadline    time.Time // When an answer is of no use any more.
 	Priority    int       // 0 is the most urgent.
-	Avoid       string    // A server that has just failed the request; empty for none.
-	FoundClosed bool      // The request has found the group closed; another one tries next.
+	Avoid       string    // ID of the server that has just failed the request; empty for none.
+	FoundClosed bool      // The group was closed when the request was sent; another request probes next.
 }
 
-// Verdict is what the desk decides about a ticket.
+// Verdict is the decision about a ticket.
 type Verdict int
 
 // The verdicts.
 const (
-	Wait Verdict = iota
-	Go
-	Refuse
+	Wait   Verdict = iota // The ticket is queued.
+	Go                    // The request is sent to a server.
+	Refuse                // The request is refused; the caller may retry later.
 )
 
-// Decision is a verdict with the inputs that decided it, for the log.
+// Decision is a verdict and, for the log, the inputs that led to it.
 type Decision struct {
 	Ticket              uint64
 	Verdict             Verdict
-	Server              topology.Candidate // Of Go.
-	RetryAfter          time.Duration      // Of Refuse.
+	Server              topology.Candidate // Set for Go.
+	RetryAfter          time.Duration      // Set for Refuse.
 	Reason              string
-	OwnInFlight         int           // Requests of this entry under way at the service.
-	TotalInFlight       int           // Of all entries, as far as known.
-	Limit               int           // Of Total; 0 for none.
-	PredictedWait       time.Duration // Wait.
-	PredictedFirstEvent time.Duration // Of Go at an engine: from now, as predicted.
-	ReportAge           time.Duration // Of the oldest report that counted.
+	OwnInFlight         int           // Requests of this entry in flight at the service.
+	TotalInFlight       int           // The same of all entries, as far as known.
+	Limit               int           // Of TotalInFlight; 0 for none.
+	PredictedWait       time.Duration // Expected time in the queue.
+	PredictedFirstEvent time.Duration // Set for Go at an engine; counted from now.
+	ReportAge           time.Duration // Age of the oldest report in use.
 }
 
-// Dispatcher is the state of one service at one entry.
+// Dispatcher holds the state of one service at one entry.
 type Dispatcher struct {
-	limiter ConcurrencyLimiter
+	pace    ConcurrencyLimiter
 	warmUp  WarmUpLimit
 	servers []*server
 	byID    map[string]*server
-	waiting []Ticket
-	freedAt []time.Time // When places became free, within rateWindow.
-	limit   int         // Places of all servers together; 0 for no bound.
+	queue   []Ticket
+	freedAt []time.Time // When slots became free, within rateWindow.
+	limit   int         // Concurrency limit of all servers together; 0 for none.
 	gate    gate
 
-	groupActiveSince time.Time // Since when the group's servers are heard of; zero while none is.
+	groupActiveSince time.Time // Start of the group's current activity; zero while no server sends events.
 }
 
-// NewDispatcher returns the desk of a service.
+// NewDispatcher returns a dispatcher for one service.
 func NewDispatcher(warmUp WarmUpLimit) *Dispatcher {
 	return &Dispatcher{warmUp: warmUp, byID: map[string]*server{}}
 }
 
-// Configure sets the servers that may get new work and the engine's model, nil
-// for plain services.
+// Configure sets the servers that may get new work, the service's engine model,
+// which is nil for plain services, and the longest allowed pause between events.
 func (d *Dispatcher) Configure(candidates []topology.Candidate, service topology.Service, pauseGoal time.Duration) {
-	d.limiter.configure(service.Engine, pauseGoal)
+	d.pace.configure(service.Engine, pauseGoal)
 	d.warmUp.PerSecond = service.WarmUpPerSecond
 	d.warmUp.raiseEntries(len(candidates))
 	servers := make([]*server, 0, len(candidates))
@@ -101,15 +103,15 @@
 	d.servers, d.byID = servers, byID
 }
 
-// ObserveGap takes in the time between two events of a stream at a server.
+// ObserveGap records the time between two events of a stream at a server.
 func (d *Dispatcher) ObserveGap(id string, gap time.Duration, now time.Time) {
 	d.ObserveEvent(id, now)
-	d.limiter.observe(gap, d.inFlight(now), now)
+	d.pace.observe(gap, d.inFlight(now), now)
 }
 
-// Submit decides about a new ticket.
+// Submit decides about a new ticket and queues it if the verdict is Wait.
 func (d *Dispatcher) Submit(ticket Ticket, random float64, now time.Time) Decision {
-	if len(d.waiting) == 0 || d.meetsSLO(ticket, now) && !d.anyMeetsSLO(now) {
+	if len(d.queue) == 0 || d.meetsSLO(ticket, now) && !d.anyMeetsSLO(now) {
 		if decision, ok := d.place(ticket, random, now); ok {
 			return decision
 		}
@@ -122,8 +124,9 @@
 		return decision
 	}
 	if d.gate.closed {
-		// Nobody knows when the group opens; as many as it can take may wait.
-		if len(d.waiting) >= d.closedQueueLimit() {
+		// The wait can't be predicted while the group is closed, so the queue is
+		// bounded by the requests that the group can take when it opens.
+		if len(d.queue) >= d.closedQueueLimit() {
 			decision.Verdict, decision.Reason = Refuse, "group_closed"
 			decision.RetryAfter = closedRetryAfter
 			return decision
@@ -135,25 +138,26 @@
 		decision.RetryAfter = max(minRetryAfter, decision.PredictedWait-maxPredictedWait/2)
 		return decision
 	}
-	d.waiting = append(d.waiting, ticket)
+	d.queue = append(d.queue, ticket)
 	decision.Verdict, decision.Reason = Wait, "no_room"
 	return decision
 }
 
-// DispatchQueued decides about waiting tickets; it is called whenever a place may have
-// become free, and every few tens of milliseconds.
+// DispatchQueued decides about the queued tickets. It is called whenever a slot
+// may have become free, and every few tens of milliseconds.
 func (d *Dispatcher) DispatchQueued(random func() float64, now time.Time) []Decision {
 	var decisions []Decision
 	d.sortQueue(now)
-	kept := d.waiting[:0]
+	kept := d.queue[:0]
 	full := false
-	for _, ticket := range d.waiting {
+	for _, ticket := range d.queue {
 		if !full {
 			if decision, ok := d.place(ticket, random(), now); ok {
 				decisions = append(decisions, decision)
 				continue
 			}
-			// Those behind one that has tried a closed group may still try.
+			// A ticket that has already found the group closed does not block those
+			// behind it: they may probe the group.
 			full = !(d.gate.closed && ticket.FoundClosed)
 		}
 		if d.timedOut(ticket, now) {
@@ -168,20 +172,21 @@
 		}
 		kept = append(kept, ticket)
 	}
-	d.waiting = kept
+	d.queue = kept
 	return decisions
 }
 
-// Accepted notes that a server has begun to answer a request.
+// Accepted records that a server has begun to answer a request.
 func (d *Dispatcher) Accepted() { d.gate.accepted() }
 
-// place finds a server for the ticket and takes a place there.
+// place chooses a server for the ticket and takes a slot there. It returns false
+// if the ticket can't be sent now.
 func (d *Dispatcher) place(ticket Ticket, random float64, now time.Time) (Decision, bool) {
 	if !d.gate.allows(d.reportedOpen(now), now) || d.gate.closed && ticket.FoundClosed {
 		return Decision{}, false
 	}
 	total := d.inFlight(now)
-	d.limit = d.limiter.limit(len(d.servers))
+	d.limit = d.pace.limit(len(d.servers))
 	if d.limit > 0 && total >= d.limit {
 		return Decision{}, false
 	}
@@ -194,9 +199,9 @@
 	}
 	decision := d.describe(ticket, now)
 	decision.Verdict, decision.Server, decision.Reason = Go, best.candidate, "least_loaded"
-	decision.PredictedFirstEvent = d.limiter.predictFirstEvent()
+	decision.PredictedFirstEvent = d.pace.predictFirstEvent()
 	best.requestSent(now)
-	d.gate.requestSent()
+	d.gate.noteSent()
 	return decision, true
 }
 
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -21,8 +21,8 @@
 	return list
 }
 
-// plainDesk is the desk of a plain service.
-func plainDesk(servers, slots int) *Dispatcher {
+// plainDispatcher returns the dispatcher of a plain service.
+func plainDispatcher(servers, slots int) *Dispatcher {
 	d := NewDispatcher(WarmUpLimit{Entries: 1})
 	d.Configure(candidates(servers, slots), topology.Service{}, 0)
 	return d
@@ -38,9 +38,9 @@
 
 func noRandom() float64 { return 0 }
 
-func TestBurst(t *testing.T) {
-	Convey("Given more requests at once than places", t, func() {
-		d := plainDesk(2, 2)
+func TestBurstIsQueuedOrRefused(t *testing.T) {
+	Convey("Given more simultaneous requests than slots", t, func() {
+		d := plainDispatcher(2, 2)
 		verdicts := map[Verdict]int{}
 		now := start
 		for i := range 8 {
@@ -50,22 +50,22 @@
 		So(verdicts[Go], ShouldEqual, 4)
 		So(d.inFlight(now), ShouldEqual, 4)
 
-		Convey("a place that becomes free goes to the first that can still be in time", func() {
+		Convey("a freed slot goes to the first request that can still meet its objective", func() {
 			So(d.QueueLen(), ShouldBeGreaterThan, 0)
-			first := d.waiting[0].ID
+			first := d.queue[0].ID
 			d.Done("s0", Served, now)
 			decisions := d.DispatchQueued(noRandom, now)
 			So(decisions, ShouldHaveLength, 1)
 			So(decisions[0].Verdict, ShouldEqual, Go)
 			So(decisions[0].Ticket, ShouldEqual, first)
 		})
-		Convey("a late one gets a place only when none that can be in time waits", func() {
+		Convey("a late request gets a slot only when no queued request can meet its objective", func() {
 			late := now.Add(380 * time.Millisecond)
-			d.waiting = append(d.waiting, ticket(99, late))
+			d.queue = append(d.queue, ticket(99, late))
 			d.Done("s0", Served, late)
 			So(d.DispatchQueued(noRandom, late)[0].Ticket, ShouldEqual, uint64(99))
 		})
-		Convey("nobody is held beyond the longest wait", func() {
+		Convey("no request stays queued beyond the longest wait", func() {
 			later := now.Add(maxWait + time.Millisecond)
 			for _, decision := range d.DispatchQueued(noRandom, later) {
 				So(decision.Verdict, ShouldEqual, Refuse)
@@ -73,17 +73,17 @@
 			}
 			So(d.QueueLen(), ShouldEqual, 0)
 		})
-		Convey("a caller that leaves the queue is not placed", func() {
-			gone := d.waiting[0].ID
-			d.Cancel(gone)
+		Convey("a cancelled request is not sent", func() {
+			cancelled := d.queue[0].ID
+			d.Cancel(cancelled)
 			d.Done("s0", Served, now)
 			for _, decision := range d.DispatchQueued(noRandom, now) {
-				So(decision.Ticket, ShouldNotEqual, gone)
+				So(decision.Ticket, ShouldNotEqual, cancelled)
 			}
 		})
 	})
-	Convey("A request whose predicted wait is too long is refused at once, with a time to come back", t, func() {
-		d := plainDesk(1, 1)
+	Convey("A request whose predicted wait is too long is refused at once with a Retry-After", t, func() {
+		d := plainDispatcher(1, 1)
 		now := start
 		d.Submit(ticket(0, now), 0, now)
 		refused := Decision{}
@@ -97,26 +97,26 @@
 		So(refused.RetryAfter, ShouldBeGreaterThan, 0)
 	})
 	Convey("Without any server a request is refused at once", t, func() {
-		d := plainDesk(0, 0)
+		d := plainDispatcher(0, 0)
 		So(d.Submit(ticket(1, start), 0, start).Verdict, ShouldEqual, Refuse)
 	})
 }
 
-func TestJumpOfDemandInALargeGroup(t *testing.T) {
-	Convey("A large group keeps more of the longest pause free for a jump of demand", t, func() {
+func TestLargeGroupReserveForDemandJump(t *testing.T) {
+	Convey("A large group reserves more of the longest pause for a jump of demand", t, func() {
 		passAtLimit := func(servers int) time.Duration {
 			d := NewDispatcher(WarmUpLimit{Entries: 1})
 			d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
-			base := d.limiter.base()
+			base := d.pace.base()
 			requests := servers * 5
-			slope := 4 * d.limiter.evenSlope(servers) // The pace binds, not the places.
+			slope := 4 * d.pace.evenSlope(servers) // So that the pause goal limits, not the slots.
 			now := start
 			for range 100 {
 				now = now.Add(10 * time.Millisecond)
 				d.setInFlight(requests, now)
 				d.ObserveGap("s0", time.Duration((base+slope*float64(requests))*float64(time.Second)), now)
 			}
-			pass := base + slope*float64(d.limiter.limit(servers))
+			pass := base + slope*float64(d.pace.limit(servers))
 			return time.Duration(pass * float64(time.Second))
 		}
 		So(passAtLimit(12), ShouldAlmostEqual, 102*time.Millisecond, 2*time.Millisecond)
@@ -125,7 +125,7 @@
 }
 
 func TestPredictedFirstEvent(t *testing.T) {
-	Convey("The first event is predicted from the passes that are seen", t, func() {
+	Convey("The time to the first event is predicted from the observed passes", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		unseen := d.Submit(ticket(1, start), 0, start)
@@ -141,7 +141,7 @@
 }
 
 func TestEvenLoad(t *testing.T) {
-	Convey("Requests spread evenly, other entries' included", t, func() {
+	Convey("Requests are spread evenly, counting those of other entries", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		d.Report("s0", Report{Queued: 0, Active: 4, Open: true}, start)
@@ -164,10 +164,10 @@
 			}
 		}
 	})
-	Convey("Ties fall on every server", t, func() {
+	Convey("Ties are broken evenly across servers", t, func() {
 		got := map[string]int{}
 		for i := range 300 {
-			d := plainDesk(3, 2)
+			d := plainDispatcher(3, 2)
 			got[d.Submit(ticket(1, start), float64(i)/300, start).Server.ID]++
 		}
 		So(got, ShouldHaveLength, 3)
@@ -177,8 +177,8 @@
 	})
 }
 
-func TestSkewedExperts(t *testing.T) {
-	Convey("Long passes lower the number of requests that may write at once", t, func() {
+func TestLongPassesLowerTheLimit(t *testing.T) {
+	Convey("Long passes lower the concurrency limit", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
@@ -197,15 +197,15 @@
 		}
 		for range 50 {
 			now = now.Add(10 * time.Millisecond)
-			d.ObserveGap("s0", 150*time.Millisecond, now) // 60 requests under a skew that is too much.
+			d.ObserveGap("s0", 150*time.Millisecond, now) // 60 requests with too much expert skew.
 		}
 		for i := range 12 {
 			d.Report(fmt.Sprint("s", i), Report{Queued: 0, Active: 2, Open: true}, now)
 		}
-		// (0.85 * 120 - 29) ms of room at (150 - 29) / 60 ms a request.
+		// (0.85 * 120 - 29) ms are available at (150 - 29) / 60 ms per request.
 		So(24+fill(), ShouldBeBetween, 30, 40)
 	})
-	Convey("A group that takes no work gets none", t, func() {
+	Convey("A closed group gets no requests until it reports that it is open", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(1, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		d.Report("s0", Report{Queued: 0, Active: 0, Open: false}, start)
@@ -215,8 +215,8 @@
 	})
 }
 
-func TestBacklog(t *testing.T) {
-	Convey("A backlog of late requests leaves places to those that come now", t, func() {
+func TestLateBacklogLeavesCapacity(t *testing.T) {
+	Convey("A backlog of late requests leaves capacity to new requests", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
@@ -237,7 +237,7 @@
 }
 
 func TestClosedGroup(t *testing.T) {
-	Convey("Given a group that refuses a request although it has room", t, func() {
+	Convey("Given a group that refuses a request despite free slots", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(4, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
@@ -247,37 +247,37 @@
 			So(d.Submit(ticket(uint64(i+1), now), 0, now).Verdict, ShouldEqual, Wait)
 		}
 
-		Convey("one request at a time tries whether it takes work again", func() {
+		Convey("one request at a time probes whether it is open again", func() {
 			later := now.Add(closedProbeInterval)
 			So(d.DispatchQueued(noRandom, later), ShouldHaveLength, 1)
 			So(d.DispatchQueued(noRandom, later.Add(closedProbeInterval)), ShouldBeEmpty)
 
-			Convey("and all follow when it does", func() {
+			Convey("and all others are sent when it is", func() {
 				d.Accepted()
 				So(d.DispatchQueued(noRandom, later), ShouldHaveLength, 9)
 			})
-			Convey("one that has tried does not try again", func() {
+			Convey("and a request that has probed does not probe again", func() {
 				d.Done("s0", Busy, later)
 				tried := ticket(0, now)
 				tried.FoundClosed = true
-				d.waiting = append([]Ticket{tried}, d.waiting...)
+				d.queue = append([]Ticket{tried}, d.queue...)
 				decisions := d.DispatchQueued(noRandom, later.Add(closedProbeInterval))
 				So(decisions, ShouldHaveLength, 1)
 				So(decisions[0].Ticket, ShouldNotEqual, uint64(0))
 			})
-			Convey("and the next when it doesn't", func() {
+			Convey("and the next one probes when it isn't", func() {
 				d.Done("s0", Busy, later)
 				So(d.DispatchQueued(noRandom, later.Add(closedProbeInterval)), ShouldHaveLength, 1)
 			})
 		})
-		Convey("all follow at once when the reports say that it is open", func() {
+		Convey("all are sent at once when the reports say that it is open", func() {
 			later := now.Add(closedProbeInterval)
 			for i := range 4 {
 				d.Report(fmt.Sprint("s", i), Report{Open: true}, later)
 			}
 			So(d.DispatchQueued(noRandom, later), ShouldHaveLength, 10)
 		})
-		Convey("those who have waited in vain are told when to come back", func() {
+		Convey("requests that time out in the queue get a Retry-After", func() {
 			for i := range 4 {
 				d.Report(fmt.Sprint("s", i), Report{Open: false}, now.Add(1900*time.Millisecond))
 			}
@@ -289,8 +289,8 @@
 			}
 		})
 	})
-	Convey("A server that is not at its address any more is passed over", t, func() {
-		d := plainDesk(2, 100)
+	Convey("A server replaced by another at its address gets no requests", t, func() {
+		d := plainDispatcher(2, 100)
 		d.Done("s0", Replaced, start)
 		for i := range 10 {
 			So(d.Submit(ticket(uint64(i), start), 0, start).Server.ID, ShouldEqual, "s1")
@@ -299,23 +299,23 @@
 }
 
 func TestSlowRank(t *testing.T) {
-	Convey("Given a group with one rank three times as slow as usual", t, func() {
+	Convey("Given a group with one rank that is three times slower than normal", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
 		for i := range 12 {
-			slowdown := 1.0
+			pace := 1.0
 			if i == 3 {
-				slowdown = 3
+				pace = 3
 			}
-			d.Report(fmt.Sprint("s", i), Report{Open: true, Pace: slowdown}, now)
+			d.Report(fmt.Sprint("s", i), Report{Open: true, Pace: pace}, now)
 		}
 		Convey("it gets work only when the others are full", func() {
 			for i := range 60 {
 				So(d.Submit(ticket(uint64(i), now), 0.3, now).Server.ID, ShouldNotEqual, "s3")
 			}
 		})
-		Convey("streams are moved off it alone, and off none where most are slow", func() {
+		Convey("streams are moved off that rank only, and off none when most ranks are slow", func() {
 			So(d.ShouldMigrateStreams("s3", now), ShouldBeTrue)
 			So(d.ShouldMigrateStreams("s4", now), ShouldBeFalse)
 			for i := range 12 {
@@ -323,19 +323,19 @@
 			}
 			So(d.ShouldMigrateStreams("s3", now), ShouldBeFalse)
 		})
-		Convey("passes that are long because of it alone do not lower the limit", func() {
+		Convey("passes that are long only because of it do not lower the limit", func() {
 			for range 50 {
 				now = now.Add(10 * time.Millisecond)
 				// 3 * 29 ms without work, and 12 ms for 40 requests.
 				d.setInFlight(40, now)
 				d.ObserveGap("s0", 99*time.Millisecond, now)
 			}
-			So(d.limiter.limit(12), ShouldBeGreaterThan, 40)
+			So(d.pace.limit(12), ShouldBeGreaterThan, 40)
 		})
 	})
 }
 
-// setInFlight makes the desk believe that the group has so many requests.
+// setInFlight sets the reported load so that the group has total requests.
 func (d *Dispatcher) setInFlight(total int, now time.Time) {
 	for i, s := range d.servers {
 		s.others, s.reportAt = total/len(d.servers), now
@@ -345,8 +345,8 @@
 	}
 }
 
-func TestColdReturn(t *testing.T) {
-	Convey("All entries together stay under what a cold server bears", t, func() {
+func TestColdServerIsNotOverloaded(t *testing.T) {
+	Convey("All entries together stay below the overload limit of a cold server", t, func() {
 		const entries = 4
 		warmUp := WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: entries}
 		service := topology.Service{WarmUpPerSecond: 36}
@@ -366,8 +366,8 @@
 	})
 }
 
-func TestColdGroupOfMany(t *testing.T) {
-	Convey("Eighteen entries stay under what one of 63 servers bears, though none says that it is cold", t, func() {
+func TestColdServerIsNotOverloadedByManyEntries(t *testing.T) {
+	Convey("Eighteen entries stay below the overload limit of one of 63 servers that turns cold unannounced", t, func() {
 		total := 0
 		for range 18 {
 			d := NewDispatcher(WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: 8})
@@ -384,27 +384,27 @@
 	})
 }
 
-func TestGreyServer(t *testing.T) {
-	Convey("Given a server that fails what it gets", t, func() {
-		d := plainDesk(3, 100)
+func TestFailingServerIsExcluded(t *testing.T) {
+	Convey("Given a server that fails every request", t, func() {
+		d := plainDispatcher(3, 100)
 		now := start
-		lost := 0
+		failures := 0
 		for i := range 100 {
 			now = now.Add(10 * time.Millisecond)
 			id := d.Submit(ticket(uint64(i), now), float64(i*37%100)/100, now).Server.ID
 			outcome := Served
 			if id == "s0" {
 				outcome = Failed
-				lost++
+				failures++
 			}
 			d.Done(id, outcome, now)
 		}
-		Convey("it is passed over after a few failures and tried again now and then", func() {
-			So(lost, ShouldBeBetweenOrEqual, 3, 8)
+		Convey("it is excluded after a few failures and retried from time to time", func() {
+			So(failures, ShouldBeBetweenOrEqual, 3, 8)
 		})
 	})
-	Convey("A service that fails a seventh of its calls by itself keeps its servers", t, func() {
-		d := plainDesk(3, 100)
+	Convey("Servers of a service that normally fails a seventh of its calls are not excluded", t, func() {
+		d := plainDispatcher(3, 100)
 		now, excluded := start, 0
 		for i := range 3000 {
 			now = now.Add(10 * time.Millisecond)
@@ -422,8 +422,8 @@
 		}
 		So(excluded, ShouldBeLessThan, 3000*3/100)
 	})
-	Convey("A server that can't be reached is passed over at once", t, func() {
-		d := plainDesk(2, 100)
+	Convey("An unreachable server is excluded at once", t, func() {
+		d := plainDispatcher(2, 100)
 		d.Done("s0", Unreachable, start)
 		for i := range 10 {
 			So(d.Submit(ticket(uint64(i), start), 0, start).Server.ID, ShouldEqual, "s1")
@@ -431,8 +431,8 @@
 	})
 }
 
-func TestLastResort(t *testing.T) {
-	Convey("A server whose row has vanished gets work only when no other has room", t, func() {
+func TestUnlistedServerIsUsedLast(t *testing.T) {
+	Convey("An unlisted server gets work only when no other has room", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		list := candidates(2, 1)
 		list[0].Unlisted = true
--- a/policy/dispatch/gate.go
+++ b/policy/dispatch/gate.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// closedProbeInterval is the time between two tries at a group that takes no work: a
-	// group forms within some hundred ms.
+	// closedProbeInterval is the time between two probes of a group that takes no
+	// work. A group forms within some hundred milliseconds.
 	closedProbeInterval = 100 * time.Millisecond
-	// closedRetryAfter is told to callers who have waited for a closed group in
-	// vain. A rank that was cut off is back after some seconds, and callers come
-	// back once.
+	// closedRetryAfter is the Retry-After for callers refused because the group is
+	// closed. A rank that was cut off is back after some seconds, and callers
+	// retry only once.
 	closedRetryAfter = 2 * time.Second
 )
 
-// reportedState is what the reports say of a group.
+// reportedState is the state of a group according to its servers' reports.
 type reportedState int
 
 const (
@@ -21,22 +21,24 @@
 	reportsClosed
 )
 
-// gate keeps requests from a group that refuses all of them: while a rank is
-// away or the group forms, every rank refuses, and a refusal costs the caller a
-// try. One request at a time finds out whether the group takes work again.
+// gate holds requests back from a group that refuses all of them, like a circuit
+// breaker. While a rank is missing or the group forms, every rank refuses, and
+// each refusal costs the caller one of its attempts. One request at a time probes
+// whether the group takes work again.
 type gate struct {
 	closed    bool
-	nextProbe time.Time // Of the next try.
-	probing   bool      // A request that may find the group open is under way.
+	nextProbe time.Time
+	probing   bool // A probe request is in flight.
 }
 
-// refused notes that a server with room has refused a request.
+// refused records that a server with room has refused a request.
 func (g *gate) refused(now time.Time) {
 	g.closed, g.probing = true, false
 	g.nextProbe = now.Add(closedProbeInterval)
 }
 
-// allows reports whether a request may be sent. It takes reports in.
+// allows reports whether a request may be sent. It also updates the gate from
+// the reported state.
 func (g *gate) allows(reported reportedState, now time.Time) bool {
 	switch {
 	case reported == reportsClosed:
@@ -55,8 +57,8 @@
 	}
 }
 
-// requestSent notes that a request was sent.
-func (g *gate) requestSent() { g.probing = g.closed }
+// noteSent records that a request was sent; while the group is closed, it is the probe.
+func (g *gate) noteSent() { g.probing = g.closed }
 
-// accepted notes that the group takes work.
+// accepted records that the group takes work.
 func (g *gate) accepted() { g.closed, g.probing = false, false }
--- a/policy/dispatch/health.go
+++ b/policy/dispatch/health.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// failureWeight of the latest outcome in the failure rate: three failures
-	// in a row reach failureLimit.
+	// failureWeight is the weight of the latest outcome in the failure rate: three
+	// failures in a row reach failureLimit.
 	failureWeight = 0.25
-	// failureLimit is the failure rate above which a server is passed over.
-	// Services that fail a seventh of their calls by themselves stay under it.
+	// failureLimit is the failure rate from which a server is excluded. Services
+	// that normally fail a seventh of their calls stay below it.
 	failureLimit = 0.55
-	// initialExclusion doubles with every further failure, up to maxExclusion.
+	// initialExclusion is the first exclusion period. It doubles with every further
+	// failure, up to maxExclusion.
 	initialExclusion = 500 * time.Millisecond
 	maxExclusion     = 4 * time.Second
 )
 
-// health is what callers' requests have shown of a server. Health checks don't
-// count: they may be false either way.
+// health tracks a server's failures by the outcomes of callers' requests. Health
+// checks don't count, as they may be wrong in either direction.
 type health struct {
-	rate            float64 // Share of failures, weighted towards the latest.
+	rate            float64 // Exponentially weighted failure rate.
 	excludedUntil   time.Time
 	exclusionPeriod time.Duration
 }
@@ -36,7 +37,8 @@
 	}
 }
 
-// unreachable excludes at once: nothing listens there, or nothing answers.
+// unreachable excludes the server at once: nothing listens there or nothing
+// answers.
 func (h *health) unreachable(now time.Time) {
 	h.rate = max(h.rate, failureLimit)
 	h.exclude(now)
--- a/policy/dispatch/limiter.go
+++ b/policy/dispatch/limiter.go
@@ -8,38 +8,42 @@
 )
 
 const (
-	// pauseGoalShare of the longest allowed pause is aimed at, so that the usual
-	// variation of passes stays within it.
+	// pauseGoalShare is the share of the longest allowed pause that a pass may
+	// take. The rest allows for the usual variation of passes.
 	pauseGoalShare = 0.85
-	// largeGroupPauseGoalShare is aimed at in groups of largeGroupServers and more: over ten
-	// entries place on reports that are a pass old, and after a jump of demand one
-	// pass over the limit makes hundreds of streams late.
+	// largeGroupPauseGoalShare replaces pauseGoalShare in groups of at least
+	// largeGroupServers. There over ten entries dispatch on reports that are one
+	// pass old, and after a jump of demand a single pass over the limit makes
+	// hundreds of streams late.
 	largeGroupPauseGoalShare = 0.80
-	largeGroupServers        = 32 // The users' groups have 12 ranks, grown ones 63.
-	// slopeTimeConstant is the time constant of the observed slope. A shift of demand
-	// shows in a pass, so it is a few passes long.
+	// largeGroupServers lies between the users' groups of 12 ranks and grown groups
+	// of 63.
+	largeGroupServers = 32
+	// slopeTimeConstant is the time constant of the smoothed slope. A shift of
+	// demand shows within one pass, so it is a few passes long.
 	slopeTimeConstant = 300 * time.Millisecond
-	// initialSkew is the skew of experts that is assumed before any pass was
-	// observed.
+	// initialSkew is the expert load skew assumed before any pass was observed.
 	initialSkew = 1.5
-	// firstEventPasses is the number of passes from placing a request to its first
-	// event: half of the one under way on average, one that reads the prompt, one that
-	// writes, and a part of one for a long prompt. With 2.5 half of the first events
-	// came 20 to 25 ms later than predicted, in passes of 50 to 60 ms.
+	// firstEventPasses is the number of passes from sending a request to its first
+	// event: on average half of the pass in progress, one that reads the prompt, one
+	// that writes, and part of one for a long prompt. With 2.5, half of the first
+	// events come 20 to 25 ms later than predicted, in passes of 50 to 60 ms.
 	firstEventPasses = 2.9
-	// minRequestsPerServer keeps a group from starving on a wrong slope.
+	// minRequestsPerServer is the lower bound of the limit, so that a wrong slope
+	// does not starve a group.
 	minRequestsPerServer = 1.0
 )
 
-// ConcurrencyLimiter bounds how many requests may write at once in a group so that the
-// pause between events stays under its pauseGoal. All ranks advance in lock-step,
-// so a pass grows with the requests of the whole group; the slope is observed
-// and holds the skew of the experts and the prompts that are read meanwhile.
+// ConcurrencyLimiter bounds the number of requests in flight in a group so that
+// the pause between events of a stream stays under its goal. All ranks advance in
+// lock-step, so the duration of a pass grows with the requests of the whole group.
+// The slope of that growth is measured; it includes the effect of expert load skew
+// and of prompts read in the same passes.
 type ConcurrencyLimiter struct {
 	engine     *topology.Engine
 	pauseGoal  time.Duration
-	slowest    float64 // Slowness of the group's slowest server; 0 while unknown.
-	slope      float64 // Seconds that one writing request of the group adds to a pass.
+	slowest    float64 // Slowdown of the group's slowest server; 0 while unknown.
+	slope      float64 // Seconds that one request in flight in the group adds to a pass.
 	observedAt time.Time
 	pass       time.Duration // Smoothed duration of a pass.
 }
@@ -48,17 +52,19 @@
 	l.engine, l.pauseGoal = engine, pauseGoal
 }
 
-// base is the duration of a pass without work, in seconds: that of the slowest
+// base returns the duration in seconds of a pass without work at the slowest
 // server.
 func (l *ConcurrencyLimiter) base() float64 {
 	return float64(l.engine.Stride) * l.engine.StepMS / 1000 * max(1, l.slowest)
 }
 
-// evenSlope is the slope of a group whose experts are spread perfectly.
+// evenSlope returns the slope of a group with perfectly balanced experts.
 func (l *ConcurrencyLimiter) evenSlope(servers int) float64 {
 	return float64(l.engine.Stride) * l.engine.PerSequenceMS / 1000 / float64(max(1, servers))
 }
 
+// observe updates the smoothed slope and pass duration from the gap between two
+// events of a stream.
 func (l *ConcurrencyLimiter) observe(gap time.Duration, inFlight int, now time.Time) {
 	if l.engine == nil || inFlight <= 0 || gap <= 0 {
 		return
@@ -66,8 +72,8 @@
 	slope := max(0, gap.Seconds()-l.base()) / float64(inFlight)
 	weight := 1.0
 	if !l.observedAt.IsZero() {
-		// Every stream of a pass observes it; together they move the slope by the
-		// share of a pass in the memory.
+		// Every stream in a pass reports its gap, so each gets its part of the weight
+		// that one pass has by the time constant.
 		weight = 1 - math.Exp(-gap.Seconds()/slopeTimeConstant.Seconds()/float64(max(1, inFlight)))
 		weight = max(weight, 1-math.Exp(-now.Sub(l.observedAt).Seconds()/slopeTimeConstant.Seconds()))
 	}
@@ -76,8 +82,8 @@
 	l.observedAt = now
 }
 
-// limit returns how many requests may be at the group's servers, 0 for no
-// bound.
+// limit returns the number of requests that may be in flight at the group's
+// servers, 0 for no limit.
 func (l *ConcurrencyLimiter) limit(servers int) int {
 	if l.engine == nil || l.pauseGoal <= 0 || servers == 0 {
 		return 0
@@ -98,18 +104,18 @@
 	return int(min(limit, engineFillShare*float64(servers*l.engine.Slots)))
 }
 
-// passDuration returns the usual duration of a pass at present.
+// passDuration returns the current smoothed duration of a pass.
 func (l *ConcurrencyLimiter) passDuration() time.Duration {
 	return max(l.pass, time.Duration(l.base()*float64(time.Second)))
 }
 
-// passesDuration returns the duration of so many passes at present.
+// passesDuration returns the current duration of count passes.
 func (l *ConcurrencyLimiter) passesDuration(count float64) time.Duration {
 	return time.Duration(count * float64(l.passDuration()))
 }
 
-// predictFirstEvent predicts the time from placing a request to its first event, zero
-// where there is no engine.
+// predictFirstEvent returns the expected time from sending a request to its first
+// event, zero at plain services.
 func (l *ConcurrencyLimiter) predictFirstEvent() time.Duration {
 	if l.engine == nil {
 		return 0
--- a/policy/dispatch/queue.go
+++ b/policy/dispatch/queue.go
@@ -7,49 +7,51 @@
 
 const (
 	// maxPredictedWait is the predicted wait above which a request is refused at
-	// once: beyond it even a late answer takes room that newer requests use in
-	// time.
+	// once. Beyond it, its late answer would take capacity with which newer
+	// requests can still meet their objective.
 	maxPredictedWait = time.Second
-	// maxWait is how long a request waits at most where predictions fail.
+	// maxWait is the longest time in the queue, for when predictions are wrong.
 	maxWait = 2 * time.Second
-	// lateGrace is how long a request that can no longer be in time waits for a
-	// place that nobody else wants.
+	// lateGrace is how long a request that can no longer meet its objective waits
+	// for a slot that no other request needs.
 	lateGrace = 800 * time.Millisecond
-	// minRetryAfter keeps refused callers from coming back while nothing has
+	// minRetryAfter keeps refused callers from retrying before anything has
 	// changed.
 	minRetryAfter = 300 * time.Millisecond
 
-	// rateWindow is the span over which the rate of freed places is measured.
+	// rateWindow is the window over which the rate of freed slots is measured.
 	rateWindow = 2 * time.Second
-	// minFreedRate is the rate that is assumed where fewer places became free: after a
-	// start or an outage there were none yet.
+	// minFreedRate, in slots per second, is the lower bound of that rate: after a
+	// start or an outage no slot has become free yet.
 	minFreedRate = 5.0
 
-	// plainServiceMargin is the time before its objective by which a request must start
-	// to be in time, at a plain service: the usual work of a call.
+	// plainServiceMargin is how long before its objective a request to a plain
+	// service must be sent to meet it: the usual duration of a call.
 	plainServiceMargin = 60 * time.Millisecond
-	// engineMarginPasses is the same at an engine: the rest of the pass under way, the
-	// pass that reads the prompt, and half of one for a long prompt. It is less than
-	// firstEventPasses: who may still be in time is treated so.
+	// engineMarginPasses is the same margin at an engine, in passes: the rest of the
+	// pass in progress, the pass that reads the prompt, and half of one for a long
+	// prompt. It is less than firstEventPasses, so that a request which may still
+	// meet its objective counts as one that does.
 	engineMarginPasses = 2.5
 
-	// assumedEntries share the places of a group that opens; a data centre has one
-	// or two entries, and the users three data centres.
+	// assumedEntries is the assumed number of entries that share the slots of a
+	// group when it opens. A data centre has one or two entries, and the users have
+	// three data centres.
 	assumedEntries = 3
 )
 
-// Cancel takes a waiting ticket out, because its caller has left.
+// Cancel removes a queued ticket whose caller has gone.
 func (d *Dispatcher) Cancel(id uint64) {
-	for i, ticket := range d.waiting {
+	for i, ticket := range d.queue {
 		if ticket.ID == id {
-			d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
+			d.queue = append(d.queue[:i], d.queue[i+1:]...)
 			return
 		}
 	}
 }
 
-// QueueLen returns the number of waiting tickets.
-func (d *Dispatcher) QueueLen() int { return len(d.waiting) }
+// QueueLen returns the number of queued tickets.
+func (d *Dispatcher) QueueLen() int { return len(d.queue) }
 
 // Outcome is how a request at a server ended.
 type Outcome int
@@ -57,19 +59,19 @@
 // The outcomes.
 const (
 	Served      Outcome = iota
-	Busy                // Refused for load; it did not run.
-	Failed              // The server failed, or the exchange broke off.
+	Busy                // Refused because of load; the request did not run.
+	Failed              // The server failed, or the exchange was cut off.
 	Unreachable         // No connection could be made.
-	Replaced            // Another server answers at its address.
-	CallerLeft          // Says nothing of the server.
+	Replaced            // Another server answers at the address.
+	CallerLeft          // The caller has gone; says nothing about the server.
 )
 
-// Done gives the request's place at the server back. It reports whether the
-// server's group takes no work.
+// Done releases the request's slot at the server. It reports whether the server's
+// group is closed, that is, takes no work.
 func (d *Dispatcher) Done(id string, outcome Outcome, now time.Time) (closed bool) {
 	server := d.byID[id]
 	if server == nil {
-		return d.gate.closed // The server has left the list meanwhile.
+		return d.gate.closed // The server has been removed from the list since.
 	}
 	server.own = max(0, server.own-1)
 	switch outcome {
@@ -79,7 +81,7 @@
 		server.health.succeeded()
 	case Busy:
 		server.busyUntil = now.Add(overloadBackoff)
-		if d.limiter.engine != nil && 2*server.load(now) < server.candidate.Slots {
+		if d.pace.engine != nil && 2*server.load(now) < server.candidate.Slots {
 			d.gate.refused(now)
 		}
 	case Replaced:
@@ -94,8 +96,8 @@
 	return d.gate.closed
 }
 
-// closedQueueLimit returns this entry's part of the places, for requests that wait for a
-// closed group.
+// closedQueueLimit returns the number of requests that may wait for a closed
+// group: this entry's part of its slots.
 func (d *Dispatcher) closedQueueLimit() int {
 	places := 0
 	for _, server := range d.servers {
@@ -104,11 +106,11 @@
 	return places / assumedEntries
 }
 
-// sortQueue sorts the waiting tickets: those that can still be in time first, by
-// urgency and then by arrival; after them the late ones by arrival.
+// sortQueue sorts the queued tickets: those that can still meet their objective
+// come first. Within both parts the order is by priority, then by arrival.
 func (d *Dispatcher) sortQueue(now time.Time) {
-	sort.SliceStable(d.waiting, func(i, j int) bool {
-		a, b := d.waiting[i], d.waiting[j]
+	sort.SliceStable(d.queue, func(i, j int) bool {
+		a, b := d.queue[i], d.queue[j]
 		if meetsSLO := d.meetsSLO(a, now); meetsSLO != d.meetsSLO(b, now) {
 			return meetsSLO
 		}
@@ -119,31 +121,33 @@
 	})
 }
 
-// meetsSLO reports whether the ticket, placed now, would have its first answer in
-// time.
+// meetsSLO reports whether the ticket would meet its latency objective if it were
+// sent now.
 func (d *Dispatcher) meetsSLO(ticket Ticket, now time.Time) bool {
 	return now.Add(d.firstAnswerMargin()).Before(ticket.SLODeadline)
 }
 
-// margin is how long a placed request needs until its first answer at least.
+// firstAnswerMargin returns the least time from sending a request to its first
+// answer.
 func (d *Dispatcher) firstAnswerMargin() time.Duration {
-	if d.limiter.engine == nil {
+	if d.pace.engine == nil {
 		return plainServiceMargin
 	}
-	return d.limiter.passesDuration(engineMarginPasses)
+	return d.pace.passesDuration(engineMarginPasses)
 }
 
-// hopeless reports whether the ticket has waited for as long as it pays.
+// timedOut reports whether the ticket has reached the end of its time in the
+// queue.
 func (d *Dispatcher) timedOut(ticket Ticket, now time.Time) bool {
 	late := ticket.SLODeadline.Add(lateGrace - d.firstAnswerMargin())
 	if d.gate.closed {
-		late = ticket.Deadline // The group may open at any moment, with all its places free.
+		late = ticket.Deadline // The group may open at any moment, with all its slots free.
 	}
 	return now.Sub(ticket.Arrived) > maxWait || now.After(late) || !now.Before(ticket.Deadline)
 }
 
 func (d *Dispatcher) anyMeetsSLO(now time.Time) bool {
-	for _, ticket := range d.waiting {
+	for _, ticket := range d.queue {
 		if d.meetsSLO(ticket, now) {
 			return true
 		}
@@ -151,18 +155,18 @@
 	return false
 }
 
-// predictedWait is how long the ticket would wait if it joined the waiting ones:
-// one that can be in time goes before those that can't.
+// predictedWait returns how long the ticket would wait in the queue. Tickets that
+// can meet their objective go ahead of those that can't.
 func (d *Dispatcher) predictedWait(ticket Ticket, now time.Time) time.Duration {
 	expired := 0
 	for expired < len(d.freedAt) && now.Sub(d.freedAt[expired]) > rateWindow {
 		expired++
 	}
 	d.freedAt = d.freedAt[expired:]
-	ahead := len(d.waiting)
+	ahead := len(d.queue)
 	if d.meetsSLO(ticket, now) {
 		ahead = 0
-		for _, other := range d.waiting {
+		for _, other := range d.queue {
 			if d.meetsSLO(other, now) {
 				ahead++
 			}
--- a/policy/dispatch/server.go
+++ b/policy/dispatch/server.go
@@ -7,55 +7,56 @@
 )
 
 const (
-	// unreportedLimit is the number of own requests at an engine whose load is not
-	// reported: three from each of four entries fill an engine's slots.
+	// unreportedLimit is the number of own requests allowed at an engine whose load
+	// is not reported: three from each of four entries fill an engine's slots.
 	unreportedLimit = 3
-	// reportMaxAge is the age up to which a report of a server's load counts;
-	// reports come about every 100 ms.
+	// reportMaxAge is the age from which a load report is ignored; reports arrive
+	// about every 100 ms.
 	reportMaxAge = time.Second
 
-	// slowThreshold is the slowness from which a rank is given work only when all
-	// others are full: in lock-step its own part is in every pass of the group.
+	// slowThreshold is the slowdown from which a rank gets work only when all others
+	// are full: ranks advance in lock-step, so its part prolongs every pass of the
+	// group.
 	slowThreshold = 1.25
-	// migrateThreshold is the slowness from which resumable streams are moved off a
-	// rank: its base time alone is then half of the longest pause that users
-	// allow. A rank without requests does not slow its group.
+	// migrateThreshold is the slowdown from which resumable streams are moved off a
+	// rank: its base time alone is then half of the longest pause that users allow.
+	// A rank without requests does not slow its group.
 	migrateThreshold = 2.0
 )
 
 type server struct {
 	candidate   topology.Candidate
-	own         int
+	own         int // Requests of this entry in flight.
 	others      int // Requests of other entries, as of reportAt.
 	reportAt    time.Time
 	closed      bool    // The server's group takes no work.
-	slowdown    float64 // 1 for a usual server.
+	slowdown    float64 // Relative to a normal server, which has 1.
 	busyUntil   time.Time
-	busySince   time.Time // When the first of the own requests under way was sent.
-	lastEventAt time.Time // When it last sent an event.
-	silent      bool      // Found silent and not heard of since.
+	busySince   time.Time // When own last rose from zero.
+	lastEventAt time.Time // When the server last sent an event.
+	silent      bool      // Found silent and no event seen since.
 	health      health
 	sends       sendWindow
 }
 
-// requestSent notes that a request is sent to the server.
+// requestSent records that a request is sent to the server.
 func (s *server) requestSent(now time.Time) {
 	if s.own == 0 {
 		s.busySince = now
 	}
 	s.own++
-	s.sends.add(now)
+	s.sends.requestSent(now)
 }
 
-// Report is the load of a server as reported from beside it.
+// Report is the load of a server as reported by the agent next to it.
 type Report struct {
 	Queued int
 	Active int
-	Open   bool    // Its group takes work.
-	Pace   float64 // Over 1 for a slow server.
+	Open   bool    // The server's group takes work.
+	Pace   float64 // Slowdown relative to a normal server; over 1 for a slow one.
 }
 
-// Report takes in the load of a server.
+// Report records the reported load of a server.
 func (d *Dispatcher) Report(id string, report Report, now time.Time) {
 	server := d.byID[id]
 	if server == nil {
@@ -63,11 +64,11 @@
 	}
 	server.others = max(0, report.Queued+report.Active-server.own)
 	server.closed, server.slowdown, server.reportAt = !report.Open, max(1, report.Pace), now
-	d.limiter.slowest = d.slowest(now)
+	d.pace.slowest = d.slowest(now)
 }
 
-// slowest returns the slowness of the slowest server that has requests, 1 for a
-// usual one.
+// slowest returns the slowdown of the slowest server that has requests, 1 if none
+// is slow.
 func (d *Dispatcher) slowest(now time.Time) float64 {
 	slowest := 1.0
 	for _, server := range d.servers {
@@ -78,11 +79,11 @@
 	return slowest
 }
 
-// ShouldMigrateStreams reports whether resumable streams should go on at another server: this
-// one holds its whole group up, and most others would not.
+// ShouldMigrateStreams reports whether resumable streams should continue at
+// another server: this one slows down its whole group, and most others would not.
 func (d *Dispatcher) ShouldMigrateStreams(id string, now time.Time) bool {
 	server := d.byID[id]
-	if server == nil || d.limiter.engine == nil || !server.fresh(now) || server.slowdown < migrateThreshold {
+	if server == nil || d.pace.engine == nil || !server.fresh(now) || server.slowdown < migrateThreshold {
 		return false
 	}
 	normal := 0
@@ -94,8 +95,8 @@
 	return 2*normal > len(d.servers)
 }
 
-// reportedOpen returns whether most servers report that their group takes work,
-// and whether there are reports at all.
+// reportedOpen returns the state of the group according to the majority of the
+// servers with a recent report.
 func (d *Dispatcher) reportedOpen(now time.Time) reportedState {
 	open, closed := 0, 0
 	for _, server := range d.servers {
@@ -124,23 +125,24 @@
 	if s.silent && s.own > 0 || !s.sends.allows(d.warmUp, now) {
 		return false
 	}
-	if d.limiter.engine != nil && !s.fresh(now) {
+	if d.pace.engine != nil && !s.fresh(now) {
 		return s.own < unreportedLimit
 	}
 	return s.load(now) < max(1, s.candidate.Slots)
 }
 
-// load is the number of requests at the server, as far as known.
+// load returns the number of requests at the server, as far as known.
 func (s *server) load(now time.Time) int { return s.own + s.freshOthers(now) }
 
-// Tiers of servers, the best first.
+// Tiers of servers, in the order of preference.
 const (
 	normalServer = iota
 	slowServer
 	unlistedServer
 )
 
-// tier says which servers are taken before which, whatever their load.
+// tier returns the server's tier. A server of a better tier is preferred whatever
+// its load.
 func (s *server) tier(now time.Time) int {
 	switch {
 	case s.candidate.Unlisted:
@@ -163,7 +165,7 @@
 	return s.others
 }
 
-// writers returns the requests of all entries at the service, as far as known.
+// inFlight returns the requests of all entries at the service, as far as known.
 func (d *Dispatcher) inFlight(now time.Time) int {
 	total := 0
 	for _, server := range d.servers {
--- a/policy/dispatch/silence.go
+++ b/policy/dispatch/silence.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// silenceTimeout is how long a server with requests sends nothing before it
-	// counts as silent: four of the longest pauses that users allow, and two
-	// retransmissions of a lost packet. Callers leave after two seconds.
+	// silenceTimeout is how long a server with requests may send nothing before it
+	// counts as silent: four times the longest pause that users allow, and enough
+	// for two retransmissions of a lost packet. Callers give up after two seconds.
 	silenceTimeout = 500 * time.Millisecond
-	// firstEventSilenceTimeout holds for a server none of whose requests has had an event yet:
-	// in a group that has just opened, prompts wait for those of other entries. It is
-	// half of the time after which callers leave.
+	// firstEventSilenceTimeout applies while none of a server's requests has had an
+	// event: in a group that has just opened, prompts wait behind those of other
+	// entries. It is half of the time after which callers give up.
 	firstEventSilenceTimeout = time.Second
-	// groupActiveWindow is how recently another server of the group must have been
-	// heard of: two of the longest passes. If none was, the group stands still and
-	// its streams are as well off where they are.
+	// groupActiveWindow is how recently some server of the group must have sent an
+	// event: two of the longest passes. If none has, the whole group is stalled and
+	// moving its streams gains nothing.
 	groupActiveWindow = 250 * time.Millisecond
 )
 
-// ObserveEvent notes that a server has sent an event of a stream.
+// ObserveEvent records that a server has sent an event of a stream.
 func (d *Dispatcher) ObserveEvent(id string, now time.Time) {
 	if server := d.byID[id]; server != nil {
 		server.lastEventAt, server.silent = now, false
 	}
 }
 
-// silenceLimit is how long the server may send nothing.
+// silenceLimit returns how long the server may send nothing.
 func (s *server) silenceLimit() time.Duration {
 	if s.lastEventAt.After(s.busySince) {
 		return silenceTimeout
@@ -36,17 +36,18 @@
 }
 
 // FindSilent returns the servers that have requests of this entry and send
-// neither events nor reports while others of their group do, and passes them over
-// for a while. All servers of a group advance together, so the machine of such a
-// server stands still, or the way from it is cut. Streams that may go on elsewhere
-// should. One that reports has prompts that wait to be read.
+// neither events nor reports while others of their group send events, and excludes
+// them for a while. All servers of a group advance together, so the machine of a
+// silent server has stalled or the network path from it is cut. Streams that can
+// resume elsewhere should be moved. A server that still sends reports is not
+// silent: its prompts are waiting to be read.
 //
-// A silence that began while the whole group stood still is counted from the
-// moment at which the group went on. A silent server that is tried again gets one
-// request until it is heard of.
+// A silence that began while the whole group was stalled is counted from the
+// moment at which the group resumed. When a silent server is tried again, it gets
+// one request at a time until it sends an event.
 func (d *Dispatcher) FindSilent(now time.Time) []string {
-	if d.limiter.engine == nil {
-		return nil // Calls of plain services end when they end.
+	if d.pace.engine == nil {
+		return nil // Calls to plain services send nothing until they end, and may take any time.
 	}
 	d.trackGroupActivity(now)
 	if d.groupActiveSince.IsZero() {
@@ -66,8 +67,9 @@
 	return silent
 }
 
-// trackGroupActivity keeps the moment since which servers of the group have been heard
-// of without a long break; the zero time while none is.
+// trackGroupActivity updates groupActiveSince: the time since which the group's
+// servers have sent events without a break of groupActiveWindow, or the zero time
+// while none sends any.
 func (d *Dispatcher) trackGroupActivity(now time.Time) {
 	active := slices.ContainsFunc(d.servers, func(s *server) bool { return now.Sub(s.lastEventAt) < groupActiveWindow })
 	switch {
--- a/policy/dispatch/silence_test.go
+++ b/policy/dispatch/silence_test.go
@@ -12,9 +12,9 @@
 // pass is the time between two events of a stream in these tests.
 const pass = 80 * time.Millisecond
 
-// streamingDesk is the desk of an engine's service with one stream at each
-// server.
-func streamingDesk(servers int) *Dispatcher {
+// streamingDispatcher returns the dispatcher of an engine service with one stream
+// at each server.
+func streamingDispatcher(servers int) *Dispatcher {
 	d := NewDispatcher(WarmUpLimit{Entries: 1})
 	d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 	for _, server := range d.servers {
@@ -23,8 +23,8 @@
 	return d
 }
 
-// write lets the servers send an event in each pass until the time is over, and
-// returns the servers that were found silent meanwhile.
+// write lets the servers send an event in each pass for the given time, and
+// returns the servers found silent and the time at the end.
 func write(d *Dispatcher, from time.Time, lasting time.Duration, servers ...string) (silent []string, now time.Time) {
 	for now = from; now.Sub(from) < lasting; now = now.Add(pass) {
 		for _, id := range servers {
@@ -36,12 +36,12 @@
 }
 
 func TestOneSilentServer(t *testing.T) {
-	Convey("Given a group in which every server writes", t, func() {
-		d := streamingDesk(3)
+	Convey("Given a group in which every server sends events", t, func() {
+		d := streamingDispatcher(3)
 		silent, now := write(d, start, 2*time.Second, "s0", "s1", "s2")
 		So(silent, ShouldBeEmpty)
 
-		Convey("a server that falls silent while the others write is found, once", func() {
+		Convey("a server that falls silent while the others send events is reported once", func() {
 			silent, now = write(d, now, silenceTimeout+3*pass, "s0", "s2")
 			So(silent, ShouldResemble, []string{"s1"})
 			Convey("and gets no new requests for a while", func() {
@@ -51,11 +51,11 @@
 					So(decision.Server.ID, ShouldNotEqual, "s1")
 				}
 			})
-			Convey("and after its pause is tried again", func() {
+			Convey("and is tried again after its exclusion", func() {
 				d.Done("s1", CallerLeft, now)
 				_, now = write(d, now, initialExclusion, "s0", "s2")
 				So(d.byID["s1"].health.excluded(now), ShouldBeFalse)
-				Convey("with one request until it is heard of", func() {
+				Convey("with one request until it sends an event", func() {
 					tried := func() (tried int) {
 						for i := range 8 {
 							if d.Submit(ticket(uint64(i), now), float64(i)/8, now).Server.ID == "s1" {
@@ -71,37 +71,37 @@
 				})
 			})
 		})
-		Convey("a server that reports is not silent, however long its prompts wait to be read", func() {
+		Convey("a server that sends reports is not silent, however long its prompts wait to be read", func() {
 			for range 20 {
 				d.Report("s1", Report{Queued: 1, Open: true}, now)
 				silent, now = write(d, now, 2*pass, "s0", "s2")
 				So(silent, ShouldBeEmpty)
 			}
 		})
-		Convey("no server is found where the whole group stands still", func() {
+		Convey("no server is silent while the whole group is stalled", func() {
 			silent, _ = write(d, now, 3*time.Second)
 			So(silent, ShouldBeEmpty)
 		})
-		Convey("a group that goes on after standing still has time to write", func() {
+		Convey("a group that resumes after a stall gets time to send events", func() {
 			_, now = write(d, now, 3*time.Second)
 			d.ObserveEvent("s0", now)
 			So(d.FindSilent(now), ShouldBeEmpty)
 			silent, _ = write(d, now.Add(pass), 2*time.Second, "s0", "s1", "s2")
 			So(silent, ShouldBeEmpty)
 		})
-		Convey("a server without requests here can't be silent", func() {
+		Convey("a server without requests of this entry is not silent", func() {
 			d.Done("s1", Served, now)
 			silent, now = write(d, now, 2*time.Second, "s0", "s2")
 			So(silent, ShouldBeEmpty)
-			Convey("and its next request has as long as any to be heard of", func() {
+			Convey("and its next request gets the full time to its first event", func() {
 				d.byID["s1"].requestSent(now)
 				silent, _ = write(d, now, firstEventSilenceTimeout-pass, "s0", "s2")
 				So(silent, ShouldBeEmpty)
 			})
 		})
 	})
-	Convey("Servers of a plain service are never found silent: calls take as long as they take", t, func() {
-		d := plainDesk(2, 4)
+	Convey("Servers of a plain service are never silent, as calls may take any time", t, func() {
+		d := plainDispatcher(2, 4)
 		d.byID["s0"].requestSent(start)
 		d.byID["s1"].requestSent(start)
 		silent, _ := write(d, start, 3*time.Second, "s0")
--- a/policy/dispatch/warm_up_limit.go
+++ b/policy/dispatch/warm_up_limit.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// WarmUpLimit bounds the requests that this entry sends to one backend server in a
-// second: a server in cold start bears only a few from all entries together,
-// and it may turn cold without a word.
+// WarmUpLimit bounds the requests per second that this entry sends to one backend
+// server. A server in cold start can take only a few requests from all entries
+// together, and it may turn cold without notice.
 type WarmUpLimit struct {
-	PerSecond      float64 // What a cold server bears from all entries; 0 for no bound.
-	OverloadFactor float64 // Factor over PerSecond at which the server is overloaded.
-	Allowance      float64 // Requests in a second beyond that.
-	Entries        int     // Entries that may be running, counted high.
+	PerSecond      float64 // Requests per second that a cold server can take from all entries; 0 for no limit.
+	OverloadFactor float64 // Multiple of PerSecond at which the server is overloaded.
+	Allowance      float64 // Requests per second allowed beyond that.
+	Entries        int     // Upper estimate of the running entries.
 }
 
-// serversPerEntry is the least number of backend servers for each entry, spares
-// included, on large sites: 63 for 18. Small ones are covered by the count assumed.
+// serversPerEntry is the least number of backend servers per entry, spare entries
+// included, at large sites: 63 servers for 18 entries. Small sites are covered by
+// the initial value of Entries.
 const serversPerEntry = 3
 
-// raiseEntries counts the entries higher where there are many servers. The count never
-// falls: servers leave and come back, entries go on.
+// raiseEntries raises the estimate of running entries to match the number of
+// servers. It never lowers it: servers leave and come back while the entries keep
+// running.
 func (r *WarmUpLimit) raiseEntries(servers int) { r.Entries = max(r.Entries, servers/serversPerEntry) }
 
-// perEntryLimit returns the requests in a second that this entry may send to a server,
-// cold or not: it may have turned cold a moment ago.
+// perEntryLimit returns the requests per second that this entry may send to a
+// server, whether it is known to be cold or not: it may have just turned cold.
 func (r WarmUpLimit) perEntryLimit() float64 {
 	return (r.PerSecond*r.OverloadFactor + r.Allowance) / float64(max(1, r.Entries))
 }
 
-// sendWindow are the requests sent to one server within the last second.
+// sendWindow records when requests were sent to one server within the last second.
 type sendWindow struct{ sent []time.Time }
 
 func (w *sendWindow) allows(limit WarmUpLimit, now time.Time) bool {
@@ -42,4 +44,4 @@
 	return float64(len(w.sent)+1) <= max(1, limit.perEntryLimit())
 }
 
-func (w *sendWindow) add(now time.Time) { w.sent = append(w.sent, now) }
+func (w *sendWindow) requestSent(now time.Time) { w.sent = append(w.sent, now) }
