--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -1,15 +1,16 @@
-// Package admission decides which work an agent's backend server takes: the
-// agent alone admits.
+// Package admission decides which work an agent's backend server takes. Only the
+// agent admits work.
 //
 // Invariants:
-//   - Work is started only while all work at the backend server, also what was
+//   - Work is started only while all work at the backend server, including work
 //     not started by this agent, stays within the limit.
-//   - After any sign of coldness the limit is the cold limit, until a report
-//     taken later says that the backend server is warm, or, where the backend
-//     server makes no reports, until work was completed.
-//   - Where the backend server reports its load, never more work than the cold
-//     limit is under way without proof that the backend server was warm when it
-//     began: one that turns cold unannounced meets no more than it can bear.
+//   - After any sign of a cold start the limit is the cold limit, until a report
+//     taken later says that the backend server is warm or, if the backend server
+//     makes no reports, until work was completed.
+//   - If the backend server reports its load, the work in flight without proof
+//     that the backend server was warm when the work began never exceeds the cold
+//     limit. A backend server that turns cold unannounced therefore gets no more
+//     work than it can handle.
 package admission
 
 import (
@@ -20,26 +21,26 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Settings are what the configuration says of the backend server.
+// Settings is the configuration of the backend server.
 type Settings struct {
-	Full        int  // Requests at a time when warm.
-	Cold        int  // Requests at a time in cold start.
+	Full        int  // Concurrent requests when warm.
+	Cold        int  // Concurrent requests in cold start.
 	ReportsLoad bool // The backend server reports its load.
 }
 
-// Summary is what traffic goroutines may read of the State.
+// Summary is the part of the State that traffic goroutines may read.
 type Summary struct {
-	Limit     int // Requests at a time.
-	Running   int // Started by this agent.
-	External  int // At the backend server, but not started by this agent.
+	Limit     int // Concurrent requests.
+	Running   int // Requests started by this agent.
+	External  int // Requests at the backend server not started by this agent.
 	Queued    int
-	Cold      bool // In cold start, or in doubt.
+	Cold      bool // In cold start, or suspected to be.
 	Down      bool // The backend server can't be reached.
-	ColdSigns int  // Signs of coldness so far.
+	ColdSigns int  // Times that a cold start was newly suspected.
 }
 
-// State is the agent's account of its backend server. Only the Summary may be
-// read by other goroutines than the reducer's.
+// State is what the agent knows about its backend server. Goroutines other than
+// the reducer's may read only the Summary.
 type State struct {
 	Summary
 	settings Settings
@@ -49,77 +50,71 @@
 	running  map[uint64]*work
 	history  history
 
-	lastBegun time.Time // When the last first piece came.
+	lastBegun time.Time // When the latest first piece of any answer arrived.
 	index     *prefix.Index
 }
 
-// work is one piece of work that has been started.
+// work is one request that has been started.
 type work struct {
-	started time.Time
-	cost    float64   // Tokens that the backend server reads before the first piece.
-	begun   time.Time // When the backend server sent the first piece; zero before.
-	inDoubt bool      // Started while the backend server counted as cold.
-	proved  bool      // Begun by a warm backend server.
-	ended   time.Time // When its answer was given up or broken off; zero before.
+	started       time.Time
+	cost          float64   // Tokens that the backend server reads before the first piece.
+	begun         time.Time // When the backend server sent the first piece; zero before.
+	startedCold   bool      // Started while the backend server counted as cold.
+	confirmedWarm bool      // The backend server is known to have been warm when it began the work.
+	ended         time.Time // When its answer was abandoned or cut off; zero before.
 }
 
-// Asked is a request for a slot; Ticket names it in the effects.
+// Asked is a request for a slot. Ticket identifies it in the effects.
 type Asked struct {
 	Ticket   uint64
 	Org      string
-	Weight   float64 // Share of the organisation; 0 counts as 1.
+	Weight   float64 // The organisation's weight in fair queueing; 0 counts as 1.
 	Priority int     // 0 is the highest.
 	Deadline time.Time
 	Prompt   prefix.Prompt // Empty for a plain service.
 }
 
-// EventName implements reduce.Event.
 func (Asked) EventName() string { return "admission.asked" }
 
-// Left tells that the asker of a slot has gone before it got an answer.
+// Left reports that the caller has gone before its request for a slot was decided.
 type Left struct{ Ticket uint64 }
 
-// EventName implements reduce.Event.
 func (Left) EventName() string { return "admission.left" }
 
-// Closed tells why no new work may be started now: what is queued is refused.
+// Closed reports that no new work may be started now, and why. All queued work is
+// refused with Err.
 type Closed struct{ Err *result.Error }
 
-// EventName implements reduce.Event.
 func (Closed) EventName() string { return "admission.closed" }
 
-// Begun tells that the backend server has sent the first piece of an answer.
+// Begun reports that the backend server has sent the first piece of an answer.
 type Begun struct{ Ticket uint64 }
 
-// EventName implements reduce.Event.
 func (Begun) EventName() string { return "admission.begun" }
 
-// Released gives a slot back.
+// Released returns a slot.
 type Released struct {
 	Ticket    uint64
-	Completed bool // The backend server answered in whole.
-	Broken    bool // The backend server broke the answer off.
+	Completed bool // The backend server sent the whole answer.
+	Broken    bool // The backend server cut the answer off.
 }
 
-// EventName implements reduce.Event.
 func (Released) EventName() string { return "admission.released" }
 
-// Admit grants the slot to the ticket.
+// Admit grants a slot to the ticket.
 type Admit struct{ Ticket uint64 }
 
-// EffectName implements reduce.Effect.
 func (Admit) EffectName() string { return "admission.admit" }
 
-// Refuse denies the slot to the ticket.
+// Refuse denies a slot to the ticket.
 type Refuse struct {
 	Ticket uint64
 	Err    *result.Error
 }
 
-// EffectName implements reduce.Effect.
 func (Refuse) EffectName() string { return "admission.refuse" }
 
-// Configure takes in the settings; the zero State is valid.
+// Configure returns the state with new settings. The zero State is valid.
 func (s State) Configure(settings Settings) State {
 	if s.running == nil {
 		s.running = map[uint64]*work{}
@@ -132,7 +127,8 @@
 	return s
 }
 
-// Step reduces one input. The state must have been configured.
+// Step applies one input to the state and returns the resulting effects. The
+// state must have been configured.
 func Step(state State, input reduce.Input) (State, []reduce.Effect) {
 	effects := state.handle(input)
 	effects = append(effects, state.expire(input.Now)...)
@@ -156,7 +152,7 @@
 	case Reported:
 		s.report(event)
 	case Returned:
-		s.limit.doubt(input.Now, signReturned)
+		s.limit.suspectCold(input.Now, signReturned)
 	case Unreachable:
 		s.limit.unreachable(input.Now)
 	case CacheChanged:
@@ -169,15 +165,15 @@
 	return nil
 }
 
-// ask queues the work, unless the wait would be too long: then it is refused
-// at once, or pushes out the queued work that is furthest beyond its
-// organisation's share.
+// ask queues the work. If the wait would be too long, it refuses at once the
+// queued work that is furthest beyond its organisation's fair share, which may be
+// the new work.
 func (s *State) ask(event Asked, now time.Time) []reduce.Effect {
 	if s.limit.down {
 		return []reduce.Effect{Refuse{Ticket: event.Ticket, Err: s.refusal()}}
 	}
 	s.queue.push(event, s.cost(event.Prompt), now)
-	if s.wait() <= maxWait || s.startable() >= s.queue.len() {
+	if s.expectedWait() <= maxWait || s.availableSlots() >= s.queue.len() {
 		return nil
 	}
 	last := s.queue.popLast()
@@ -195,7 +191,7 @@
 // close refuses all queued work.
 func (s *State) close(err *result.Error, now time.Time) []reduce.Effect {
 	var effects []reduce.Effect
-	for _, ticket := range s.queue.popOverdue(now, true) {
+	for _, ticket := range s.queue.popExpired(now, true) {
 		effects = append(effects, Refuse{Ticket: ticket, Err: err})
 	}
 	return effects
@@ -205,7 +201,7 @@
 // has passed, and all of it when the backend server can't be reached.
 func (s *State) expire(now time.Time) []reduce.Effect {
 	var effects []reduce.Effect
-	for _, ticket := range s.queue.popOverdue(now, s.limit.down) {
+	for _, ticket := range s.queue.popExpired(now, s.limit.down) {
 		effects = append(effects, Refuse{Ticket: ticket, Err: s.refusal()})
 	}
 	return effects
@@ -214,31 +210,32 @@
 // start admits queued work while it may be started.
 func (s *State) start(now time.Time) []reduce.Effect {
 	var effects []reduce.Effect
-	for s.queue.len() > 0 && s.startable() > 0 {
+	for s.queue.len() > 0 && s.availableSlots() > 0 {
 		asked := s.queue.popFirst()
 		ticket := asked.Ticket
-		s.running[ticket] = &work{started: now, cost: s.cost(asked.Prompt), inDoubt: s.limit.doubted()}
+		s.running[ticket] = &work{started: now, cost: s.cost(asked.Prompt), startedCold: s.limit.coldSuspected()}
 		s.index.Note(asked.Prompt.Blocks)
-		s.history.record(now, s.alive())
+		s.history.record(now, s.activeCount())
 		effects = append(effects, Admit{Ticket: ticket})
 	}
 	return effects
 }
 
-// startable returns how much more work may be started now.
-func (s *State) startable() int {
+// availableSlots returns how many more requests may be started now.
+func (s *State) availableSlots() int {
 	if s.limit.down || s.limit.unknown(s.settings) {
 		return 0
 	}
-	within := max(0, s.currentLimit()-len(s.running)-s.limit.foreign)
+	within := max(0, s.currentLimit()-len(s.running)-s.limit.external)
 	if !s.settings.ReportsLoad {
 		return within
 	}
-	return max(0, min(within, s.settings.Cold-s.unproved()))
+	return max(0, min(within, s.settings.Cold-s.unconfirmed()))
 }
 
-// alive counts the running work whose answer was not given up.
-func (s *State) alive() int {
+// activeCount returns the number of running requests whose answer was neither
+// abandoned nor cut off.
+func (s *State) activeCount() int {
 	count := 0
 	for _, w := range s.running {
 		if w.ended.IsZero() {
@@ -248,13 +245,13 @@
 	return count
 }
 
-// unproved counts the work that may be a burden to a backend server which has
-// turned cold unnoticed: it was started, and neither its first piece nor a
-// later report has shown that the backend server was warm.
-func (s *State) unproved() int {
+// unconfirmed returns the number of started requests for which neither the first
+// piece nor a later report has shown that the backend server was warm. They may
+// overload a backend server that has turned cold unnoticed.
+func (s *State) unconfirmed() int {
 	count := 0
 	for _, w := range s.running {
-		if !w.proved {
+		if !w.confirmedWarm {
 			count++
 		}
 	}
@@ -269,31 +266,31 @@
 		return
 	}
 	w.begun = now
-	s.judge(w, now)
+	s.evaluateFirstPiece(w, now)
 }
 
-// judge takes a late first piece for a sign of coldness; one in time proves,
-// once the usual pace is known, that the backend server was warm. A backend
-// server reads one prompt after the other, so the time counts from the first
-// piece before.
-func (s *State) judge(w *work, now time.Time) {
+// evaluateFirstPiece treats a late first piece as a sign of a cold start. One that
+// is in time proves, once the usual pace is known, that the backend server was
+// warm. A backend server reads one prompt after the other, so the time is counted
+// from the previous first piece if that is later than the start.
+func (s *State) evaluateFirstPiece(w *work, now time.Time) {
 	took, cost := now.Sub(later(w.started, s.lastBegun)), w.cost
 	s.lastBegun = now
-	if s.limit.doubted() || w.inDoubt {
+	if s.limit.coldSuspected() || w.startedCold {
 		s.pace.learnCold(took, cost)
 		return
 	}
 	if s.pace.late(took, cost) {
-		s.limit.doubt(now, signLate)
-		s.pace.suspect(took, cost)
+		s.limit.suspectCold(now, signLate)
+		s.pace.recordLate(took, cost)
 		return
 	}
-	if s.pace.known() {
-		s.prove(w)
+	if s.pace.calibrated() {
+		s.confirmWarm(w)
 	}
-	s.pace.sample(now, took, cost)
+	s.pace.addSample(now, took, cost)
 	if !s.settings.ReportsLoad {
-		s.pace.confirm(now)
+		s.pace.learnUntil(now)
 	}
 }
 
@@ -304,10 +301,10 @@
 	return two
 }
 
-// prove records that the backend server was warm when the work began.
-func (s *State) prove(w *work) {
-	if !w.proved {
-		w.proved = true
+// confirmWarm records that the backend server was warm when the work began.
+func (s *State) confirmWarm(w *work) {
+	if !w.confirmedWarm {
+		w.confirmedWarm = true
 		s.limit.raise(s.settings, len(s.running))
 	}
 }
@@ -319,8 +316,8 @@
 	return cost(prompt.Tokens, cached)
 }
 
-// pending returns the cost of the started work without a first piece.
-func (s *State) pending() float64 {
+// pendingCost returns the cost of the started work without a first piece.
+func (s *State) pendingCost() float64 {
 	total := 0.0
 	for _, w := range s.running {
 		if w.begun.IsZero() && w.ended.IsZero() {
@@ -330,30 +327,30 @@
 	return total
 }
 
-// release gives the slot back. Work that was given up or broken off may still
-// run at the backend server, so where that reports its load, the slot stays
-// taken until a later report has shown what runs.
+// release returns the slot. Work that was abandoned or cut off may still run at
+// the backend server. If the backend server reports its load, the slot therefore
+// stays taken until a later report has shown what runs.
 func (s *State) release(event Released, now time.Time) {
 	w, ok := s.running[event.Ticket]
 	if !ok || !w.ended.IsZero() {
 		return
 	}
 	if event.Broken {
-		s.limit.doubt(now, signReset)
+		s.limit.suspectCold(now, signReset)
 	}
 	w.ended = now
 	if event.Completed || !s.settings.ReportsLoad {
 		delete(s.running, event.Ticket)
 	}
-	s.history.record(now, s.alive())
+	s.history.record(now, s.activeCount())
 	if event.Completed {
-		s.pace.complete(now.Sub(w.started))
+		s.pace.recordCompleted(now.Sub(w.started))
 		s.limit.completed(s.settings, len(s.running)+1)
 	}
 }
 
-// settle frees the slots of work that ended before the report was true.
-func (s *State) settle(at time.Time) {
+// freeEnded frees the slots of work that ended before the time at of a report.
+func (s *State) freeEnded(at time.Time) {
 	for ticket, w := range s.running {
 		if !w.ended.IsZero() && at.After(w.ended) {
 			delete(s.running, ticket)
@@ -363,35 +360,35 @@
 
 func (s *State) summarise() {
 	s.Summary = Summary{
-		Limit: s.currentLimit(), Running: len(s.running), External: s.limit.foreign, Queued: s.queue.len(),
-		Cold: s.limit.doubted(), Down: s.limit.down, ColdSigns: s.limit.doubts,
+		Limit: s.currentLimit(), Running: len(s.running), External: s.limit.external, Queued: s.queue.len(),
+		Cold: s.limit.coldSuspected(), Down: s.limit.down, ColdSigns: s.limit.coldSigns,
 	}
 }
 
-// refusal tells why no more work is taken, and when to come back.
+// refusal returns the error that says why no more work is taken and when to retry.
 func (s *State) refusal() *result.Error {
-	err := &result.Error{Code: result.Overloaded, RetryAfter: s.comeBack()}
+	err := &result.Error{Code: result.Overloaded, RetryAfter: s.retryAfter()}
 	switch {
 	case s.limit.down:
 		err.Code, err.RetryAfter = result.NoBackendServer, downRetryAfter
-	case s.limit.doubted():
+	case s.limit.coldSuspected():
 		err.Code = result.ColdStart
 	}
 	return err
 }
 
-// comeBack is the time in which the queue will have shrunk by half.
-func (s *State) comeBack() time.Duration {
-	return max(minRetryAfter, s.wait()/2)
+// retryAfter returns the expected time until the queue has shrunk by half.
+func (s *State) retryAfter() time.Duration {
+	return max(minRetryAfter, s.expectedWait()/2)
 }
 
-// wait is the expected time in the queue of the work queued last: for a slot,
-// and for the prompts before it to be read.
-func (s *State) wait() time.Duration {
-	reading := s.pace.first(s.queue.cost, s.limit.doubted())
-	beyond := len(s.running) + s.limit.foreign + s.queue.len() - s.currentLimit()
+// expectedWait returns the expected time in the queue of the work queued last:
+// until a slot is free and the prompts ahead of it have been read.
+func (s *State) expectedWait() time.Duration {
+	reading := s.pace.timeToFirstPiece(s.queue.cost, s.limit.coldSuspected())
+	beyond := len(s.running) + s.limit.external + s.queue.len() - s.currentLimit()
 	if beyond <= 0 || s.currentLimit() == 0 {
 		return reading
 	}
-	return reading + s.pace.service()*time.Duration(beyond)/time.Duration(s.currentLimit())
+	return reading + s.pace.serviceTime()*time.Duration(beyond)/time.Duration(s.currentLimit())
 }
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -22,13 +22,13 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// driver feeds a State and keeps its own account of it.
+// driver applies events to a State and tracks the expected state on its own.
 type driver struct {
 	state   State
 	now     time.Time
 	next    uint64
 	asked   map[uint64]time.Time
-	running map[uint64]bool // Whether begun.
+	running map[uint64]bool // Whether the first piece has arrived.
 	refused map[uint64]*result.Error
 	order   []uint64 // Tickets in the order of their admission.
 }
@@ -67,7 +67,7 @@
 	d.step(Reported{BootID: boot, Running: running, Cold: cold, At: d.now, AgentStarted: epoch})
 }
 
-// warm brings the driver's limit to full.
+// warm completes work until the limit reaches full.
 func (d *driver) warm(full int) {
 	for d.state.Limit < full {
 		d.now = d.now.Add(time.Second)
@@ -101,7 +101,7 @@
 	return lowest, found
 }
 
-// The invariants of the package hold for any order of events.
+// The invariants of the package must hold for any order of events.
 func TestAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{Full: 16, Cold: rapid.IntRange(1, 4).Draw(t, "cold"), ReportsLoad: rapid.Bool().Draw(t, "reports")}
@@ -109,7 +109,7 @@
 		lastSign := time.Time{}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			d.now = d.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			before, foreign := len(d.order), d.state.External
+			before, external := len(d.order), d.state.External
 			switch rapid.SampledFrom([]string{"ask", "ask", "ask", "begin", "complete", "complete", "break", "leave", "report", "warm", "cold", "tick"}).Draw(t, "action") {
 			case "ask":
 				org := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "org")
@@ -136,54 +136,54 @@
 					break
 				}
 			case "report":
-				foreign = rapid.IntRange(0, 6).Draw(t, "foreign")
-				d.report("boot", len(d.running)+foreign, false)
+				external = rapid.IntRange(0, 6).Draw(t, "foreign")
+				d.report("boot", len(d.running)+external, false)
 			case "warm":
-				foreign = 0
+				external = 0
 				d.report("boot", len(d.running), false)
 			case "cold":
-				foreign, lastSign = 0, d.now
+				external, lastSign = 0, d.now
 				d.report("boot", len(d.running), true)
 			}
 			d.step(reduce.Tick{})
-			checkInvariants(t, d, settings, before, foreign, lastSign)
+			checkInvariants(t, d, settings, before, external, lastSign)
 		}
 	})
 }
 
-func checkInvariants(t *rapid.T, d *driver, settings Settings, before, foreign int, lastSign time.Time) {
+func checkInvariants(t *rapid.T, d *driver, settings Settings, before, external int, lastSign time.Time) {
 	started := len(d.order) > before
-	if started && len(d.running)+foreign > d.state.Limit {
-		t.Fatalf("%d running and %d foreign beyond the limit %d", len(d.running), foreign, d.state.Limit)
+	if started && len(d.running)+external > d.state.Limit {
+		t.Fatalf("%d running and %d external requests exceed the limit %d", len(d.running), external, d.state.Limit)
 	}
 	if d.state.Limit > settings.Full {
-		t.Fatalf("limit %d beyond the full limit", d.state.Limit)
+		t.Fatalf("limit %d exceeds the full limit", d.state.Limit)
 	}
 	if lastSign.Equal(d.now) && d.state.Limit > settings.Cold {
-		t.Fatalf("limit %d right after a sign of coldness", d.state.Limit)
+		t.Fatalf("limit %d right after a sign of a cold start", d.state.Limit)
 	}
-	unproved := 0
+	unconfirmed := 0
 	for _, begun := range d.running {
 		if !begun {
-			unproved++
+			unconfirmed++
 		}
 	}
-	if settings.ReportsLoad && started && unproved > settings.Cold {
-		t.Fatalf("%d pieces of work without a first piece, cold limit %d", unproved, settings.Cold)
+	if settings.ReportsLoad && started && unconfirmed > settings.Cold {
+		t.Fatalf("%d requests without a first piece, cold limit %d", unconfirmed, settings.Cold)
 	}
 	for ticket, since := range d.asked {
 		if d.now.Sub(since) > maxWait {
-			t.Fatalf("ticket %d waits since %v", ticket, d.now.Sub(since))
+			t.Fatalf("ticket %d has waited for %v", ticket, d.now.Sub(since))
 		}
 	}
 	for ticket, err := range d.refused {
 		if err.Code != result.Cancelled && err.RetryAfter <= 0 {
-			t.Fatalf("refusal %v of ticket %d does not say when to come back", err, ticket)
+			t.Fatalf("refusal %v of ticket %d has no retry time", err, ticket)
 		}
 	}
 }
 
-func TestAnAgentThatRestartsCountsTheWorkOfItsPredecessor(t *testing.T) {
+func TestRestartedAgentCountsEarlierWork(t *testing.T) {
 	d := newDriver(Settings{Full: 16, Cold: 4, ReportsLoad: true})
 	d.ask("a", 1, 0)
 	if len(d.order) != 0 {
@@ -195,12 +195,12 @@
 		d.ask("a", 1, 0)
 	}
 	if len(d.order) != 1 {
-		t.Fatalf("started %d beside 3 of the predecessor, cold limit 4", len(d.order))
+		t.Fatalf("started %d besides 3 earlier requests, cold limit 4", len(d.order))
 	}
 }
 
-// A report may lack work that was on its way to the engine when it was made.
-func TestWorkOnItsWayDoesNotHideThatOfAPredecessor(t *testing.T) {
+// A report may not include work that was on its way to the engine when it was made.
+func TestWorkInTransitDoesNotHideEarlierWork(t *testing.T) {
 	d := newDriver(Settings{Full: 16, Cold: 4, ReportsLoad: true})
 	d.now = d.now.Add(time.Second)
 	d.report("boot", 3, true)
@@ -208,12 +208,12 @@
 	d.ask("a", 1, 0)
 	d.report("boot", 3, true)
 	if len(d.order) != 1 {
-		t.Fatalf("started %d beside 3 of the predecessor, cold limit 4", len(d.order))
+		t.Fatalf("started %d besides 3 earlier requests, cold limit 4", len(d.order))
 	}
 }
 
-// An engine may go on with work that was given up.
-func TestWorkGivenUpKeepsItsSlotUntilALaterReport(t *testing.T) {
+// An engine may continue work that was abandoned.
+func TestAbandonedWorkKeepsItsSlotUntilALaterReport(t *testing.T) {
 	d := newDriver(Settings{Full: 16, Cold: 2, ReportsLoad: true})
 	d.now = d.now.Add(time.Second)
 	d.report("boot", 0, true)
@@ -225,16 +225,16 @@
 	}
 	d.ask("a", 1, 0)
 	if len(d.order) != 2 {
-		t.Fatalf("started %d beside 2 that may still run", len(d.order)-2)
+		t.Fatalf("started %d besides 2 that may still run", len(d.order)-2)
 	}
 	d.now = d.now.Add(100 * time.Millisecond)
 	d.report("boot", 1, true)
 	if len(d.order) != 3 {
-		t.Fatalf("started %d beside 1 that still runs", len(d.order)-2)
+		t.Fatalf("started %d besides 1 that still runs", len(d.order)-2)
 	}
 }
 
-func TestEachSignOfColdnessLowersTheLimitAtOnce(t *testing.T) {
+func TestEveryColdSignLowersTheLimit(t *testing.T) {
 	signs := map[string]func(d *driver){
 		"reset": func(d *driver) { d.step(Released{Ticket: d.ask("a", 1, 0), Broken: true}) },
 		"late first piece": func(d *driver) {
@@ -250,17 +250,17 @@
 			d.step(reduce.Tick{})
 		},
 	}
-	for name, give := range signs {
+	for name, apply := range signs {
 		d := newDriver(Settings{Full: 16, Cold: 2, ReportsLoad: true})
 		d.warm(16)
-		give(d)
+		apply(d)
 		if d.state.Limit != 2 || !d.state.Cold {
-			t.Errorf("after %s the limit is %d", name, d.state.Limit)
+			t.Errorf("after the sign %q the limit is %d", name, d.state.Limit)
 		}
 	}
 }
 
-func TestAFalseAlarmEndsWithALaterWarmReport(t *testing.T) {
+func TestLaterWarmReportEndsFalseAlarm(t *testing.T) {
 	d := newDriver(Settings{Full: 16, Cold: 2, ReportsLoad: true})
 	d.warm(16)
 	ticket := d.ask("a", 1, 0)
@@ -278,8 +278,8 @@
 	}
 }
 
-// While two organisations ask for more than there is, each gets work by its
-// weight; low priority gets less, but some.
+// While organisations ask for more than the limit, each gets work by its weight.
+// Low priority gets less but is not starved.
 func TestSharesFollowWeightsAndPriorities(t *testing.T) {
 	d := newDriver(Settings{Full: 4, Cold: 4})
 	owner := map[uint64]string{}
@@ -300,14 +300,14 @@
 		d.step(Released{Ticket: ticket, Completed: true})
 	}
 	if ratio := float64(served["three"]) / float64(served["one"]); ratio < 2.7 || ratio > 3.3 {
-		t.Errorf("served %v: weight 3 got %.2f times weight 1", served, ratio)
+		t.Errorf("served %v: weight 3 got %.2f times as much as weight 1", served, ratio)
 	}
 	if ratio := float64(served["one"]) / float64(served["low"]); ratio < 7 || ratio > 9 {
-		t.Errorf("served %v: the high priority got %.2f times the low", served, ratio)
+		t.Errorf("served %v: high priority got %.2f times as much as low priority", served, ratio)
 	}
 }
 
-func TestASurgingOrganisationDoesNotPushOutOthers(t *testing.T) {
+func TestOrganisationBurstDoesNotStarveOthers(t *testing.T) {
 	d := newDriver(Settings{Full: 4, Cold: 4})
 	d.ask("seed", 1, 0)
 	d.now = d.now.Add(time.Second)
--- a/policy/admission/limit.go
+++ b/policy/admission/limit.go
@@ -4,125 +4,127 @@
 
 const (
 	maxWait        = 2 * time.Second        // Longest time in the queue.
-	minRetryAfter  = 100 * time.Millisecond // Shortest time told to come back.
-	downRetryAfter = time.Second            // Told while the backend server can't be reached.
-	defaultService = time.Second            // Time of one request before any was completed.
-	reportMaxAge   = 3 * time.Second        // Age from which the last report counts as none.
-
-	// completionsBeforeRaise is how often the cold limit must be completed by a
-	// backend server without reports before its limit is raised.
+	minRetryAfter  = 100 * time.Millisecond // Shortest Retry-After.
+	downRetryAfter = time.Second            // Retry-After while the backend server can't be reached.
+	defaultService = time.Second            // Assumed time of one request before any was completed.
+	reportMaxAge   = 3 * time.Second        // Age above which the last report counts as missing.
+
+	// completionsBeforeRaise is the number of completed requests, as a multiple of
+	// the cold limit, after which the limit of a backend server without reports is
+	// raised.
 	completionsBeforeRaise = 2
 )
 
-// sign is a sign of coldness.
+// sign is a sign of a cold start.
 type sign int
 
 const (
 	signNone     sign = iota
 	signStart         // The agent itself has just started.
-	signLate          // A first piece came late.
-	signReset         // An answer was broken off, or a connection was refused.
-	signBoot          // A report carries another boot id.
-	signReport        // A report says cold.
-	signSilent        // No recent report.
-	signReturned      // It was taken out of service, and is back.
+	signLate          // A first piece was late.
+	signReset         // An answer was cut off, or a connection was refused.
+	signBoot          // A report has another boot ID.
+	signReport        // A report says that the backend server is cold.
+	signSilent        // There is no recent report.
+	signReturned      // The backend server was taken out of service and has returned.
 )
 
-// refutable reports whether a warm report proves the sign to be a false alarm,
-// so that the former limit holds again at once.
+// refutable reports whether a warm report shows that the sign was a false alarm,
+// so that the previous limit is restored at once.
 func (s sign) refutable() bool {
 	return s == signLate || s == signSilent || s == signReturned
 }
 
-// limiter holds what is known of the backend server's state.
+// limiter tracks the backend server's state and the concurrency limit.
 type limiter struct {
-	open     sign      // The worst sign since the last warm report; signNone when warm.
-	since    time.Time // Time of the last sign.
-	raised   int       // Limit reached by completed work; 0 for the cold limit.
-	former   int       // raised before the first open sign.
-	finished int       // Work completed since the last sign.
-	foreign  int
-	down     bool
-	doubts   int
+	openSign           sign      // The most serious sign since the last warm report; signNone when warm.
+	lastSignAt         time.Time // Time of the last sign.
+	raisedLimit        int       // Limit reached through completed work; 0 for the cold limit.
+	limitBeforeSign    int       // raisedLimit before the first sign of the current suspicion.
+	completedSinceSign int       // Requests completed since the last sign.
+	external           int
+	down               bool
+	coldSigns          int
 
 	bootID     string
 	reported   bool // A report taken after the agent's start has arrived.
 	lastReport time.Time
 }
 
-func newLimiter() limiter { return limiter{open: signStart} }
+func newLimiter() limiter { return limiter{openSign: signStart} }
 
-func (l *limiter) doubted() bool { return l.open != signNone }
+func (l *limiter) coldSuspected() bool { return l.openSign != signNone }
 
-// unknown reports whether nothing is known yet of work that runs at the
-// backend server since before the agent's start.
+// unknown reports whether it is not known yet how much work from before the
+// agent's start runs at the backend server.
 func (l *limiter) unknown(settings Settings) bool { return settings.ReportsLoad && !l.reported }
 
-// current returns the limit: a doubt has set raised back, and nothing raises it
-// meanwhile.
+// current returns the limit. While a cold start is suspected, raisedLimit is 0 and
+// does not rise, so the limit is the cold limit.
 func (l *limiter) current(settings Settings) int {
-	return min(settings.Full, max(settings.Cold, l.raised))
+	return min(settings.Full, max(settings.Cold, l.raisedLimit))
 }
 
-// doubt lowers the limit at once.
-func (l *limiter) doubt(at time.Time, sign sign) {
-	if !l.doubted() {
-		l.former = l.raised
-		l.doubts++
+// suspectCold records a sign of a cold start and lowers the limit at once.
+func (l *limiter) suspectCold(at time.Time, sign sign) {
+	if !l.coldSuspected() {
+		l.limitBeforeSign = l.raisedLimit
+		l.coldSigns++
 	}
-	if !l.doubted() || !sign.refutable() {
-		l.open = sign
+	if !l.coldSuspected() || !sign.refutable() {
+		l.openSign = sign
 	}
-	l.raised = 0
-	l.finished = 0
-	if at.After(l.since) {
-		l.since = at
+	l.raisedLimit = 0
+	l.completedSinceSign = 0
+	if at.After(l.lastSignAt) {
+		l.lastSignAt = at
 	}
 }
 
-// warm ends the doubt. A false alarm restores the former limit; after the
-// agent's own start the backend server has shown to bear what it runs.
-func (l *limiter) warm(runs int) {
+// endSuspicion records that the backend server is warm. After a false alarm the
+// previous limit is restored. After the agent's own start the limit becomes the
+// number of requests that run, which the backend server evidently can handle.
+func (l *limiter) endSuspicion(runs int) {
 	switch {
-	case l.open.refutable():
-		l.raised = l.former
-	case l.open == signStart:
-		l.raised = runs
+	case l.openSign.refutable():
+		l.raisedLimit = l.limitBeforeSign
+	case l.openSign == signStart:
+		l.raisedLimit = runs
 	}
-	l.open = signNone
-	l.finished = 0
+	l.openSign = signNone
+	l.completedSinceSign = 0
 }
 
-// completed counts completed work, which ends the doubt about a backend server
-// without reports, and raises the limit.
+// completed counts a completed request and raises the limit. Enough completed
+// requests end the suspicion of a cold start at a backend server without reports.
 func (l *limiter) completed(settings Settings, running int) {
-	l.finished++
-	if !settings.ReportsLoad && l.doubted() && l.finished >= completionsBeforeRaise*settings.Cold {
-		l.warm(running)
+	l.completedSinceSign++
+	if !settings.ReportsLoad && l.coldSuspected() && l.completedSinceSign >= completionsBeforeRaise*settings.Cold {
+		l.endSuspicion(running)
 	}
-	if !l.doubted() {
+	if !l.coldSuspected() {
 		l.raise(settings, running)
 	}
 }
 
-// raise raises the limit by one, where the work under way came near it.
+// raise raises the limit by one if at least half of it is in use.
 func (l *limiter) raise(settings Settings, running int) {
 	if limit := l.current(settings); running*2 >= limit {
-		l.raised = min(settings.Full, limit+1)
+		l.raisedLimit = min(settings.Full, limit+1)
 	}
 }
 
-// unreachable takes a refused connection for the end of a boot.
+// unreachable treats a refused connection as the end of the current boot.
 func (l *limiter) unreachable(now time.Time) {
-	l.doubt(now, signReset)
+	l.suspectCold(now, signReset)
 	l.down = true
 }
 
 func (l *limiter) tick(settings Settings, now time.Time) {
-	if !settings.ReportsLoad && l.down && now.Sub(l.since) > downRetryAfter {
+	if !settings.ReportsLoad && l.down && now.Sub(l.lastSignAt) > downRetryAfter {
 		l.down = false
 	}
-	if settings.ReportsLoad && l.reported && !l.doubted() && now.Sub(l.lastReport) > reportMaxAge {
-		l.doubt(now, signSilent)
+	if settings.ReportsLoad && l.reported && !l.coldSuspected() && now.Sub(l.lastReport) > reportMaxAge {
+		l.suspectCold(now, signSilent)
 	}
 }
--- a/policy/admission/offer.go
+++ b/policy/admission/offer.go
@@ -6,23 +6,22 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Probed asks what the agent could take; the answer is an Offer.
+// Probed asks what work the agent could take. The answer is an Offer.
 type Probed struct {
 	Ticket uint64
 	Tokens int // Length of the prompt.
 	Blocks int
-	Sample []uint64 // Hashes at the marks of the prompt's blocks.
+	Sample []uint64 // Hashes of the prompt's blocks, as prefix.Sample selects them.
 }
 
-// EventName implements reduce.Event.
 func (Probed) EventName() string { return "admission.probed" }
 
-// Offer answers Probed.
+// Offer is the answer to Probed.
 type Offer struct {
 	Ticket       uint64
 	Refuses      result.Code // OK, or why no new work is taken.
 	RetryAfter   time.Duration
-	Headroom     int // Requests below the limit; negative when more are queued.
+	Headroom     int // Free slots minus queued requests; may be negative.
 	Running      int
 	Queued       int
 	Cold         bool
@@ -30,19 +29,18 @@
 	FirstToken   time.Duration // Expected time to first token.
 }
 
-// EffectName implements reduce.Effect.
 func (Offer) EffectName() string { return "admission.offer" }
 
 func (s *State) offer(event Probed) Offer {
 	cached := s.index.Lookup(event.Sample, event.Blocks)
-	wait := s.wait()
+	expectedWait := s.expectedWait()
 	offer := Offer{
 		Ticket: event.Ticket, Refuses: result.OK,
-		Headroom: s.currentLimit() - len(s.running) - s.limit.foreign - s.queue.len(), Running: len(s.running) + s.limit.foreign, Queued: s.queue.len(),
-		Cold: s.limit.doubted(), CachedBlocks: cached,
-		FirstToken: wait + s.pace.first(s.pending()+cost(event.Tokens, cached), s.limit.doubted()),
+		Headroom: s.currentLimit() - len(s.running) - s.limit.external - s.queue.len(), Running: len(s.running) + s.limit.external, Queued: s.queue.len(),
+		Cold: s.limit.coldSuspected(), CachedBlocks: cached,
+		FirstToken: expectedWait + s.pace.timeToFirstPiece(s.pendingCost()+cost(event.Tokens, cached), s.limit.coldSuspected()),
 	}
-	if s.limit.down || s.limit.unknown(s.settings) || wait > maxWait {
+	if s.limit.down || s.limit.unknown(s.settings) || expectedWait > maxWait {
 		err := s.refusal()
 		offer.Refuses, offer.RetryAfter = err.Code, err.RetryAfter
 	}
--- a/policy/admission/pace.go
+++ b/policy/admission/pace.go
@@ -7,84 +7,87 @@
 )
 
 const (
-	lateFactor   = 3                      // A first piece later than this many times the usual is late.
-	lateSlack    = 50 * time.Millisecond  // Added for the jitter of the agent's own machine.
-	baseTokens   = 64                     // Cost of a first piece besides its uncached tokens, in tokens.
-	minSamples   = 4                      // Samples before any first piece counts as late.
-	maxUnsure    = 64                     // Samples kept until a report tells whether they count.
-	slowdownStep = 1.2                    // Most that one false alarm changes the usual pace.
-	learnWeight  = 0.05                   // Weight of a new sample.
-	coldWeight   = 0.2                    // Weight of a new sample in cold start.
-	coldFactor   = 4                      // Slowness in cold start before any sample.
-	defaultPace  = 200 * time.Microsecond // For each token of cost before any sample.
+	lateFactor        = 3                      // Multiple of the usual time from which a first piece is late.
+	lateSlack         = 50 * time.Millisecond  // Allowance for scheduling jitter on the agent's machine.
+	baseTokens        = 64                     // Fixed cost of a first piece, in tokens, besides the uncached tokens.
+	minSamples        = 4                      // Samples needed before a first piece can count as late.
+	maxPendingSamples = 64                     // Samples kept until a report shows whether they count.
+	slowdownStep      = 1.2                    // Largest factor by which one false alarm changes the usual pace.
+	learnWeight       = 0.05                   // Weight of a new sample.
+	coldWeight        = 0.2                    // Weight of a new sample in cold start.
+	coldFactor        = 4                      // Slowdown assumed in cold start before any sample.
+	defaultPace       = 200 * time.Microsecond // Time per token of cost assumed before any sample.
 )
 
-// cost returns the tokens that a backend server reads before the first piece:
-// those not cached, and a base.
+// cost returns the cost, in tokens, of reading a prompt before the first piece:
+// the tokens not cached and a fixed base.
 func cost(tokens, cachedBlocks int) float64 {
 	return float64(baseTokens + max(0, tokens-cachedBlocks*prefix.BlockTokens))
 }
 
-// pace is what the agent has learnt of its backend server's speed.
+// pace estimates the backend server's speed from observed answers.
 type pace struct {
-	samples   int
-	warm      float64 // Seconds to the first piece for each token of cost.
-	cold      float64 // The same in cold start; 0 before any sample.
-	suspected float64 // The same of the last late first piece.
-	unsure    []paceSample
-	each      float64 // Seconds of one whole request; 0 before any was completed.
+	samples             int
+	warm                float64 // Seconds to the first piece per token of cost.
+	cold                float64 // The same in cold start; 0 before any sample.
+	lateSecondsPerToken float64 // The same for the latest late first piece.
+	pendingSamples      []paceSample
+	requestSeconds      float64 // Duration of one whole request in seconds; 0 before any was completed.
 }
 
 type paceSample struct {
-	at   time.Time
-	each float64 // Seconds for each token of cost.
+	at              time.Time
+	secondsPerToken float64 // Seconds to the first piece per token of cost.
 }
 
-// first returns the expected time to the first piece after reading the cost.
-func (p *pace) first(cost float64, cold bool) time.Duration {
-	each := p.warm
+// timeToFirstPiece returns the expected time to the first piece of a prompt with
+// this cost.
+func (p *pace) timeToFirstPiece(cost float64, cold bool) time.Duration {
+	secondsPerToken := p.warm
 	if p.samples == 0 {
-		each = defaultPace.Seconds()
+		secondsPerToken = defaultPace.Seconds()
 	}
 	switch {
 	case cold && p.cold > 0:
-		each = p.cold
+		secondsPerToken = p.cold
 	case cold:
-		each *= coldFactor
+		secondsPerToken *= coldFactor
 	}
-	return seconds(each * cost)
+	return seconds(secondsPerToken * cost)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// known reports whether the usual pace is known.
-func (p *pace) known() bool { return p.samples >= minSamples }
+// calibrated reports whether there are enough samples to know the usual pace.
+func (p *pace) calibrated() bool { return p.samples >= minSamples }
 
 func (p *pace) late(took time.Duration, cost float64) bool {
-	return p.known() && took > lateFactor*p.first(cost, false)+lateSlack
+	return p.calibrated() && took > lateFactor*p.timeToFirstPiece(cost, false)+lateSlack
 }
 
-// sample keeps the time to a first piece until it is known whether the backend
+// addSample keeps the time to a first piece until it is known whether the backend
 // server was warm.
-func (p *pace) sample(now time.Time, took time.Duration, cost float64) {
-	if len(p.unsure) >= maxUnsure {
-		p.unsure = p.unsure[1:]
+func (p *pace) addSample(now time.Time, took time.Duration, cost float64) {
+	if len(p.pendingSamples) >= maxPendingSamples {
+		p.pendingSamples = p.pendingSamples[1:]
 	}
-	p.unsure = append(p.unsure, paceSample{at: now, each: took.Seconds() / cost})
+	p.pendingSamples = append(p.pendingSamples, paceSample{at: now, secondsPerToken: took.Seconds() / cost})
 }
 
-// confirm learns the samples up to the time: the backend server was warm.
-func (p *pace) confirm(at time.Time) {
-	for len(p.unsure) > 0 && !p.unsure[0].at.After(at) {
+// learnUntil learns from the samples up to the time at, as the backend server was
+// warm until then.
+func (p *pace) learnUntil(at time.Time) {
+	for len(p.pendingSamples) > 0 && !p.pendingSamples[0].at.After(at) {
 		p.samples++
 		weight := max(learnWeight, 1/float64(p.samples))
-		p.warm += weight * (p.unsure[0].each - p.warm)
-		p.unsure = p.unsure[1:]
+		p.warm += weight * (p.pendingSamples[0].secondsPerToken - p.warm)
+		p.pendingSamples = p.pendingSamples[1:]
 	}
 }
 
-// discard drops the samples that may be of a cold backend server.
-func (p *pace) discard() { p.unsure = nil }
+// discardSamples drops the pending samples, which may come from a cold backend
+// server.
+func (p *pace) discardSamples() { p.pendingSamples = nil }
 
 func (p *pace) learnCold(took time.Duration, cost float64) {
 	sample := took.Seconds() / cost
@@ -94,30 +97,33 @@
 	p.cold += coldWeight * (sample - p.cold)
 }
 
-func (p *pace) suspect(took time.Duration, cost float64) { p.suspected = took.Seconds() / cost }
+func (p *pace) recordLate(took time.Duration, cost float64) {
+	p.lateSecondsPerToken = took.Seconds() / cost
+}
 
-// refuted approaches the pace of late first pieces that a warm report has shown
-// to be no sign of coldness: the backend server is warm, but slower than
-// before. The step is small, so that a cold start still stands out.
-func (p *pace) refuted(open sign) {
-	if open == signLate && p.suspected > p.warm {
-		p.warm = min(p.suspected, p.warm*slowdownStep)
+// adaptToFalseAlarm moves the usual pace towards that of a late first piece after a
+// warm report has shown that it was no sign of a cold start: the backend server is
+// warm but slower than before. The step is small, so that a cold start is still
+// detected.
+func (p *pace) adaptToFalseAlarm(openSign sign) {
+	if openSign == signLate && p.lateSecondsPerToken > p.warm {
+		p.warm = min(p.lateSecondsPerToken, p.warm*slowdownStep)
 	}
 }
 
-// complete learns the time of one whole request.
-func (p *pace) complete(took time.Duration) {
-	if p.each == 0 {
-		p.each = took.Seconds()
+// recordCompleted learns from the duration of one whole request.
+func (p *pace) recordCompleted(took time.Duration) {
+	if p.requestSeconds == 0 {
+		p.requestSeconds = took.Seconds()
 		return
 	}
-	p.each += learnWeight * (took.Seconds() - p.each)
+	p.requestSeconds += learnWeight * (took.Seconds() - p.requestSeconds)
 }
 
-// service returns the time of one whole request.
-func (p *pace) service() time.Duration {
-	if p.each == 0 {
+// serviceTime returns the expected duration of one whole request.
+func (p *pace) serviceTime() time.Duration {
+	if p.requestSeconds == 0 {
 		return defaultService
 	}
-	return seconds(p.each)
+	return seconds(p.requestSeconds)
 }
--- a/policy/admission/queue.go
+++ b/policy/admission/queue.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// priorityShare divides an organisation's weight for each step of priority
-// below the highest: low priorities wait longer, yet never for ever.
-const priorityShare = 8
+// priorityFactor divides an organisation's weight for each step of priority below
+// the highest. Low priorities wait longer but are never starved.
+const priorityFactor = 8
 
 // queue is a weighted fair queue by organisation and priority (start-time fair
-// queueing): each request has a virtual finish time, and the least is served
-// first. It holds few requests, so plain scans do.
+// queueing): each request has a virtual finish time, and the request with the
+// least is served first. The queue is short, so linear scans are fast enough.
 type queue struct {
-	virtual float64 // Virtual time: the start tag of the request served last.
-	last    map[flow]float64
-	waiting []queued
-	cost    float64 // Of all that is waiting.
+	virtualTime float64 // Virtual time: the start tag of the request served last.
+	lastFinish  map[flow]float64
+	waiting     []queued
+	cost        float64 // Total cost of the waiting requests.
 }
 
-// flow is what shares are counted by.
+// flow identifies the requests that share one weight.
 type flow struct {
 	org      string
 	priority int
@@ -29,10 +29,10 @@
 	Asked
 	start, finish float64
 	cost          float64   // Tokens that the backend server reads before the first piece.
-	until         time.Time // Refused when still waiting then.
+	expires       time.Time // When the request is refused if it is still waiting.
 }
 
-func newQueue() queue { return queue{last: map[flow]float64{}} }
+func newQueue() queue { return queue{lastFinish: map[flow]float64{}} }
 
 func (q *queue) len() int { return len(q.waiting) }
 
@@ -42,18 +42,18 @@
 		weight = 1
 	}
 	key := flow{event.Org, event.Priority}
-	start := max(q.virtual, q.last[key])
-	finish := start + math.Pow(priorityShare, float64(event.Priority))/weight
-	q.last[key] = finish
-	until := now.Add(maxWait)
-	if !event.Deadline.IsZero() && event.Deadline.Before(until) {
-		until = event.Deadline
+	start := max(q.virtualTime, q.lastFinish[key])
+	finish := start + math.Pow(priorityFactor, float64(event.Priority))/weight
+	q.lastFinish[key] = finish
+	expires := now.Add(maxWait)
+	if !event.Deadline.IsZero() && event.Deadline.Before(expires) {
+		expires = event.Deadline
 	}
-	q.waiting = append(q.waiting, queued{Asked: event, start: start, finish: finish, cost: cost, until: until})
+	q.waiting = append(q.waiting, queued{Asked: event, start: start, finish: finish, cost: cost, expires: expires})
 	q.cost += cost
 }
 
-// popFirst returns the request with the least finish tag.
+// popFirst removes and returns the request with the least finish tag.
 func (q *queue) popFirst() Asked {
 	first := 0
 	for index := range q.waiting {
@@ -62,13 +62,13 @@
 		}
 	}
 	served := q.take(first)
-	q.virtual = max(q.virtual, served.start)
-	q.forget()
+	q.virtualTime = max(q.virtualTime, served.start)
+	q.pruneFlows()
 	return served.Asked
 }
 
-// popLast returns the request with the greatest finish tag, the newest of
-// equals, and gives its share back.
+// popLast removes and returns the request with the greatest finish tag, the newest
+// of equals, and returns its share to its flow.
 func (q *queue) popLast() Asked {
 	last := 0
 	for index := range q.waiting {
@@ -79,11 +79,12 @@
 	return q.drop(last).Asked
 }
 
-// popOverdue returns the tickets that have waited too long, or all.
-func (q *queue) popOverdue(now time.Time, all bool) []uint64 {
+// popExpired removes the requests that have waited too long, or all, and returns
+// their tickets.
+func (q *queue) popExpired(now time.Time, all bool) []uint64 {
 	var tickets []uint64
 	for index := 0; index < len(q.waiting); {
-		if !all && now.Before(q.waiting[index].until) {
+		if !all && now.Before(q.waiting[index].expires) {
 			index++
 			continue
 		}
@@ -92,7 +93,7 @@
 	return tickets
 }
 
-// remove drops the ticket; it reports whether it was queued.
+// remove removes the ticket and reports whether it was queued.
 func (q *queue) remove(ticket uint64) bool {
 	for index := range q.waiting {
 		if q.waiting[index].Ticket == ticket {
@@ -103,8 +104,8 @@
 	return false
 }
 
-// drop removes a request that was not served: the later ones of its flow move
-// up by its share.
+// drop removes a request that was not served. The later requests of its flow move
+// forward by its share.
 func (q *queue) drop(index int) queued {
 	dropped := q.take(index)
 	key := flow{dropped.Org, dropped.Priority}
@@ -116,7 +117,7 @@
 			other.finish -= share
 		}
 	}
-	q.last[key] -= share
+	q.lastFinish[key] -= share
 	return dropped
 }
 
@@ -130,14 +131,15 @@
 	return taken
 }
 
-// forget drops the flows that have no claim left.
-func (q *queue) forget() {
-	if len(q.last) <= 2*len(q.waiting)+64 {
+// pruneFlows removes the flows whose last finish tag is not ahead of the virtual
+// time.
+func (q *queue) pruneFlows() {
+	if len(q.lastFinish) <= 2*len(q.waiting)+64 {
 		return
 	}
-	for key, finish := range q.last {
-		if finish <= q.virtual {
-			delete(q.last, key)
+	for key, finish := range q.lastFinish {
+		if finish <= q.virtualTime {
+			delete(q.lastFinish, key)
 		}
 	}
 }
--- a/policy/admission/report.go
+++ b/policy/admission/report.go
@@ -6,49 +6,45 @@
 	"persimmonwind.dev/policy/prefix"
 )
 
-// reportSlackBlocks is the number of blocks that may have entered the cache
-// since the report.
+// reportSlackBlocks is the number of blocks that may have entered the cache since
+// the report.
 const reportSlackBlocks = 512
 
-// maxTransit is the longest time from the start of work by the agent until the
-// backend server counts it.
+// maxTransit is the longest time from when the agent starts work until the backend
+// server counts it.
 const maxTransit = 100 * time.Millisecond
 
-// Reported brings the backend server's lagging report about itself.
+// Reported carries the backend server's report about itself, which lags behind.
 type Reported struct {
 	BootID       string
 	Running      int
 	Waiting      int
 	CachedTokens int
 	Cold         bool
-	At           time.Time // When the report was true.
+	At           time.Time // When the backend server's state was as reported.
 	AgentStarted time.Time
 }
 
-// EventName implements reduce.Event.
 func (Reported) EventName() string { return "admission.reported" }
 
-// Returned tells that the backend server is in service again after it was
-// taken out: what happened to it meanwhile is unknown.
+// Returned reports that the backend server is in service again after it was taken
+// out. What happened to it in between is unknown.
 type Returned struct{}
 
-// EventName implements reduce.Event.
 func (Returned) EventName() string { return "admission.returned" }
 
-// Unreachable tells that a connection to the backend server was refused.
+// Unreachable reports that a connection to the backend server was refused.
 type Unreachable struct{}
 
-// EventName implements reduce.Event.
 func (Unreachable) EventName() string { return "admission.unreachable" }
 
-// CacheChanged brings events of the backend server's prefix cache.
+// CacheChanged carries events of the backend server's prefix cache.
 type CacheChanged struct{ Events []prefix.Event }
 
-// EventName implements reduce.Event.
 func (CacheChanged) EventName() string { return "admission.cache_changed" }
 
-// report takes in a report: it is compared with the agent's own count as it
-// was when the report was true.
+// report applies a report. It is compared with the agent's own count at the time
+// of the report.
 func (s *State) report(event Reported) {
 	l := &s.limit
 	l.down = false
@@ -57,52 +53,52 @@
 	}
 	l.reported = true
 	l.lastReport = event.At
-	s.settle(event.At)
-	l.foreign = max(0, event.Running+event.Waiting-s.history.least(event.At))
+	s.freeEnded(event.At)
+	l.external = max(0, event.Running+event.Waiting-s.history.least(event.At))
 	if event.BootID != l.bootID {
-		s.newBoot(event.BootID, event.At)
+		s.recordBootID(event.BootID, event.At)
 	}
 	s.index.Resize(event.CachedTokens/prefix.BlockTokens + reportSlackBlocks)
 	switch {
 	case event.Cold:
-		s.pace.discard()
-		if l.open != signReport {
+		s.pace.discardSamples()
+		if l.openSign != signReport {
 			s.index.Clear()
 		}
-		l.doubt(event.At, signReport)
-	case l.doubted() && event.At.After(l.since):
-		s.pace.refuted(l.open)
-		l.warm(l.foreign + s.alive())
-		s.proveBefore(event.At)
-	case !l.doubted():
-		s.proveBefore(event.At)
+		l.suspectCold(event.At, signReport)
+	case l.coldSuspected() && event.At.After(l.lastSignAt):
+		s.pace.adaptToFalseAlarm(l.openSign)
+		l.endSuspicion(l.external + s.activeCount())
+		s.confirmWarmBefore(event.At)
+	case !l.coldSuspected():
+		s.confirmWarmBefore(event.At)
 	}
 }
 
-// proveBefore takes in that the backend server was warm at the time: so it was
-// when the work begun before began.
-func (s *State) proveBefore(at time.Time) {
-	s.pace.confirm(at)
+// confirmWarmBefore records that the backend server was warm at the given time,
+// and so when it began the work that had begun by then.
+func (s *State) confirmWarmBefore(at time.Time) {
+	s.pace.learnUntil(at)
 	for _, w := range s.running {
 		if !w.begun.IsZero() && !w.begun.After(at) {
-			s.prove(w)
+			s.confirmWarm(w)
 		}
 	}
 }
 
-func (s *State) newBoot(id string, at time.Time) {
+func (s *State) recordBootID(id string, at time.Time) {
 	if s.limit.bootID != "" {
-		s.limit.doubt(at, signBoot)
+		s.limit.suspectCold(at, signBoot)
 		s.index.Clear()
 	}
 	s.limit.bootID = id
 }
 
-// historyLength bounds the changes kept; reports older than those are compared
-// with the oldest.
+// historyLength is the maximum number of changes kept. A report older than all of them is
+// compared with a count of zero.
 const historyLength = 1024
 
-// history remembers the agent's own count of running work.
+// history records the agent's own count of running work over time.
 type history struct{ changes []change }
 
 type change struct {
@@ -117,8 +113,8 @@
 	}
 }
 
-// least returns the least count in the transit time before the moment: work
-// that was on its way to the backend server then may not be in its report.
+// least returns the least count within maxTransit before when. Work that was on
+// its way to the backend server at that time may be missing from its report.
 func (h *history) least(when time.Time) int {
 	before, least := 0, -1
 	for _, c := range h.changes {
--- a/policy/dispatch/queue.go
+++ b/policy/dispatch/queue.go
@@ -99,11 +99,11 @@
 // closedQueueLimit returns the number of requests that may wait for a closed
 // group: this entry's part of its slots.
 func (d *Dispatcher) closedQueueLimit() int {
-	places := 0
+	slots := 0
 	for _, server := range d.servers {
-		places += server.candidate.Slots
+		slots += server.candidate.Slots
 	}
-	return places / assumedEntries
+	return slots / assumedEntries
 }
 
 // sortQueue sorts the queued tickets: those that can still meet their objective
