--- a/policy/answer/answer.go
+++ b/policy/answer/answer.go
@@ -1,9 +1,9 @@
-// Package answer assembles one answer from parts that may come late, twice or
-// out of order.
+// Package answer assembles one answer from parts that may arrive late, more than
+// once or out of order.
 //
 // Invariants: every token is delivered exactly once and in order; a part of
-// another answer is never delivered; the end is delivered only after every
-// token before it.
+// another answer is never delivered; the end is delivered only after every token
+// before it.
 package answer
 
 import (
@@ -11,22 +11,22 @@
 	"fmt"
 )
 
-// maxHeld bounds the parts that wait for an earlier one.
-const maxHeld = 64
+// maxPending is the maximum number of buffered parts that wait for earlier ones.
+const maxPending = 64
 
 var (
-	// ErrWrongAnswer means that a part belongs to another answer.
+	// ErrWrongAnswer means that the part belongs to another answer.
 	ErrWrongAnswer = errors.New("part belongs to another answer")
-	// ErrOverlap means that a part repeats some tokens and brings new ones.
+	// ErrOverlap means that the part contains both delivered and new tokens.
 	ErrOverlap = errors.New("part overlaps tokens already delivered")
-	// ErrGap means that tokens before the part are missing and it can't be held.
+	// ErrGap means that tokens before the part are missing and the part can't be
+	// buffered.
 	ErrGap = errors.New("tokens before the part are missing")
-	// ErrAfterEnd means that a part has tokens behind the answer's end.
-	ErrAfterEnd = errors.New("part lies behind the end of the answer")
+	// ErrAfterEnd means that the part has tokens after the end of the answer.
+	ErrAfterEnd = errors.New("part extends past the end of the answer")
 )
 
-// Part is one part of an answer: Tokens tokens that follow the answer's first
-// From tokens.
+// Part is one part of an answer: a run of Tokens tokens at offset From.
 type Part[T any] struct {
 	ID      string
 	From    int
@@ -38,13 +38,13 @@
 // Assembler puts the parts of one answer in order. The zero value expects the
 // answer from its first token on.
 type Assembler[T any] struct {
-	next  int // Tokens delivered so far.
-	ended bool
-	held  map[int]Part[T] // Parts that wait for earlier ones, by From.
+	next    int // Tokens delivered so far.
+	ended   bool
+	pending map[int]Part[T] // Buffered parts that wait for earlier ones, by From.
 }
 
-// ResumeAt returns an assembler of an answer whose first from tokens were
-// delivered before.
+// ResumeAt returns an assembler for an answer whose first from tokens have already
+// been delivered.
 func ResumeAt[T any](from int) Assembler[T] { return Assembler[T]{next: from} }
 
 // Delivered returns the number of tokens delivered so far.
@@ -58,38 +58,37 @@
 	if a.ended {
 		return nil
 	}
-	return fmt.Errorf("%w: source ended, delivered %d", ErrGap, a.next)
+	return fmt.Errorf("%w: source ended after %d delivered tokens", ErrGap, a.next)
 }
 
-// DropPending forgets the parts that wait for earlier ones; a new source sends
-// them again.
-func (a *Assembler[T]) DropPending() { a.held = nil }
+// DropPending discards the buffered parts. A new source sends them again.
+func (a *Assembler[T]) DropPending() { a.pending = nil }
 
-// Accept takes the next part from the source with this id and returns the
-// payloads that are now due, in order. A duplicate yields none.
+// Accept takes the next part from the source of the answer with this ID and returns
+// the payloads that can now be delivered, in order. A duplicate yields none.
 func (a *Assembler[T]) Accept(id string, part Part[T]) ([]T, error) {
 	if part.ID != id {
-		return nil, fmt.Errorf("%w: part of %q in %q", ErrWrongAnswer, part.ID, id)
+		return nil, fmt.Errorf("%w: part of %q in answer %q", ErrWrongAnswer, part.ID, id)
 	}
 	if part.From < 0 || part.Tokens < 0 {
-		return nil, fmt.Errorf("%w: from %d, %d tokens", ErrGap, part.From, part.Tokens)
+		return nil, fmt.Errorf("%w: invalid range at offset %d with %d tokens", ErrGap, part.From, part.Tokens)
 	}
 	if a.duplicate(part) {
 		return nil, nil
 	}
 	if a.ended {
-		return nil, fmt.Errorf("%w: from %d", ErrAfterEnd, part.From)
+		return nil, fmt.Errorf("%w: offset %d", ErrAfterEnd, part.From)
 	}
 	if part.From < a.next {
-		return nil, fmt.Errorf("%w: from %d, delivered %d", ErrOverlap, part.From, a.next)
+		return nil, fmt.Errorf("%w: offset %d, delivered %d", ErrOverlap, part.From, a.next)
 	}
 	if part.From > a.next {
-		return nil, a.hold(part)
+		return nil, a.addPending(part)
 	}
 	return a.deliver(part), nil
 }
 
-// duplicate reports whether the part brings nothing new.
+// duplicate reports whether the part contains nothing new.
 func (a *Assembler[T]) duplicate(part Part[T]) bool {
 	if part.End {
 		return a.ended && part.From+part.Tokens == a.next
@@ -97,30 +96,31 @@
 	return part.From+part.Tokens <= a.next
 }
 
-func (a *Assembler[T]) hold(part Part[T]) error {
-	if len(a.held) >= maxHeld {
-		return fmt.Errorf("%w: from %d, delivered %d", ErrGap, part.From, a.next)
+func (a *Assembler[T]) addPending(part Part[T]) error {
+	if len(a.pending) >= maxPending {
+		return fmt.Errorf("%w: offset %d, delivered %d", ErrGap, part.From, a.next)
 	}
-	if a.held == nil {
-		a.held = map[int]Part[T]{}
+	if a.pending == nil {
+		a.pending = map[int]Part[T]{}
 	}
-	// A part with tokens goes before an end at the same place.
-	if existing, ok := a.held[part.From]; !ok || existing.Tokens == 0 {
-		a.held[part.From] = part
+	// At the same offset, a part with tokens replaces an end part.
+	if existing, ok := a.pending[part.From]; !ok || existing.Tokens == 0 {
+		a.pending[part.From] = part
 	}
 	return nil
 }
 
-// deliver returns the part's payload and those of the held parts behind it.
+// deliver returns the part's payload and those of the buffered parts that follow
+// it without a gap.
 func (a *Assembler[T]) deliver(part Part[T]) []T {
 	payloads := []T{part.Payload}
 	a.advance(part)
 	for {
-		next, ok := a.held[a.next]
+		next, ok := a.pending[a.next]
 		if !ok || a.ended {
 			return payloads
 		}
-		delete(a.held, next.From)
+		delete(a.pending, next.From)
 		payloads = append(payloads, next.Payload)
 		a.advance(next)
 	}
--- a/policy/answer/answer_test.go
+++ b/policy/answer/answer_test.go
@@ -16,7 +16,7 @@
 	os.Exit(m.Run())
 }
 
-// drawParts cuts an answer of numbered tokens into parts, ending with an end
+// drawParts splits an answer of numbered tokens into parts, followed by an end
 // part.
 func drawParts(t *rapid.T) (parts []Part[[]int], total int) {
 	for _, tokens := range rapid.SliceOfN(rapid.IntRange(1, 5), 0, 20).Draw(t, "sizes") {
@@ -30,8 +30,8 @@
 	return append(parts, Part[[]int]{ID: "a", From: total, End: true}), total
 }
 
-// TestAnyOrderAndDuplicates checks the invariants for parts that come
-// shuffled and more than once.
+// TestAnyOrderAndDuplicates checks the invariants for parts that arrive in any
+// order and more than once.
 func TestAnyOrderAndDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts, total := drawParts(t)
@@ -53,13 +53,13 @@
 		}
 		for i, token := range got {
 			if token != i {
-				t.Fatalf("token %d delivered at place %d", token, i)
+				t.Fatalf("token %d delivered at position %d", token, i)
 			}
 		}
 	})
 }
 
-// TestLostPart checks that an answer with a lost part never ends.
+// TestLostPart checks that an answer with a missing part never ends.
 func TestLostPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts, _ := drawParts(t)
@@ -91,7 +91,7 @@
 			{"a part of another answer", Part[string]{ID: "b", From: 4, Tokens: 1}, ErrWrongAnswer},
 			{"a part that overlaps", Part[string]{ID: "a", From: 2, Tokens: 4}, ErrOverlap},
 			{"an end inside the answer", Part[string]{ID: "a", From: 3, End: true}, ErrOverlap},
-			{"a negative place", Part[string]{ID: "a", From: -1, Tokens: 1}, ErrGap},
+			{"a negative offset", Part[string]{ID: "a", From: -1, Tokens: 1}, ErrGap},
 		}
 		for _, row := range refused {
 			Convey(row.name+" is refused", func() {
@@ -101,7 +101,7 @@
 			})
 		}
 
-		Convey("too many parts behind a gap are refused", func() {
+		Convey("too many parts after a gap are refused", func() {
 			var err error
 			for from := 5; err == nil && from < 1000; from++ {
 				_, err = assembler.Accept("a", Part[string]{ID: "a", From: from, Tokens: 1})
--- a/policy/choose/candidates.go
+++ b/policy/choose/candidates.go
@@ -1,5 +1,5 @@
 // Package choose selects the backend server for one attempt: which few agents
-// to ask, and which of their offers to take.
+// to probe, and which of their offers to take.
 package choose
 
 import (
@@ -12,15 +12,15 @@
 )
 
 const (
-	shallowBlocks = 4  // Leading blocks that the members of an organisation's template share.
-	deepBlocks    = 16 // Leading blocks that the turns of one conversation share.
+	shallowBlocks = 4  // Leading blocks shared by prompts from the same template of an organisation.
+	deepBlocks    = 16 // Leading blocks shared by the turns of one conversation.
 
 	shallowCandidates = 2
 	deepCandidates    = 1
 	randomCandidates  = 2
 )
 
-// Work is what the choice depends on.
+// Work describes the request for which a backend server is chosen.
 type Work struct {
 	Model   string // Name of the model or of the plain service.
 	Version string
@@ -28,9 +28,10 @@
 	Prompt  prefix.Prompt // Empty for a plain service.
 }
 
-// Candidates returns the indices of the few backend servers to ask, without
-// duplicates: those that rendezvous hashing gives for the work's leading
-// blocks, so that equal prefixes meet, and random ones, so that load spreads.
+// Candidates returns the indices of the few backend servers to probe, without
+// duplicates: those that rendezvous hashing selects for the work's leading blocks,
+// so that equal prefixes reach the same servers, and random ones, so that load
+// spreads.
 func Candidates(names []string, work Work, random uint64) []int {
 	var chosen []int
 	if len(work.Prompt.Blocks) > 0 || work.Adapter != "" {
@@ -40,8 +41,8 @@
 	return appendRandom(chosen, len(names), random)
 }
 
-// affinityKey hashes model, version, adapter and the first blocks of the
-// prompt. The chained hash of the last of them stands for all.
+// affinityKey hashes the model, version, adapter and first blocks of the prompt.
+// Block hashes are chained, so the hash of the last of these blocks covers all.
 func affinityKey(work Work, blocks int) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{work.Model, work.Version, work.Adapter} {
@@ -56,8 +57,8 @@
 	return digest.Sum64()
 }
 
-// Rendezvous returns the indices of the count names with the highest score for
-// the key, best first.
+// Rendezvous returns the indices of the count names with the highest rendezvous
+// hash scores for the key, best first.
 func Rendezvous(names []string, key uint64, count int) []int {
 	best := make([]int, 0, count+1)
 	scores := make([]uint64, 0, count+1)
@@ -83,7 +84,7 @@
 	return list[:min(len(list), limit)]
 }
 
-// mix is the finaliser of SplitMix64: it spreads each bit over the word.
+// mix is the finalizer of SplitMix64, which spreads each input bit over the word.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/policy/choose/choose_test.go
+++ b/policy/choose/choose_test.go
@@ -45,12 +45,12 @@
 		}
 		slices.Sort(chosen)
 		if len(slices.Compact(chosen)) != len(chosen) {
-			t.Fatalf("candidates %v repeat", chosen)
+			t.Fatalf("candidates %v contain duplicates", chosen)
 		}
 	})
 }
 
-// A server that leaves moves only the keys that it held.
+// When a server leaves, only the keys assigned to it may move.
 func TestRendezvousMovesFewKeysWhenAServerLeaves(t *testing.T) {
 	names := serverNames(20)
 	for key := range uint64(500) {
@@ -75,35 +75,35 @@
 	}
 }
 
-func TestTheVersionAndTheAdapterAreInTheKey(t *testing.T) {
+func TestAffinityKeyIncludesVersionAndAdapter(t *testing.T) {
 	work := Work{Model: "m", Version: "1", Prompt: prefix.Prompt{Blocks: []uint64{1, 2}}}
-	other := work
-	other.Version = "2"
-	adapted := work
-	adapted.Adapter = "a"
-	if affinityKey(work, 4) == affinityKey(other, 4) || affinityKey(work, 4) == affinityKey(adapted, 4) {
+	withVersion := work
+	withVersion.Version = "2"
+	withAdapter := work
+	withAdapter.Adapter = "a"
+	if affinityKey(work, 4) == affinityKey(withVersion, 4) || affinityKey(work, 4) == affinityKey(withAdapter, 4) {
 		t.Fatal("version or adapter does not change the key")
 	}
 }
 
-func TestBestNeverTakesARefusalNorASlowerOffer(t *testing.T) {
+func TestBestTakesNoRefusalOrSlowerOffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offers := rapid.SliceOfN(rapid.Custom(drawOffer), 0, 6).Draw(t, "offers")
 		remaining := time.Duration(rapid.IntRange(0, 300).Draw(t, "remaining")) * time.Millisecond
 		index, err := Best(offers, remaining, rapid.Uint64().Draw(t, "random"))
 		if err != nil {
 			if err.RetryAfter <= 0 || err.Code == result.OK {
-				t.Fatalf("refusal %v does not say when to come back", err)
+				t.Fatalf("refusal %v has no error code or no retry time", err)
 			}
 			return
 		}
 		for _, offer := range offers {
-			if offer.Refuses == result.OK && offer.expected()+tieMargin < offers[index].expected() {
-				t.Fatalf("took %v before %v", offers[index], offer)
+			if offer.Refuses == result.OK && offer.expectedDelay()+tieMargin < offers[index].expectedDelay() {
+				t.Fatalf("took %v although %v was faster", offers[index], offer)
 			}
 		}
-		if offers[index].Refuses != result.OK || offers[index].FirstToken+offers[index].RTT > remaining+fullBatchCost+tieMargin {
-			t.Fatalf("took %v with %v left", offers[index], remaining)
+		if offers[index].Refuses != result.OK || offers[index].FirstToken+offers[index].RTT > remaining+fullBatchPenalty+tieMargin {
+			t.Fatalf("took %v with %v until the deadline", offers[index], remaining)
 		}
 	})
 }
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestTheRefusalThatEndsFirstIsTold(t *testing.T) {
+func TestBestReturnsTheEarliestRefusal(t *testing.T) {
 	offers := []Offer{
 		{Refuses: result.Leaving, RetryAfter: 3 * time.Second},
 		{Refuses: result.ColdStart, RetryAfter: 200 * time.Millisecond},
