--- a/policy/admission/report.go
+++ b/policy/admission/report.go
@@ -94,8 +94,8 @@
 	s.limit.bootID = id
 }
 
-// historyLength is the maximum number of changes kept. A report older than all of them is
-// compared with a count of zero.
+// historyLength is the maximum number of changes kept. A report older than all of
+// them is compared with a count of zero.
 const historyLength = 1024
 
 // history records the agent's own count of running work over time.
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -182,7 +182,7 @@
 // place chooses a server for the ticket and takes a slot there. It returns false
 // if the ticket can't be sent now.
 func (d *Dispatcher) place(ticket Ticket, random float64, now time.Time) (Decision, bool) {
-	if !d.gate.allows(d.reportedOpen(now), now) || d.gate.closed && ticket.FoundClosed {
+	if !d.gate.allows(d.reportedGroupState(now), now) || d.gate.closed && ticket.FoundClosed {
 		return Decision{}, false
 	}
 	total := d.inFlight(now)
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -299,7 +299,7 @@
 }
 
 func TestSlowRank(t *testing.T) {
-	Convey("Given a group with one rank that is three times slower than normal", t, func() {
+	Convey("Given a group with one rank three times as slow as normal", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		now := start
--- a/policy/dispatch/gate.go
+++ b/policy/dispatch/gate.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// noteSent records that a request was sent; while the group is closed, it is the probe.
+// noteSent records that a request was sent. While the group is closed, that request
+// is the probe.
 func (g *gate) noteSent() { g.probing = g.closed }
 
 // accepted records that the group takes work.
--- a/policy/dispatch/server.go
+++ b/policy/dispatch/server.go
@@ -95,9 +95,9 @@
 	return 2*normal > len(d.servers)
 }
 
-// reportedOpen returns the state of the group according to the majority of the
+// reportedGroupState returns the state of the group according to the majority of the
 // servers with a recent report.
-func (d *Dispatcher) reportedOpen(now time.Time) reportedState {
+func (d *Dispatcher) reportedGroupState(now time.Time) reportedState {
 	open, closed := 0, 0
 	for _, server := range d.servers {
 		switch {
