--- a/policy/dispatch/silence.go
+++ b/policy/dispatch/silence.go
@@ -6,59 +6,60 @@
 )
 
 const (
-	// silentAfter is how long a server with requests sends nothing before it
-	// counts as silent: four of the longest pauses that users allow, and two
-	// retransmissions of a lost packet. Callers leave after two seconds.
-	silentAfter = 500 * time.Millisecond
-	// firstSilentAfter holds for a server none of whose requests has had an event yet:
-	// in a group that has just opened, prompts wait for those of other entries. It is
-	// half of the time after which callers leave.
-	firstSilentAfter = time.Second
-	// groupHeardWithin is how recently another server of the group must have been
-	// heard of: two of the longest passes. If none was, the group stands still and
-	// its streams are as well off where they are.
-	groupHeardWithin = 250 * time.Millisecond
+	// silenceTimeout is how long a server with requests may send nothing before it
+	// counts as silent: four times the longest pause that users allow, and enough
+	// for two retransmissions of a lost packet. Callers give up after two seconds.
+	silenceTimeout = 500 * time.Millisecond
+	// firstEventSilenceTimeout applies while none of a server's requests has had an
+	// event: in a group that has just opened, prompts wait behind those of other
+	// entries. It is half of the time after which callers give up.
+	firstEventSilenceTimeout = time.Second
+	// groupActiveWindow is how recently some server of the group must have sent an
+	// event: two of the longest passes. If none has, the whole group is stalled and
+	// moving its streams gains nothing.
+	groupActiveWindow = 250 * time.Millisecond
 )
 
-// Heard notes that a server has sent an event of a stream.
-func (d *Desk) Heard(id string, now time.Time) {
+// ObserveEvent records that a server has sent an event of a stream.
+func (d *Dispatcher) ObserveEvent(id string, now time.Time) {
 	if server := d.byID[id]; server != nil {
-		server.heardAt, server.silent = now, false
+		server.lastEventAt, server.silent = now, false
 	}
 }
 
-// silenceLimit is how long the server may send nothing.
+// silenceLimit returns how long the server may send nothing.
 func (s *server) silenceLimit() time.Duration {
-	if s.heardAt.After(s.takenAt) {
-		return silentAfter
+	if s.lastEventAt.After(s.busySince) {
+		return silenceTimeout
 	}
-	return firstSilentAfter
+	return firstEventSilenceTimeout
 }
 
 // FindSilent returns the servers that have requests of this entry and send
-// neither events nor reports while others of their group do, and passes them over
-// for a while. All servers of a group advance together, so the machine of such a
-// server stands still, or the way from it is cut. Streams that may go on elsewhere
-// should. One that reports has prompts that wait to be read.
+// neither events nor reports while others of their group send events, and excludes
+// them for a while. All servers of a group advance together, so the machine of a
+// silent server has stalled or the network path from it is cut. Streams that can
+// resume elsewhere should be moved. A server that still sends reports is not
+// silent: its prompts are waiting to be read.
 //
-// A silence that began while the whole group stood still is counted from the
-// moment at which the group went on. A silent server that is tried again gets one
-// request until it is heard of.
-func (d *Desk) FindSilent(now time.Time) []string {
+// A silence that began while the whole group was stalled is counted from the
+// moment at which the group resumed. When a silent server is tried again, it gets
+// one request at a time until it sends an event.
+func (d *Dispatcher) FindSilent(now time.Time) []string {
 	if d.pace.engine == nil {
-		return nil // Calls of plain services end when they end.
+		return nil // Calls to plain services send nothing until they end, and may take any time.
 	}
-	d.followGroup(now)
-	if d.groupSince.IsZero() {
+	d.trackGroupActivity(now)
+	if d.groupActiveSince.IsZero() {
 		return nil
 	}
 	var silent []string
 	for _, server := range d.servers {
-		if server.own == 0 || server.health.excluded(now) || now.Sub(server.reportAt) < silentAfter {
+		if server.own == 0 || server.health.excluded(now) || now.Sub(server.reportAt) < silenceTimeout {
 			continue
 		}
-		if now.Sub(latest(server.heardAt, server.takenAt, d.groupSince)) >= server.silenceLimit() {
-			server.health.unreached(now)
+		if now.Sub(latest(server.lastEventAt, server.busySince, d.groupActiveSince)) >= server.silenceLimit() {
+			server.health.unreachable(now)
 			server.silent = true
 			silent = append(silent, server.candidate.ID)
 		}
@@ -66,15 +67,16 @@
 	return silent
 }
 
-// followGroup keeps the moment since which servers of the group have been heard
-// of without a long break; the zero time while none is.
-func (d *Desk) followGroup(now time.Time) {
-	heard := slices.ContainsFunc(d.servers, func(s *server) bool { return now.Sub(s.heardAt) < groupHeardWithin })
+// trackGroupActivity updates groupActiveSince: the time since which the group's
+// servers have sent events without a break of groupActiveWindow, or the zero time
+// while none sends any.
+func (d *Dispatcher) trackGroupActivity(now time.Time) {
+	active := slices.ContainsFunc(d.servers, func(s *server) bool { return now.Sub(s.lastEventAt) < groupActiveWindow })
 	switch {
-	case !heard:
-		d.groupSince = time.Time{}
-	case d.groupSince.IsZero():
-		d.groupSince = now
+	case !active:
+		d.groupActiveSince = time.Time{}
+	case d.groupActiveSince.IsZero():
+		d.groupActiveSince = now
 	}
 }
 
--- /dev/null
+++ b/policy/dispatch/warm_up_limit.go
@@ -0,0 +1,47 @@
+package dispatch
+
+import "time"
+
+// WarmUpLimit bounds the requests per second that this entry sends to one backend
+// server. A server in cold start can take only a few requests from all entries
+// together, and it may turn cold without notice.
+type WarmUpLimit struct {
+	PerSecond      float64 // Requests per second that a cold server can take from all entries; 0 for no limit.
+	OverloadFactor float64 // Multiple of PerSecond at which the server is overloaded.
+	Allowance      float64 // Requests per second allowed beyond that.
+	Entries        int     // Upper estimate of the running entries.
+}
+
+// serversPerEntry is the least number of backend servers per entry, spare entries
+// included, at large sites: 63 servers for 18 entries. Small sites are covered by
+// the initial value of Entries.
+const serversPerEntry = 3
+
+// raiseEntries raises the estimate of running entries to match the number of
+// servers. It never lowers it: servers leave and come back while the entries keep
+// running.
+func (r *WarmUpLimit) raiseEntries(servers int) { r.Entries = max(r.Entries, servers/serversPerEntry) }
+
+// perEntryLimit returns the requests per second that this entry may send to a
+// server, whether it is known to be cold or not: it may have just turned cold.
+func (r WarmUpLimit) perEntryLimit() float64 {
+	return (r.PerSecond*r.OverloadFactor + r.Allowance) / float64(max(1, r.Entries))
+}
+
+// sendWindow records when requests were sent to one server within the last second.
+type sendWindow struct{ sent []time.Time }
+
+func (w *sendWindow) allows(limit WarmUpLimit, now time.Time) bool {
+	if limit.PerSecond <= 0 {
+		w.sent = w.sent[:0]
+		return true
+	}
+	expired := 0
+	for expired < len(w.sent) && now.Sub(w.sent[expired]) >= time.Second {
+		expired++
+	}
+	w.sent = w.sent[expired:]
+	return float64(len(w.sent)+1) <= max(1, limit.perEntryLimit())
+}
+
+func (w *sendWindow) requestSent(now time.Time) { w.sent = append(w.sent, now) }
