--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -38,7 +38,7 @@
 		return m
 	}
 	wait := time.Duration(rank) * waitPerRank
-	return Member{Group: group, Rank: rank, Size: size, Lease: lease.State{Self: self, Wait: wait}}
+	return Member{Group: group, Rank: rank, Size: size, Lease: lease.State{Self: self, TakeoverDelay: wait}}
 }
 
 // StepMember reduces one input.
--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -30,17 +30,17 @@
 
 // State is what a candidate knows of the lease.
 type State struct {
-	Self string
-	Wait time.Duration // Added to the lapse, so that candidates don't race.
-
-	Held    bool
-	Fence   uint64 // Highest fencing number seen; the own one while Held.
-	Version uint64 // Of the row as last seen.
-	Nonce   uint64 // Of the own write under way.
-	Row     Row    // As last seen.
-	SeenAt  time.Time
-	Busy    bool // A read or write is under way.
-	NextAt  time.Time
+	Self          string
+	TakeoverDelay time.Duration // Added to the lapse, so that candidates don't race.
+
+	Held     bool
+	Fence    uint64 // Highest fencing number seen; the own one while Held.
+	Version  uint64 // Of the row as last seen.
+	Nonce    uint64 // Of the own write under way.
+	Row      Row    // As last seen.
+	SeenAt   time.Time
+	InFlight bool // A read or write is under way.
+	NextAt   time.Time
 }
 
 // Read brings the row; Version 0 means that it does not exist.
@@ -105,26 +105,26 @@
 	case HolderHeard:
 		return s.heard(event, input.Now), nil
 	case Read:
-		s.Busy = false
+		s.InFlight = false
 		return s.read(event, input)
 	case Written:
-		s.Busy = false
+		s.InFlight = false
 		return s.see(event.Row, event.Version, input.Now), nil
 	case Conflict:
-		s.Busy = false
+		s.InFlight = false
 		s.NextAt = input.Now
 	case Failed:
-		s.Busy = false
+		s.InFlight = false
 		s.NextAt = input.Now.Add(retryInterval)
 	}
 	return s, nil
 }
 
 func (s State) tick(input reduce.Input) (State, []reduce.Effect) {
-	if s.Busy || input.Now.Before(s.NextAt) {
+	if s.InFlight || input.Now.Before(s.NextAt) {
 		return s, nil
 	}
-	s.Busy = true
+	s.InFlight = true
 	s.NextAt = input.Now.Add(renewInterval)
 	return s, []reduce.Effect{ReadRow{}}
 }
@@ -141,7 +141,7 @@
 // read renews the own lease or takes one that has lapsed.
 func (s State) read(event Read, input reduce.Input) (State, []reduce.Effect) {
 	s = s.see(event.Row, event.Version, input.Now)
-	free := event.Version == 0 || input.Now.Sub(s.SeenAt) >= lapse+s.Wait
+	free := event.Version == 0 || input.Now.Sub(s.SeenAt) >= lapse+s.TakeoverDelay
 	row := Row{Holder: s.Self, Fence: event.Row.Fence, Nonce: input.Random}
 	switch {
 	case s.Held:
@@ -150,7 +150,7 @@
 	default:
 		return s, nil
 	}
-	s.Busy, s.Nonce = true, input.Random
+	s.InFlight, s.Nonce = true, input.Random
 	return s, []reduce.Effect{WriteRow{Row: row, IfVersion: event.Version}}
 }
 
--- a/policy/mapswitch/group_test.go
+++ b/policy/mapswitch/group_test.go
@@ -75,12 +75,12 @@
 
 // expand returns the order as the agent beside the rank passes it on: a map that
 // builds on one that the agent knows is made of that one's and the changes.
-func (g *modelGroup) expand(give Give) topology.Order {
-	base, known := g.ranks[give.Rank].maps[give.FromVersion]
-	if give.Order.Kind != topology.Prepare || give.From == nil || !known {
+func (g *modelGroup) expand(give SendOrder) topology.Order {
+	base, known := g.ranks[give.Rank].maps[give.BaseVersion]
+	if give.Order.Kind != topology.Prepare || give.BaseMap == nil || !known {
 		return give.Order
 	}
-	if next, ok := Apply(base, Changes(give.From, give.Order.Map)); ok {
+	if next, ok := Apply(base, Changes(give.BaseMap, give.Order.Map)); ok {
 		give.Order.Map = next
 	}
 	return give.Order
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -72,7 +72,7 @@
 	s.Hold.Rank, s.Hold.giver = s.nextHolder()
 	s.Hold.answeredAt, s.Hold.lookedAt = time.Time{}, time.Time{}
 	holder := s.Ranks[s.Hold.Rank]
-	holder.OrderAt, holder.Pending = time.Time{}, false
+	holder.OrderedAt, holder.OrderPending = time.Time{}, false
 	s.Ranks[s.Hold.Rank] = holder
 	return s
 }
@@ -84,14 +84,14 @@
 		return s, nil
 	}
 	s.Hold.lookedAt = now
-	return s, []reduce.Effect{Look{Rank: s.Hold.giver}}
+	return s, []reduce.Effect{ReadRank{Rank: s.Hold.giver}}
 }
 
 // giverLives reports whether the agent that gave the order to hold has answered a
 // call that was made some time after that.
 func (s State) giverLives() bool {
 	giver := s.Ranks[s.Hold.giver]
-	return !s.Hold.answeredAt.IsZero() && !giver.Direct && giver.AskedAt.Sub(s.Hold.answeredAt) >= holdSettle
+	return !s.Hold.answeredAt.IsZero() && !giver.Direct && giver.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettle
 }
 
 // holderAway reports whether another rank, or another agent to give the order, is
@@ -138,7 +138,7 @@
 // would rest until that machine moves again.
 func (s State) allHeard(now time.Time) bool {
 	return s.all(func(r Rank) bool {
-		return now.Sub(r.AskedAt) < s.hearingLimit() && r.AskedAt.After(s.silentAt)
+		return now.Sub(r.ReportRequestedAt) < s.hearingLimit() && r.ReportRequestedAt.After(s.silentAt)
 	})
 }
 
--- a/policy/mapswitch/hold_test.go
+++ b/policy/mapswitch/hold_test.go
@@ -56,7 +56,7 @@
 			now = now.Add(50 * time.Millisecond)
 			readRanks(g, second, now)
 			for _, effect := range second.pending {
-				if give, ok := effect.(Give); ok {
+				if give, ok := effect.(SendOrder); ok {
 					g.apply(give.Rank, give.Order)
 					if give.Order.Kind == topology.Release {
 						late = give.Order
@@ -79,7 +79,7 @@
 						c.plan(now)
 					}
 					for _, effect := range c.pending {
-						if give, ok := effect.(Give); ok {
+						if give, ok := effect.(SendOrder); ok {
 							if give.Order.Kind == topology.Hold {
 								So(give.Order.Pass, ShouldBeGreaterThan, held)
 							}
@@ -108,7 +108,7 @@
 				break
 			}
 			for _, effect := range c.pending {
-				if give, ok := effect.(Give); ok {
+				if give, ok := effect.(SendOrder); ok {
 					g.apply(give.Rank, g.expand(give))
 				}
 			}
@@ -117,7 +117,7 @@
 			readRanks(g, c, now)
 		}
 		So(c.state.Phase, ShouldEqual, Holding)
-		order := c.pending[len(c.pending)-1].(Give)
+		order := c.pending[len(c.pending)-1].(SendOrder)
 		So(order.Order.Kind, ShouldEqual, topology.Hold)
 
 		Convey("the order goes through a third machine", func() {
@@ -132,7 +132,7 @@
 				for rank := range g.ranks {
 					if rank != order.Through {
 						read := g.report(rank)
-						read.Asked = now
+						read.RequestedAt = now
 						c.take(read, now)
 					}
 				}
@@ -141,7 +141,7 @@
 				now = now.Add(20 * time.Millisecond)
 				others()
 				for _, effect := range c.pending {
-					if give, ok := effect.(Give); ok {
+					if give, ok := effect.(SendOrder); ok {
 						So(give.Order.Kind, ShouldBeIn, topology.Hold, topology.Release)
 						if give.Order.Kind == topology.Release {
 							g.apply(give.Rank, give.Order)
@@ -158,12 +158,12 @@
 		}
 		Convey("where that machine answers the call and stops then, the group goes on, and there is no hold before it is heard again", func() {
 			g.apply(order.Rank, order.Order)
-			c.take(Given{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
+			c.take(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			stops()
 		})
 		Convey("the same holds where it stops just after it has been looked at", func() {
 			g.apply(order.Rank, order.Order)
-			c.take(Given{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
+			c.take(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			now = now.Add(time.Millisecond)
 			readRanks(g, c, now)
 			So(c.state.Phase, ShouldEqual, Holding)
@@ -171,13 +171,13 @@
 		})
 		Convey("a machine that goes on is looked at again, and the ranks are armed", func() {
 			g.apply(order.Rank, order.Order)
-			c.take(Given{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
+			c.take(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			c.pending = nil
 			now = now.Add(holdSettle)
 			read := g.report(order.Rank)
-			read.Asked = now
+			read.RequestedAt = now
 			c.take(read, now)
-			So(c.pending, ShouldResemble, []reduce.Effect{Look{Rank: order.Through}})
+			So(c.pending, ShouldResemble, []reduce.Effect{ReadRank{Rank: order.Through}})
 			now = now.Add(time.Millisecond)
 			readRanks(g, c, now)
 			So(c.state.Phase, ShouldEqual, Arming)
@@ -192,12 +192,12 @@
 			now = now.Add(20 * time.Millisecond)
 			for rank := range 3 {
 				read := g.report(rank)
-				read.State.Prepared, read.Asked = c.state.Version, now
+				read.State.Prepared, read.RequestedAt = c.state.Version, now
 				c.take(read, now)
 			}
 		}
 		read := g.report(3)
-		read.State.Prepared, read.Asked = c.state.Version, now.Add(-time.Second)
+		read.State.Prepared, read.RequestedAt = c.state.Version, now.Add(-time.Second)
 		c.take(read, now)
 		Convey("no hold is put", func() { So(c.state.Phase, ShouldEqual, Preparing) })
 	})
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -86,13 +86,13 @@
 	Size  int // Ranks of the group in this epoch.
 	Ranks map[int]Rank
 
-	Phase   Phase
-	Since   time.Time // Of the phase.
-	Version int64     // Being put in force, or in force.
-	Next    Map       // Content of Version while it is put in force.
-	Current Map       // In use; nil while unknown.
-	InUse   int64     // The version of Current.
-	Hold    Hold
+	Phase          Phase
+	Since          time.Time // Of the phase.
+	Version        int64     // Being put in force, or in force.
+	Next           Map       // Content of Version while it is put in force.
+	Current        Map       // In use; nil while unknown.
+	CurrentVersion int64     // The version of Current.
+	Hold           Hold
 
 	silentAt  time.Time     // When a giver of a hold did not answer; zero for never.
 	hearing   time.Duration // Overrides the hearing limit; 0 for the usual one.
@@ -111,12 +111,12 @@
 
 // Rank is a rank as last reported.
 type Rank struct {
-	State   topology.RankState
-	Lists   topology.RankLists // Of State.MapVersion where the versions agree.
-	AskedAt time.Time          // When the report was asked for.
-	Direct  bool               // Its agent is away: the report came from the engine itself.
-	OrderAt time.Time          // When the last order was given.
-	Pending bool               // The call of the last order has not returned.
+	State             topology.RankState
+	Lists             topology.RankLists // Of State.MapVersion where the versions agree.
+	ReportRequestedAt time.Time          // When the report was asked for.
+	Direct            bool               // Its agent is away: the report came from the engine itself.
+	OrderedAt         time.Time          // When the last order was given.
+	OrderPending      bool               // The call of the last order has not returned.
 }
 
 // New returns the state of a coordinator that has just taken the lease, on the
@@ -129,9 +129,9 @@
 type RankRead struct {
 	State topology.RankState
 	Lists topology.RankLists
-	// Asked is when the report was asked for; an older one that arrives late is
+	// RequestedAt is when the report was asked for; an older one that arrives late is
 	// ignored.
-	Asked time.Time
+	RequestedAt time.Time
 	// Direct tells that the engine itself was read, because its agent is away.
 	Direct bool
 }
@@ -139,15 +139,15 @@
 // EventName implements reduce.Event.
 func (RankRead) EventName() string { return "mapswitch.rank_read" }
 
-// Given tells that the call of an order has returned, whatever came of the order.
-type Given struct {
+// OrderReturned tells that the call of an order has returned, whatever came of the order.
+type OrderReturned struct {
 	Rank     int
 	Kind     topology.OrderKind
 	Answered bool // By an agent, or by the engine itself.
 }
 
 // EventName implements reduce.Event.
-func (Given) EventName() string { return "mapswitch.given" }
+func (OrderReturned) EventName() string { return "mapswitch.given" }
 
 // Planned brings the next map.
 type Planned struct {
@@ -158,46 +158,46 @@
 // EventName implements reduce.Event.
 func (Planned) EventName() string { return "mapswitch.planned" }
 
-// Give asks to give the order to the rank; the rank is read after it.
-type Give struct {
+// SendOrder asks to give the order to the rank; the rank is read after it.
+type SendOrder struct {
 	Rank  int
 	Order topology.Order
-	// From and FromVersion are the map in use where an order to copy builds on it;
+	// BaseMap and FromVersion are the map in use where an order to copy builds on it;
 	// nil for others. A rank's own report may lag behind that version.
-	From        Map
-	FromVersion int64
+	BaseMap     Map
+	BaseVersion int64
 	// Through is the rank whose agent gives the order: the rank itself, but for holds.
 	Through int
 }
 
 // EffectName implements reduce.Effect.
-func (Give) EffectName() string { return "mapswitch.give" }
+func (SendOrder) EffectName() string { return "mapswitch.give" }
 
-// Look asks to read a rank at once.
-type Look struct{ Rank int }
+// ReadRank asks to read a rank at once.
+type ReadRank struct{ Rank int }
 
 // EffectName implements reduce.Effect.
-func (Look) EffectName() string { return "mapswitch.look" }
-
-// Moved reports a change of phase, for the log.
-type Moved struct {
-	From, To Phase
-	Epoch    int64
-	Version  int64
-	Pass     int64
-	After    time.Duration // In the phase before.
-	Reason   string
+func (ReadRank) EffectName() string { return "mapswitch.look" }
+
+// PhaseChanged reports a change of phase, for the log.
+type PhaseChanged struct {
+	From, To    Phase
+	Epoch       int64
+	Version     int64
+	Pass        int64
+	TimeInPhase time.Duration // In the phase before.
+	Reason      string
 }
 
 // EffectName implements reduce.Effect.
-func (Moved) EffectName() string { return "mapswitch.moved" }
+func (PhaseChanged) EffectName() string { return "mapswitch.moved" }
 
-// Resigned reports that a later lease has made the version, so that this
+// Superseded reports that a later lease has made the version, so that this
 // coordinator must end.
-type Resigned struct{ Version int64 }
+type Superseded struct{ Version int64 }
 
 // EffectName implements reduce.Effect.
-func (Resigned) EffectName() string { return "mapswitch.resigned" }
+func (Superseded) EffectName() string { return "mapswitch.resigned" }
 
 // Step reduces one input. The maps inside the state are its own.
 func Step(s State, input reduce.Input) (State, []reduce.Effect) {
@@ -208,9 +208,9 @@
 	switch event := input.Event.(type) {
 	case RankRead:
 		s, effects = s.read(event, input.Now)
-	case Given:
+	case OrderReturned:
 		if rank, known := s.Ranks[event.Rank]; known {
-			rank.Pending = false
+			rank.OrderPending = false
 			s.Ranks[event.Rank] = rank
 		}
 		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.answeredAt.IsZero() {
@@ -240,7 +240,7 @@
 	}
 	if s.madeBySuccessor(state) {
 		s.succeeded = true
-		return s, []reduce.Effect{Resigned{Version: max(state.MapVersion, state.Prepared, state.Armed)}}
+		return s, []reduce.Effect{Superseded{Version: max(state.MapVersion, state.Prepared, state.Armed)}}
 	}
 	if state.Epoch > s.Epoch || state.Size != s.Size {
 		s.Epoch, s.Size = state.Epoch, state.Size
@@ -251,10 +251,10 @@
 		s, effects = s.move(Survey, "new epoch", now)
 	}
 	rank := s.Ranks[state.Rank]
-	if event.Asked.Before(rank.AskedAt) {
+	if event.RequestedAt.Before(rank.ReportRequestedAt) {
 		return s, effects
 	}
-	rank.State, rank.AskedAt, rank.Direct = state, event.Asked, event.Direct
+	rank.State, rank.ReportRequestedAt, rank.Direct = state, event.RequestedAt, event.Direct
 	if event.Lists.Experts != nil && event.Lists.MapVersion == state.MapVersion {
 		rank.Lists = event.Lists
 	}
@@ -340,13 +340,13 @@
 
 // move enters a phase; orders of the phase before don't delay its own.
 func (s State) move(to Phase, reason string, now time.Time) (State, []reduce.Effect) {
-	effect := Moved{From: s.Phase, To: to, Epoch: s.Epoch, Version: s.Version, Pass: s.Hold.Pass, Reason: reason}
+	effect := PhaseChanged{From: s.Phase, To: to, Epoch: s.Epoch, Version: s.Version, Pass: s.Hold.Pass, Reason: reason}
 	if !s.Since.IsZero() {
-		effect.After = now.Sub(s.Since)
+		effect.TimeInPhase = now.Sub(s.Since)
 	}
 	s.Phase, s.Since = to, now
 	for id, rank := range s.Ranks {
-		rank.OrderAt, rank.Pending = time.Time{}, false
+		rank.OrderedAt, rank.OrderPending = time.Time{}, false
 		s.Ranks[id] = rank
 	}
 	return s, []reduce.Effect{effect}
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -19,18 +19,18 @@
 		*now = now.Add(50 * time.Millisecond)
 		for rank := range g.ranks {
 			read := g.report(rank)
-			read.Asked = *now
+			read.RequestedAt = *now
 			c.take(read, *now)
 		}
 		effects := c.pending
 		c.pending = nil
 		for _, effect := range effects {
-			if give, ok := effect.(Give); ok {
+			if give, ok := effect.(SendOrder); ok {
 				g.apply(give.Rank, g.expand(give))
 				read := g.report(give.Rank)
-				read.Asked = *now
+				read.RequestedAt = *now
 				c.take(read, *now)
-				c.take(Given{Rank: give.Rank, Kind: give.Order.Kind, Answered: true}, *now)
+				c.take(OrderReturned{Rank: give.Rank, Kind: give.Order.Kind, Answered: true}, *now)
 			}
 		}
 		if err := g.begin(); err != nil {
@@ -124,16 +124,16 @@
 		Convey("it makes no version of its successor's when it reads the engines", func() {
 			for rank := range g.ranks {
 				read := g.report(rank)
-				read.Asked = now
+				read.RequestedAt = now
 				first.take(read, now)
 			}
 			first.plan(now)
 			for _, effect := range first.pending {
-				if give, ok := effect.(Give); ok {
+				if give, ok := effect.(SendOrder); ok {
 					So(give.Order.Version, ShouldBeLessThan, 2*versionsPerFence)
 				}
 			}
-			So(first.pending[len(first.pending)-1], ShouldHaveSameTypeAs, Resigned{})
+			So(first.pending[len(first.pending)-1], ShouldHaveSameTypeAs, Superseded{})
 			So(first.state.Phase, ShouldNotEqual, Preparing)
 		})
 	})
@@ -143,7 +143,7 @@
 func readRanks(g *modelGroup, c *coordinate, now time.Time) {
 	for rank := range g.ranks {
 		read := g.report(rank)
-		read.Asked = now
+		read.RequestedAt = now
 		c.take(read, now)
 	}
 }
@@ -153,7 +153,7 @@
 		g, first, now := newModelGroup(4), newCoordinate(1, 0), start
 		So(settleAll(g, first, &now, 4, nil), ShouldBeNil)
 		first.plan(now)
-		prepare := first.pending[len(first.pending)-1].(Give).Order
+		prepare := first.pending[len(first.pending)-1].(SendOrder).Order
 		for rank := range g.ranks {
 			g.apply(rank, prepare)
 		}
@@ -178,7 +178,7 @@
 
 		Convey("nor does one that it arms after others have the fencing version", func() {
 			for _, effect := range second.pending {
-				if give, ok := effect.(Give); ok && give.Rank != 2 {
+				if give, ok := effect.(SendOrder); ok && give.Rank != 2 {
 					g.apply(give.Rank, give.Order)
 				}
 			}
@@ -210,7 +210,7 @@
 
 		Convey("a report from afar that shows the map before does not change what the next one builds on", func() {
 			lagging := g.report(2)
-			lagging.State.MapVersion, lagging.Direct, lagging.Asked = first, true, now
+			lagging.State.MapVersion, lagging.Direct, lagging.RequestedAt = first, true, now
 			c.take(lagging, now)
 			c.plan(now)
 			So(settleAll(g, c, &now, 20, nil), ShouldBeNil)
@@ -331,7 +331,7 @@
 		} else {
 			w.fences[rank] = c.state.Fence
 		}
-		read.Asked = now
+		read.RequestedAt = now
 		if rapid.IntRange(0, 3).Draw(t, "slow report") == 0 {
 			c.unread = append(c.unread, read)
 			continue
@@ -345,7 +345,7 @@
 	effects := c.pending
 	c.pending = nil
 	for _, effect := range effects {
-		give, ok := effect.(Give)
+		give, ok := effect.(SendOrder)
 		if !ok || give.Rank >= len(w.group.ranks) {
 			continue
 		}
@@ -362,12 +362,12 @@
 			w.group.apply(give.Rank, w.group.expand(give))
 			if !fenced && give.Through == give.Rank {
 				read := w.group.report(give.Rank)
-				read.Asked = now
+				read.RequestedAt = now
 				c.take(read, now)
 			}
 		}
 		if rapid.IntRange(0, 3).Draw(t, "call returns") > 0 {
-			c.take(Given{Rank: give.Rank, Kind: give.Order.Kind, Answered: rapid.Bool().Draw(t, "answered")}, now)
+			c.take(OrderReturned{Rank: give.Rank, Kind: give.Order.Kind, Answered: rapid.Bool().Draw(t, "answered")}, now)
 		}
 	}
 }
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -18,18 +18,18 @@
 	var effects []reduce.Effect
 	for id := range s.Size {
 		rank := s.Ranks[id]
-		waits := now.Sub(rank.OrderAt)
-		if !needs(rank) || waits < patience || rank.Pending && waits < pendingLimit {
+		waits := now.Sub(rank.OrderedAt)
+		if !needs(rank) || waits < patience || rank.OrderPending && waits < pendingLimit {
 			continue
 		}
-		rank.OrderAt, rank.Pending = now, true
+		rank.OrderedAt, rank.OrderPending = now, true
 		s.Ranks[id] = rank
-		give := Give{Rank: id, Order: order, Through: id}
+		give := SendOrder{Rank: id, Order: order, Through: id}
 		switch {
 		case order.Kind == topology.Hold:
 			give.Through = s.Hold.giver
 		case order.Kind == topology.Prepare && s.Current != nil:
-			give.From, give.FromVersion = s.Current, s.InUse
+			give.BaseMap, give.BaseVersion = s.Current, s.CurrentVersion
 		}
 		effects = append(effects, give)
 	}
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -30,7 +30,7 @@
 		s.Version, s.Next = s.nextVersion(), current
 		return s.move(Fencing, "a predecessor has left its orders", now)
 	}
-	s.Current, s.InUse = current, s.Ranks[0].Lists.MapVersion
+	s.Current, s.CurrentVersion = current, s.Ranks[0].Lists.MapVersion
 	if !s.untouched() {
 		s.holdFloor = max(s.holdFloor, s.lastPass()+maxPassLead+1)
 	}
@@ -121,7 +121,7 @@
 	if s.Next == nil {
 		return s.move(Survey, "a predecessor's change is in force", now)
 	}
-	s.Current, s.InUse, s.Next = s.Next, s.Version, nil
+	s.Current, s.CurrentVersion, s.Next = s.Next, s.Version, nil
 	return s.move(Idle, "in force", now)
 }
 
@@ -134,7 +134,7 @@
 		return s, moved, nil
 	}
 	if !isArmed && s.all(func(r Rank) bool { return r.State.Prepared == s.Version }) {
-		s.Current, s.InUse, s.Next = s.Next, s.Ranks[0].Lists.MapVersion, nil
+		s.Current, s.CurrentVersion, s.Next = s.Next, s.Ranks[0].Lists.MapVersion, nil
 		for _, rank := range s.Ranks {
 			s.harmless[rank.State.HeldPass] = true
 		}
--- a/policy/topology/configuration.go
+++ b/policy/topology/configuration.go
@@ -24,18 +24,18 @@
 
 // Route leads requests to the backend servers of a service.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // Begins and ends with a slash.
-	Kind        Kind
-	Resumable   bool          // A stream that may go on at another backend server.
-	Public      bool          // Needs no key.
-	Timeout     time.Duration // Longest time until the final answer.
-	Objective   time.Duration // Time to the answer, or to the first event, that earns full credit.
-	PauseGoal   time.Duration // Longest pause between events; 0 for plain requests.
-	Priority    int           // 0 is the most urgent.
-	MaxAttempts int           // Backend servers on which one request may run.
-	Targets     []Target
+	Name             string
+	Host             string
+	Prefix           string // Begins and ends with a slash.
+	Kind             Kind
+	Resumable        bool          // A stream that may go on at another backend server.
+	Public           bool          // Needs no key.
+	Timeout          time.Duration // Longest time until the final answer.
+	Objective        time.Duration // Time to the answer, or to the first event, that earns full credit.
+	InterTokenTarget time.Duration // Longest pause between events; 0 for plain requests.
+	Priority         int           // 0 is the most urgent.
+	MaxAttempts      int           // Backend servers on which one request may run.
+	Targets          []Target
 }
 
 // Repeatable reports whether the work of one request may run more than once.
--- a/policy/topology/snapshot.go
+++ b/policy/topology/snapshot.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		snapshot.servers[service] = append(snapshot.servers[service], Candidate{
-			Server: server.Server, Unlisted: !server.VanishAt.IsZero(),
+			Server: server.Server, Unlisted: !server.DropAt.IsZero(),
 		})
 	}
 	for _, list := range snapshot.servers {
@@ -125,8 +125,8 @@
 // The caller must not change the slice.
 func (s *Snapshot) Listed(service string) []Server { return s.listed[service] }
 
-// Pick returns the target that the random number in [0, 1) falls on.
-func (r *Route) Pick(random float64) string {
+// PickService returns the target that the random number in [0, 1) falls on.
+func (r *Route) PickService(random float64) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// ReturnGrace is how long after the store's return a server whose row has
+	// StoreReturnGrace is how long after the store's return a server whose row has
 	// disappeared is kept: rows that lapsed in an outage are back within about
 	// two seconds, as the platform promises.
-	ReturnGrace = 2 * time.Second
+	StoreReturnGrace = 2 * time.Second
 	// unannouncedGrace is how long a server is kept as a last resort whose row
 	// disappeared without notice: an outage of the store may have gone unseen
 	// here. It ends before a leaving server's shortest drain period, 2 s.
@@ -31,17 +31,17 @@
 	TakenOut map[string]bool // Data centres.
 
 	ServersListed bool            // The list of servers has been read once.
-	Lost          map[string]bool // Watches that the store doesn't answer.
-	UpSince       time.Time       // When the store last answered again.
+	LostWatches   map[string]bool // Watches that the store doesn't answer.
+	StoreUpSince  time.Time       // When the store last answered again.
 
 	revision uint64 // Grows with each change of the servers or data centres.
 }
 
 // ServerState is a listed server with what the process keeps beside the row.
 type ServerState struct {
-	Server   Server
-	SeenAt   time.Time // When the row was read.
-	VanishAt time.Time // Zero while the row is listed; else when the server is dropped.
+	Server Server
+	SeenAt time.Time // When the row was read.
+	DropAt time.Time // Zero while the row is listed; else when the server is dropped.
 }
 
 // ConfigurationRead brings a configuration of the store; a nil Config is one
@@ -110,7 +110,7 @@
 
 // New returns the state of a process that has read nothing.
 func New() State {
-	return State{Servers: map[string]ServerState{}, TakenOut: map[string]bool{}, Lost: map[string]bool{}}
+	return State{Servers: map[string]ServerState{}, TakenOut: map[string]bool{}, LostWatches: map[string]bool{}}
 }
 
 // Step reduces one input.
@@ -131,13 +131,13 @@
 	case ServersListed:
 		return s.listServers(event.Servers, input.Now)
 	case StoreLost:
-		s.Lost = maps.Clone(s.Lost)
-		s.Lost[event.Watch] = true
+		s.LostWatches = maps.Clone(s.LostWatches)
+		s.LostWatches[event.Watch] = true
 		return s, []reduce.Effect{Change{What: "store", Subject: event.Watch, Outcome: "lost", Reason: event.Reason}}
 	case StoreRegained:
-		s.Lost = maps.Clone(s.Lost)
-		delete(s.Lost, event.Watch)
-		s.UpSince = input.Now
+		s.LostWatches = maps.Clone(s.LostWatches)
+		delete(s.LostWatches, event.Watch)
+		s.StoreUpSince = input.Now
 		return s, []reduce.Effect{Change{What: "store", Subject: event.Watch, Outcome: "regained"}}
 	}
 	return s, nil
@@ -199,7 +199,7 @@
 	s.Servers[server.ID] = next
 	s.revision++
 	before.Server.Revision, before.Server.WarmUpLeft = server.Revision, server.WarmUpLeft
-	if known && before.VanishAt.IsZero() && before.Server == server {
+	if known && before.DropAt.IsZero() && before.Server == server {
 		return s, nil
 	}
 	outcome := "ready"
@@ -213,7 +213,7 @@
 // it and is dropped at once.
 func (s State) vanish(id string, now time.Time) (State, []reduce.Effect) {
 	server, known := s.Servers[id]
-	if !known || !server.VanishAt.IsZero() {
+	if !known || !server.DropAt.IsZero() {
 		return s, nil
 	}
 	s.Servers = maps.Clone(s.Servers)
@@ -222,12 +222,12 @@
 		delete(s.Servers, id)
 		return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "gone", Reason: "row removed after its notice"}}
 	}
-	server.VanishAt = now.Add(unannouncedGrace)
-	if graceEnd := s.UpSince.Add(ReturnGrace); !s.UpSince.IsZero() && graceEnd.After(server.VanishAt) {
-		server.VanishAt = graceEnd
+	server.DropAt = now.Add(unannouncedGrace)
+	if graceEnd := s.StoreUpSince.Add(StoreReturnGrace); !s.StoreUpSince.IsZero() && graceEnd.After(server.DropAt) {
+		server.DropAt = graceEnd
 	}
 	s.Servers[id] = server
-	return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "unlisted", Reason: "row removed without notice; kept as a last resort for " + server.VanishAt.Sub(now).String()}}
+	return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "unlisted", Reason: "row removed without notice; kept as a last resort for " + server.DropAt.Sub(now).String()}}
 }
 
 func (s State) listServers(servers []Server, now time.Time) (State, []reduce.Effect) {
@@ -251,7 +251,7 @@
 func (s State) dropVanished(now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for id, server := range s.Servers {
-		if server.VanishAt.IsZero() || now.Before(server.VanishAt) {
+		if server.DropAt.IsZero() || now.Before(server.DropAt) {
 			continue
 		}
 		if len(effects) == 0 {
@@ -264,9 +264,9 @@
 	return s, effects
 }
 
-// Same reports whether both states have the same snapshot. States share their
+// SameSnapshot reports whether both states have the same snapshot. States share their
 // maps until one changes.
-func (s State) Same(other State) bool {
+func (s State) SameSnapshot(other State) bool {
 	return s.Config == other.Config && s.ServersListed == other.ServersListed &&
 		s.revision == other.revision
 }
--- a/policy/topology/topology_test.go
+++ b/policy/topology/topology_test.go
@@ -87,7 +87,7 @@
 		})
 		Convey("rows that lapsed in an outage are waited for after the store's return", func() {
 			s = after(s, &now, StoreLost{Watch: "servers"}, StoreRegained{Watch: "servers"}, ServersListed{})
-			now = now.Add(ReturnGrace - 100*time.Millisecond)
+			now = now.Add(StoreReturnGrace - 100*time.Millisecond)
 			s = after(s, &now, reduce.Tick{})
 			So(ids(s), ShouldHaveLength, 3)
 			now = now.Add(200 * time.Millisecond)
@@ -144,9 +144,9 @@
 	})
 	Convey("A split route sends its shares", t, func() {
 		route := Route{Targets: []Target{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}}}
-		So(route.Pick(0), ShouldEqual, "x")
-		So(route.Pick(0.89), ShouldEqual, "x")
-		So(route.Pick(0.91), ShouldEqual, "y")
-		So(route.Pick(0.999999), ShouldEqual, "y")
+		So(route.PickService(0), ShouldEqual, "x")
+		So(route.PickService(0.89), ShouldEqual, "x")
+		So(route.PickService(0.91), ShouldEqual, "y")
+		So(route.PickService(0.999999), ShouldEqual, "y")
 	})
 }
--- a/server/deployed/topology.go
+++ b/server/deployed/topology.go
@@ -41,7 +41,7 @@
 	var previous *topology.Snapshot
 	var last topology.State
 	view := func(state topology.State) *topology.Snapshot {
-		if previous != nil && state.Same(last) {
+		if previous != nil && state.SameSnapshot(last) {
 			return previous
 		}
 		last = state
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -80,7 +80,7 @@
 	c.gateway.earnRetry()
 	ctx, cancel := context.WithDeadline(c.http.Context(), c.deadline)
 	defer cancel()
-	service := c.route.Pick(rand.Float64())
+	service := c.route.PickService(rand.Float64())
 	c.lastEvent = c.request.LastEventID
 	for number := 1; ; number++ {
 		failure := c.attempt(ctx, service)
@@ -192,7 +192,7 @@
 	if c.route.Kind != topology.Stream {
 		return c.deadline
 	}
-	patience := max(streamPatience, objectivePatience*c.route.Objective, pausePatience*c.route.PauseGoal)
+	patience := max(streamPatience, objectivePatience*c.route.Objective, pausePatience*c.route.InterTokenTarget)
 	last := c.arrived.Add(patience - firstEventTime)
 	if last.After(c.deadline) {
 		return c.deadline
--- a/server/gateway/desks.go
+++ b/server/gateway/desks.go
@@ -64,8 +64,8 @@
 	for _, route := range config.Routes {
 		for _, target := range route.Targets {
 			goal, known := goals[target.Service]
-			if route.PauseGoal > 0 && (!known || route.PauseGoal < goal) {
-				goals[target.Service] = route.PauseGoal
+			if route.InterTokenTarget > 0 && (!known || route.InterTokenTarget < goal) {
+				goals[target.Service] = route.InterTokenTarget
 			}
 		}
 	}
--- a/server/gateway/gateway_test.go
+++ b/server/gateway/gateway_test.go
@@ -441,7 +441,7 @@
 		config := configuration()
 		config.Services["s"] = topology.Service{Name: "s", Engine: &topology.Engine{Slots: 4, Stride: 6, StepMS: 4.84, PerSequenceMS: 0.362}}
 		for i := range config.Routes {
-			config.Routes[i].PauseGoal = 120 * time.Millisecond
+			config.Routes[i].InterTokenTarget = 120 * time.Millisecond
 		}
 		s := newSystemOf(config, silent, sound)
 		defer s.close(silent, sound)
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -204,7 +204,7 @@
 			return // Nothing is concluded from silence.
 		}
 	}
-	c.learn(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, Asked: asked, Direct: isDirect})
+	c.learn(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: asked, Direct: isDirect})
 	if reply.Gains != nil {
 		c.planner.observe(rankGains{packed: reply.Gains, elapsed: reply.Elapsed})
 	}
@@ -272,24 +272,24 @@
 
 func (c *coordinator) execute(ctx context.Context, effect reduce.Effect) {
 	switch effect := effect.(type) {
-	case mapswitch.Give:
+	case mapswitch.SendOrder:
 		member, ok := c.member(effect.Rank)
 		through, okThrough := c.member(effect.Through)
 		if ok && okThrough {
 			go c.give(ctx, member, through, effect)
 		}
-	case mapswitch.Look:
+	case mapswitch.ReadRank:
 		if member, ok := c.member(effect.Rank); ok {
 			go c.read(ctx, member, false, false)
 		}
-	case mapswitch.Resigned:
+	case mapswitch.Superseded:
 		logevent.Write(c.log, logevent.LeaseSucceeded, logrus.Fields{"group": c.group, "fence": c.fence, "version": effect.Version})
 		c.fenced()
-	case mapswitch.Moved:
+	case mapswitch.PhaseChanged:
 		c.counters.Entered(effect.To.String())
 		logevent.Write(c.log, logevent.MapPhase, logrus.Fields{
 			"group": c.group, "epoch": effect.Epoch, "version": effect.Version, "pass": effect.Pass,
-			"phase": effect.To.String(), "from": effect.From.String(), "after_ms": effect.After.Milliseconds(), "reason": effect.Reason,
+			"phase": effect.To.String(), "from": effect.From.String(), "after_ms": effect.TimeInPhase.Milliseconds(), "reason": effect.Reason,
 		})
 	}
 }
@@ -297,10 +297,10 @@
 // give passes an order to a rank through an agent. Orders that copy, arm or disarm
 // may go to the engine itself where the agent is away; a hold is only put and
 // released by an agent, which refuses a coordinator that has been succeeded.
-func (c *coordinator) give(ctx context.Context, member, through Member, give mapswitch.Give) {
+func (c *coordinator) give(ctx context.Context, member, through Member, give mapswitch.SendOrder) {
 	asked, order := time.Now(), give.Order
-	given := mapswitch.Given{Rank: give.Rank, Kind: order.Kind}
-	read := mapswitch.RankRead{Asked: asked}
+	given := mapswitch.OrderReturned{Rank: give.Rank, Kind: order.Kind}
+	read := mapswitch.RankRead{RequestedAt: asked}
 	defer func() { c.loop.Post(given) }()
 	var reply GiveReply
 	if err := c.pass(ctx, member, through, give, &reply); err != nil {
@@ -330,13 +330,13 @@
 
 // pass passes an order to a rank's agent: where the agent knows the map in use,
 // what changes in it.
-func (c *coordinator) pass(ctx context.Context, member, through Member, give mapswitch.Give, reply *GiveReply) error {
+func (c *coordinator) pass(ctx context.Context, member, through Member, give mapswitch.SendOrder, reply *GiveReply) error {
 	whole := GiveArgs{Caller: c.caller(), Order: give.Order}
 	if through != member {
 		whole.Server = member.Server
 		return c.call(ctx, through.Agent, methodGive, whole, reply)
 	}
-	if give.From == nil {
+	if give.BaseMap == nil {
 		return c.call(ctx, member.Agent, methodGive, whole, reply)
 	}
 	args := c.copyOrder(give)
@@ -353,18 +353,18 @@
 // copyOrder returns the order to copy as changes to the map in use. All ranks get
 // the same, and comparing whole maps takes a large part of a small machine's
 // processor.
-func (c *coordinator) copyOrder(give mapswitch.Give) GiveArgs {
+func (c *coordinator) copyOrder(give mapswitch.SendOrder) GiveArgs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.copying.Order
-	if known.Version == give.Order.Version && known.Epoch == give.Order.Epoch && c.copying.Base == give.FromVersion {
+	if known.Version == give.Order.Version && known.Epoch == give.Order.Epoch && c.copying.Base == give.BaseVersion {
 		return c.copying
 	}
 	args := GiveArgs{
 		Caller: c.caller(), Order: give.Order,
-		Base: give.FromVersion, Changes: mapswitch.Changes(give.From, give.Order.Map),
+		Base: give.BaseVersion, Changes: mapswitch.Changes(give.BaseMap, give.Order.Map),
 	}
-	args.InTurn, _ = mapswitch.DealtInTurn(give.From)
+	args.InTurn, _ = mapswitch.DealtInTurn(give.BaseMap)
 	args.Order.Map = nil
 	c.copying = args
 	return args
