--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -17,7 +17,7 @@
 
 const (
 	renewInterval = 2 * time.Second
-	lapse         = 6 * time.Second // A row unchanged for so long is free.
+	leaseTimeout  = 6 * time.Second // A row unchanged for so long is free.
 	retryInterval = time.Second
 )
 
@@ -103,13 +103,13 @@
 	case reduce.Tick:
 		return s.tick(input)
 	case HolderHeard:
-		return s.heard(event, input.Now), nil
+		return s.holderHeard(event, input.Now), nil
 	case Read:
 		s.InFlight = false
 		return s.read(event, input)
 	case Written:
 		s.InFlight = false
-		return s.see(event.Row, event.Version, input.Now), nil
+		return s.observe(event.Row, event.Version, input.Now), nil
 	case Conflict:
 		s.InFlight = false
 		s.NextAt = input.Now
@@ -129,19 +129,19 @@
 	return s, []reduce.Effect{ReadRow{}}
 }
 
-func (s State) heard(event HolderHeard, now time.Time) State {
+func (s State) holderHeard(event HolderHeard, now time.Time) State {
 	if s.Held || event.Fence < s.Fence {
 		return s
 	}
 	s.Fence, s.SeenAt = event.Fence, now
-	s.NextAt = now.Add(lapse / 2)
+	s.NextAt = now.Add(leaseTimeout / 2)
 	return s
 }
 
 // read renews the own lease or takes one that has lapsed.
 func (s State) read(event Read, input reduce.Input) (State, []reduce.Effect) {
-	s = s.see(event.Row, event.Version, input.Now)
-	free := event.Version == 0 || input.Now.Sub(s.SeenAt) >= lapse+s.TakeoverDelay
+	s = s.observe(event.Row, event.Version, input.Now)
+	free := event.Version == 0 || input.Now.Sub(s.SeenAt) >= leaseTimeout+s.TakeoverDelay
 	row := Row{Holder: s.Self, Fence: event.Row.Fence, Nonce: input.Random}
 	switch {
 	case s.Held:
@@ -154,9 +154,9 @@
 	return s, []reduce.Effect{WriteRow{Row: row, IfVersion: event.Version}}
 }
 
-// see takes in the row. A write of this process with a lost answer is known by
+// observe takes in the row. A write of this process with a lost answer is known by
 // its nonce.
-func (s State) see(row Row, version uint64, now time.Time) State {
+func (s State) observe(row Row, version uint64, now time.Time) State {
 	if version != s.Version {
 		s.SeenAt = now
 	}
--- a/policy/lease/lease_test.go
+++ b/policy/lease/lease_test.go
@@ -20,14 +20,14 @@
 	os.Exit(m.Run())
 }
 
-// row is the table service's row.
-type row struct {
+// tableRow is the table service's tableRow.
+type tableRow struct {
 	lease.Row
 	version uint64
 }
 
 // write applies the write; it returns the event for the candidate.
-func (r *row) write(effect lease.WriteRow) reduce.Event {
+func (r *tableRow) write(effect lease.WriteRow) reduce.Event {
 	if r.version != effect.IfVersion {
 		return lease.Conflict{}
 	}
@@ -35,9 +35,9 @@
 	return lease.Written{Row: r.Row, Version: r.version}
 }
 
-// candidate runs one candidate's step and carries out its effects; an answer
+// stepCandidate runs one stepCandidate's step and carries out its effects; an answer
 // is lost with the probability 1/4.
-func candidate(t *rapid.T, table *row, state lease.State, input reduce.Input) lease.State {
+func stepCandidate(t *rapid.T, table *tableRow, state lease.State, input reduce.Input) lease.State {
 	state, effects := lease.Step(state, input)
 	for _, effect := range effects {
 		lost := rapid.IntRange(0, 3).Draw(t, "lost") == 0
@@ -49,21 +49,21 @@
 			answer = lease.Failed{}
 		}
 		input.Event, input.Random = answer, rapid.Uint64Min(1).Draw(t, "random")
-		state = candidate(t, table, state, input)
+		state = stepCandidate(t, table, state, input)
 	}
 	return state
 }
 
-func TestNoTwoHoldersShareANumber(t *testing.T) {
+func TestFencingNumbersAreUnique(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := &row{}
+		table := &tableRow{}
 		states := []lease.State{{Self: "a"}, {Self: "b"}, {Self: "c"}}
 		holders := map[uint64]string{}
 		now := time.Unix(0, 0)
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "seconds")) * time.Second)
 			index := rapid.IntRange(0, len(states)-1).Draw(t, "candidate")
-			state := candidate(t, table, states[index], reduce.Input{Now: now, Event: reduce.Tick{}})
+			state := stepCandidate(t, table, states[index], reduce.Input{Now: now, Event: reduce.Tick{}})
 			states[index] = state
 			if !state.Held {
 				continue
--- a/policy/mapswitch/group_test.go
+++ b/policy/mapswitch/group_test.go
@@ -30,12 +30,12 @@
 
 func newModelGroup(size int) *modelGroup {
 	g := &modelGroup{ranks: make([]*modelRank, size)}
-	g.form()
+	g.startEpoch()
 	return g
 }
 
-// form starts a new epoch with map 0 and nothing prepared, armed or held.
-func (g *modelGroup) form() {
+// startEpoch starts a new epoch with map 0 and nothing prepared, armed or held.
+func (g *modelGroup) startEpoch() {
 	g.epoch++
 	for i := range g.ranks {
 		g.ranks[i] = &modelRank{content: map[int64]string{0: "0"}, maps: map[int64]Map{}}
@@ -75,20 +75,20 @@
 
 // expand returns the order as the agent beside the rank passes it on: a map that
 // builds on one that the agent knows is made of that one's and the changes.
-func (g *modelGroup) expand(give SendOrder) topology.Order {
-	base, known := g.ranks[give.Rank].maps[give.BaseVersion]
-	if give.Order.Kind != topology.Prepare || give.BaseMap == nil || !known {
-		return give.Order
+func (g *modelGroup) expand(send SendOrder) topology.Order {
+	base, known := g.ranks[send.Rank].maps[send.BaseVersion]
+	if send.Order.Kind != topology.Prepare || send.BaseMap == nil || !known {
+		return send.Order
 	}
-	if next, ok := Apply(base, Changes(give.BaseMap, give.Order.Map)); ok {
-		give.Order.Map = next
+	if next, ok := Apply(base, Changes(send.BaseMap, send.Order.Map)); ok {
+		send.Order.Map = next
 	}
-	return give.Order
+	return send.Order
 }
 
-// begin begins the next pass unless it is held; it fails where two ranks have
+// beginPass begins the next pass unless it is held; it fails where two ranks have
 // different maps then.
-func (g *modelGroup) begin() error {
+func (g *modelGroup) beginPass() error {
 	for _, r := range g.ranks {
 		if r.held == g.pass+1 {
 			return nil
@@ -121,42 +121,42 @@
 	}
 }
 
-// wire carries orders and reports: it loses them, and keeps orders to carry
+// lossyNetwork carries orders and reports: it loses them, and keeps orders to carry
 // them out late.
-type wire struct {
-	group  *modelGroup
-	late   []lateOrder
-	fences map[int]uint64 // The highest that each rank's agent has seen.
-	lagged []RankRead     // What the engines say to callers from afar.
+type lossyNetwork struct {
+	group        *modelGroup
+	delayed      []delayedOrder
+	fences       map[int]uint64 // The highest that each rank's agent has seen.
+	staleReports []RankRead     // What the engines say to callers from afar.
 }
 
-type lateOrder struct {
+type delayedOrder struct {
 	rank  int
 	order topology.Order
 }
 
-// coordinate is a coordinator that may die, sleep or be succeeded.
-type coordinate struct {
-	state   State
-	pending []reduce.Effect
-	unread  []RankRead // Reports on their way.
-	plans   int
+// modelCoordinator is a coordinator that may die, sleep or be succeeded.
+type modelCoordinator struct {
+	state          State
+	pending        []reduce.Effect
+	delayedReports []RankRead // Reports on their way.
+	plans          int
 }
 
-func newCoordinate(fence uint64, rank int) *coordinate {
-	c := &coordinate{state: New(fence, rank)}
-	c.state.hearing = time.Hour // Reads come seldom in the model.
+func newModelCoordinator(fence uint64, rank int) *modelCoordinator {
+	c := &modelCoordinator{state: New(fence, rank)}
+	c.state.readAgeLimitOverride = time.Hour // Reads come seldom in the model.
 	return c
 }
 
-func (c *coordinate) take(event reduce.Event, now time.Time) {
+func (c *modelCoordinator) handle(event reduce.Event, now time.Time) {
 	var effects []reduce.Effect
 	c.state, effects = Step(c.state, reduce.Input{Now: now, Event: event})
 	c.pending = append(c.pending, effects...)
 }
 
 // plan offers the map in use with one rank's experts of a set changed.
-func (c *coordinate) plan(now time.Time) {
+func (c *modelCoordinator) plan(now time.Time) {
 	if c.state.Phase != Idle {
 		return
 	}
@@ -168,7 +168,7 @@
 	if !ok {
 		panic("the map in use has the set and the rank")
 	}
-	c.take(Planned{Epoch: c.state.Epoch, Map: next}, now)
+	c.handle(Planned{Epoch: c.state.Epoch, Map: next}, now)
 }
 
 // String shows the ranks, for a failure's message.
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// holdPatience is how long a hold stands at most before ranks are armed for it:
+	// holdTimeout is how long a hold stands at most before ranks are armed for it:
 	// several calls between small machines.
-	holdPatience = 100*time.Millisecond + holdSettle
-	// holdSettle is how long after the answer to an order to hold its giver is looked
+	holdTimeout = 100*time.Millisecond + holdSettleTime
+	// holdSettleTime is how long after the answer to an order to hold its giver is looked
 	// at again. A machine that stops because of the order, or with its answer, has
 	// done so by then: the call itself takes about 5 ms.
-	holdSettle = 20 * time.Millisecond
-	// heardWithin and heardPerRank bound the age of the latest read of every rank
+	holdSettleTime = 20 * time.Millisecond
+	// readAgeLimitBase and heardPerRank bound the age of the latest read of every rank
 	// before a hold: ranks are read every 24 ms, and every 2 ms a rank in large
 	// groups; two reads may be lost.
-	heardWithin  = 60 * time.Millisecond
-	heardPerRank = 4 * time.Millisecond
+	readAgeLimitBase    = 60 * time.Millisecond
+	readAgeLimitPerRank = 4 * time.Millisecond
 )
 
 // Hold is the hold of the change under way.
@@ -27,96 +27,96 @@
 	Rank int // At which it is put.
 	Pass int64
 
-	firstAt    time.Time // When it was first ordered, at whatever rank.
-	giver      int       // The rank whose agent gives the order.
-	answeredAt time.Time // When its call returned; zero before.
-	lookedAt   time.Time // When the giver was looked at again; zero before.
+	firstOrderedAt time.Time // When it was first ordered, at whatever rank.
+	sender         int       // The rank whose agent gives the order.
+	answeredAt     time.Time // When its call returned; zero before.
+	recheckedAt    time.Time // When the giver was looked at again; zero before.
 }
 
-// hold puts the hold. Ranks are armed only when it is in place and the machine
+// putHold puts the putHold. Ranks are armed only when it is in place and the machine
 // that gave the order still answers: one that stopped just then could not be armed.
-func (s State) hold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
+func (s State) putHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	holder := s.Ranks[s.Hold.Rank]
 	held := holder.State.HeldPass
 	switch {
-	case held == s.Hold.Pass && s.giverLives():
-		s, moved := s.move(Arming, "hold is in place", now)
+	case held == s.Hold.Pass && s.senderAnswersAgain():
+		s, moved := s.enterPhase(Arming, "hold is in place", now)
 		return s, moved, nil
-	case held == s.Hold.Pass && now.Sub(s.Since) > holdPatience:
+	case held == s.Hold.Pass && now.Sub(s.Since) > holdTimeout:
 		// No rank has been armed for the pass, so the group may go on.
 		s, orders := s.releaseHolds(held, now)
-		s.silentAt = now
-		s, moved := s.move(Preparing, "the machine that gave the order to hold does not answer", now)
+		s.senderFailedAt = now
+		s, moved := s.enterPhase(Preparing, "the machine that gave the order to hold does not answer", now)
 		return s, moved, orders
 	case held == s.Hold.Pass:
-		s, look := s.lookAgain(now)
+		s, look := s.recheckSender(now)
 		return s, nil, look
 	case held != 0:
 		// An earlier hold took effect late; all ranks have prepared a later version than
 		// any that was to be armed for it.
 		s, orders := s.releaseHolds(held, now)
 		return s, nil, orders
-	case s.lastPass() >= s.Hold.Pass || s.holderAway():
-		if pass, ok := s.nextHold(); ok {
+	case s.lastPass() >= s.Hold.Pass || s.needsNewHoldRanks():
+		if pass, ok := s.nextHoldPass(); ok {
 			s.Hold.Pass = pass
 		}
-		s = s.takeHolder()
+		s = s.selectHoldRanks()
 	}
-	s.harmless[s.Hold.Pass] = true
-	return s, nil, s.order(now, topology.Order{Kind: topology.Hold, Pass: s.Hold.Pass}, s.only(s.Hold.Rank))
+	s.releasablePasses[s.Hold.Pass] = true
+	return s, nil, s.order(now, topology.Order{Kind: topology.Hold, Pass: s.Hold.Pass}, s.isRank(s.Hold.Rank))
 }
 
-// takeHolder takes the next rank for the hold: the hold before was refused or came
+// selectHoldRanks takes the next rank for the hold: the hold before was refused or came
 // too late, or an agent is away.
-func (s State) takeHolder() State {
-	s.Hold.Rank, s.Hold.giver = s.nextHolder()
-	s.Hold.answeredAt, s.Hold.lookedAt = time.Time{}, time.Time{}
+func (s State) selectHoldRanks() State {
+	s.Hold.Rank, s.Hold.sender = s.nextHoldRanks()
+	s.Hold.answeredAt, s.Hold.recheckedAt = time.Time{}, time.Time{}
 	holder := s.Ranks[s.Hold.Rank]
 	holder.OrderedAt, holder.OrderPending = time.Time{}, false
 	s.Ranks[s.Hold.Rank] = holder
 	return s
 }
 
-// lookAgain asks to look at the giver of the order to hold some time after its
+// recheckSender asks to look at the giver of the order to hold some time after its
 // answer: a machine that stops with the order may still have answered it.
-func (s State) lookAgain(now time.Time) (State, []reduce.Effect) {
-	if s.Hold.answeredAt.IsZero() || !s.Hold.lookedAt.IsZero() || now.Sub(s.Hold.answeredAt) < holdSettle {
+func (s State) recheckSender(now time.Time) (State, []reduce.Effect) {
+	if s.Hold.answeredAt.IsZero() || !s.Hold.recheckedAt.IsZero() || now.Sub(s.Hold.answeredAt) < holdSettleTime {
 		return s, nil
 	}
-	s.Hold.lookedAt = now
-	return s, []reduce.Effect{ReadRank{Rank: s.Hold.giver}}
+	s.Hold.recheckedAt = now
+	return s, []reduce.Effect{ReadRank{Rank: s.Hold.sender}}
 }
 
-// giverLives reports whether the agent that gave the order to hold has answered a
+// senderAnswersAgain reports whether the agent that gave the order to hold has answered a
 // call that was made some time after that.
-func (s State) giverLives() bool {
-	giver := s.Ranks[s.Hold.giver]
-	return !s.Hold.answeredAt.IsZero() && !giver.Direct && giver.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettle
+func (s State) senderAnswersAgain() bool {
+	sender := s.Ranks[s.Hold.sender]
+	return !s.Hold.answeredAt.IsZero() && !sender.Direct && sender.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
 }
 
-// holderAway reports whether another rank, or another agent to give the order, is
+// needsNewHoldRanks reports whether another rank, or another agent to give the order, is
 // to be taken.
-func (s State) holderAway() bool {
-	holder, giver := s.nextHolder()
-	return (s.Ranks[s.Hold.Rank].Direct || s.Ranks[s.Hold.giver].Direct) && (holder != s.Hold.Rank || giver != s.Hold.giver)
+func (s State) needsNewHoldRanks() bool {
+	holder, sender := s.nextHoldRanks()
+	return (s.Ranks[s.Hold.Rank].Direct || s.Ranks[s.Hold.sender].Direct) && (holder != s.Hold.Rank || sender != s.Hold.sender)
 }
 
-// nextHold returns the pass to hold; not ok while the group has not got far
+// nextHoldPass returns the pass to hold; not ok while the group has not got far
 // enough.
-func (s State) nextHold() (pass int64, ok bool) {
-	lead := s.tempo.lead(s.Size)
-	if s.lossy {
-		lead = max(lead, lossyPassLead)
+func (s State) nextHoldPass() (pass int64, ok bool) {
+	lead := s.passTiming.lead(s.Size)
+	if s.ordersLost {
+		lead = max(lead, lostOrderPassLead)
 	}
-	pass = max(s.lastPass()+lead, s.holdFloor)
+	pass = max(s.lastPass()+lead, s.minHoldPass)
 	return pass, pass <= s.lastPass()+maxPassLead
 }
 
-// nextHolder returns the rank at which to put a hold, and the one whose agent gives
+// nextHoldRanks returns the rank at which to put a hold, and the one whose agent gives
 // the order. Both are on other machines than the coordinator where there are enough
 // whose agents can be called: whichever of the three machines stops just then, the
 // hold can be released.
-func (s State) nextHolder() (holder, giver int) {
+func (s State) nextHoldRanks() (holder, sender int) {
 	var callable []int
 	for i := range s.Size {
 		if id := (s.ownRank + 1 + i) % s.Size; !s.Ranks[id].Direct {
@@ -133,18 +133,18 @@
 	}
 }
 
-// allHeard reports whether every rank has been read a moment ago, and since a giver
+// allReadRecently reports whether every rank has been read a moment ago, and since a giver
 // was last silent. A rank whose machine stands still can't be armed, and the group
 // would rest until that machine moves again.
-func (s State) allHeard(now time.Time) bool {
-	return s.all(func(r Rank) bool {
-		return now.Sub(r.ReportRequestedAt) < s.hearingLimit() && r.ReportRequestedAt.After(s.silentAt)
+func (s State) allReadRecently(now time.Time) bool {
+	return s.allRanks(func(r Rank) bool {
+		return now.Sub(r.ReportRequestedAt) < s.readAgeLimit() && r.ReportRequestedAt.After(s.senderFailedAt)
 	})
 }
 
-func (s State) hearingLimit() time.Duration {
-	if s.hearing != 0 {
-		return s.hearing
+func (s State) readAgeLimit() time.Duration {
+	if s.readAgeLimitOverride != 0 {
+		return s.readAgeLimitOverride
 	}
-	return heardWithin + time.Duration(s.Size)*heardPerRank
+	return readAgeLimitBase + time.Duration(s.Size)*readAgeLimitPerRank
 }
--- a/policy/mapswitch/hold_test.go
+++ b/policy/mapswitch/hold_test.go
@@ -10,18 +10,18 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-func TestHoldOfAnotherLeaseDuringRelease(t *testing.T) {
+func TestPredecessorHoldDuringRelease(t *testing.T) {
 	Convey("Given a change that all ranks are armed for", t, func() {
-		g, c, now := newModelGroup(4), newCoordinate(2, 1), start
-		So(settleAll(g, c, &now, 4, nil), ShouldBeNil)
+		g, c, now := newModelGroup(4), newModelCoordinator(2, 1), start
+		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
 		c.plan(now)
 		for range 20 {
 			if c.state.Phase == Holding {
 				break
 			}
-			So(settleAll(g, c, &now, 1, nil), ShouldBeNil)
+			So(runRounds(g, c, &now, 1, nil), ShouldBeNil)
 		}
-		So(settleAll(g, c, &now, 1, nil), ShouldBeNil) // The hold is put.
+		So(runRounds(g, c, &now, 1, nil), ShouldBeNil) // The hold is put.
 		now = now.Add(50 * time.Millisecond)
 		readRanks(g, c, now)
 		So(c.state.Phase, ShouldEqual, Arming)
@@ -30,7 +30,7 @@
 			So(c.state.Hold.Pass, ShouldBeGreaterThan, g.pass)
 			g.apply(3, topology.Order{Kind: topology.Hold, Epoch: g.epoch, Pass: g.pass + 1})
 			before := g.pass
-			So(settleAll(g, c, &now, 20, nil), ShouldBeNil)
+			So(runRounds(g, c, &now, 20, nil), ShouldBeNil)
 			So(g.pass, ShouldBeGreaterThan, before+5)
 			So(c.state.Phase, ShouldEqual, Idle)
 		})
@@ -38,28 +38,28 @@
 		Convey("nor does one at a later pass", func() {
 			g.apply(3, topology.Order{Kind: topology.Hold, Epoch: g.epoch, Pass: c.state.Hold.Pass + 1})
 			before := g.pass
-			So(settleAll(g, c, &now, 30, nil), ShouldBeNil)
+			So(runRounds(g, c, &now, 30, nil), ShouldBeNil)
 			So(g.pass, ShouldBeGreaterThan, before+5)
 		})
 	})
 }
 
-func TestReleaseThatTakesEffectLate(t *testing.T) {
+func TestDelayedReleaseOfHeldPass(t *testing.T) {
 	Convey("Given a group at rest whose hold was released by an order that is still on its way too", t, func() {
-		g, c, now := newModelGroup(4), newCoordinate(1, 0), start
-		So(settleAll(g, c, &now, 4, nil), ShouldBeNil)
+		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
+		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
 		held := g.pass + 1
 		g.apply(0, topology.Order{Kind: topology.Hold, Epoch: g.epoch, Pass: held})
-		second := newCoordinate(2, 0)
+		second := newModelCoordinator(2, 0)
 		var late topology.Order
 		for range 40 {
 			now = now.Add(50 * time.Millisecond)
 			readRanks(g, second, now)
 			for _, effect := range second.pending {
-				if give, ok := effect.(SendOrder); ok {
-					g.apply(give.Rank, give.Order)
-					if give.Order.Kind == topology.Release {
-						late = give.Order
+				if send, ok := effect.(SendOrder); ok {
+					g.apply(send.Rank, send.Order)
+					if send.Order.Kind == topology.Release {
+						late = send.Order
 					}
 				}
 			}
@@ -70,8 +70,8 @@
 
 		Convey("neither the coordinator nor its successor holds that pass again", func() {
 			second.plan(now)
-			third := newCoordinate(3, 0)
-			for _, c := range []*coordinate{second, third} {
+			third := newModelCoordinator(3, 0)
+			for _, c := range []*modelCoordinator{second, third} {
 				for range 40 {
 					now = now.Add(50 * time.Millisecond)
 					readRanks(g, c, now)
@@ -79,11 +79,11 @@
 						c.plan(now)
 					}
 					for _, effect := range c.pending {
-						if give, ok := effect.(SendOrder); ok {
-							if give.Order.Kind == topology.Hold {
-								So(give.Order.Pass, ShouldBeGreaterThan, held)
+						if send, ok := effect.(SendOrder); ok {
+							if send.Order.Kind == topology.Hold {
+								So(send.Order.Pass, ShouldBeGreaterThan, held)
 							}
-							g.apply(give.Rank, give.Order)
+							g.apply(send.Rank, send.Order)
 						}
 					}
 					c.pending = nil
@@ -100,16 +100,16 @@
 
 func TestMachineThatStopsWithTheHold(t *testing.T) {
 	Convey("Given a change whose hold is ordered", t, func() {
-		g, c, now := newModelGroup(4), newCoordinate(1, 0), start
-		So(settleAll(g, c, &now, 4, nil), ShouldBeNil)
+		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
+		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
 		c.plan(now)
 		for range 20 {
 			if c.state.Phase == Holding {
 				break
 			}
 			for _, effect := range c.pending {
-				if give, ok := effect.(SendOrder); ok {
-					g.apply(give.Rank, g.expand(give))
+				if send, ok := effect.(SendOrder); ok {
+					g.apply(send.Rank, g.expand(send))
 				}
 			}
 			c.pending = nil
@@ -133,7 +133,7 @@
 					if rank != order.Through {
 						read := g.report(rank)
 						read.RequestedAt = now
-						c.take(read, now)
+						c.handle(read, now)
 					}
 				}
 			}
@@ -141,29 +141,29 @@
 				now = now.Add(20 * time.Millisecond)
 				others()
 				for _, effect := range c.pending {
-					if give, ok := effect.(SendOrder); ok {
-						So(give.Order.Kind, ShouldBeIn, topology.Hold, topology.Release)
-						if give.Order.Kind == topology.Release {
-							g.apply(give.Rank, give.Order)
+					if send, ok := effect.(SendOrder); ok {
+						So(send.Order.Kind, ShouldBeIn, topology.Hold, topology.Release)
+						if send.Order.Kind == topology.Release {
+							g.apply(send.Rank, send.Order)
 						}
 					}
 				}
 				c.pending = nil
-				So(g.begin(), ShouldBeNil)
+				So(g.beginPass(), ShouldBeNil)
 			}
 			So(g.pass, ShouldBeGreaterThan, 40)
 			So(c.state.Phase, ShouldNotEqual, Arming)
-			So(settleAll(g, c, &now, 40, nil), ShouldBeNil)
+			So(runRounds(g, c, &now, 40, nil), ShouldBeNil)
 			So(g.ranks[0].version, ShouldBeGreaterThan, 0)
 		}
 		Convey("where that machine answers the call and stops then, the group goes on, and there is no hold before it is heard again", func() {
 			g.apply(order.Rank, order.Order)
-			c.take(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
+			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			stops()
 		})
 		Convey("the same holds where it stops just after it has been looked at", func() {
 			g.apply(order.Rank, order.Order)
-			c.take(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
+			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			now = now.Add(time.Millisecond)
 			readRanks(g, c, now)
 			So(c.state.Phase, ShouldEqual, Holding)
@@ -171,12 +171,12 @@
 		})
 		Convey("a machine that goes on is looked at again, and the ranks are armed", func() {
 			g.apply(order.Rank, order.Order)
-			c.take(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
+			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			c.pending = nil
-			now = now.Add(holdSettle)
+			now = now.Add(holdSettleTime)
 			read := g.report(order.Rank)
 			read.RequestedAt = now
-			c.take(read, now)
+			c.handle(read, now)
 			So(c.pending, ShouldResemble, []reduce.Effect{ReadRank{Rank: order.Through}})
 			now = now.Add(time.Millisecond)
 			readRanks(g, c, now)
@@ -184,41 +184,41 @@
 		})
 	})
 	Convey("Given a rank that is not heard while others copy", t, func() {
-		g, c, now := newModelGroup(4), newCoordinate(1, 0), start
-		So(settleAll(g, c, &now, 4, nil), ShouldBeNil)
-		c.state.hearing = 200 * time.Millisecond
+		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
+		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
+		c.state.readAgeLimitOverride = 200 * time.Millisecond
 		c.plan(now)
 		for range 20 {
 			now = now.Add(20 * time.Millisecond)
 			for rank := range 3 {
 				read := g.report(rank)
 				read.State.Prepared, read.RequestedAt = c.state.Version, now
-				c.take(read, now)
+				c.handle(read, now)
 			}
 		}
 		read := g.report(3)
 		read.State.Prepared, read.RequestedAt = c.state.Version, now.Add(-time.Second)
-		c.take(read, now)
+		c.handle(read, now)
 		Convey("no hold is put", func() { So(c.state.Phase, ShouldEqual, Preparing) })
 	})
 }
 
-func TestFirstChangeOfAnEpoch(t *testing.T) {
+func TestFirstChangeInEpochHoldsNearPass(t *testing.T) {
 	Convey("The first change of an epoch holds one of the next passes", t, func() {
-		g, c, now := newModelGroup(4), newCoordinate(1, 0), start
-		So(settleAll(g, c, &now, 4, nil), ShouldBeNil)
+		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
+		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
 		c.plan(now)
 		before := g.pass
-		So(settleAll(g, c, &now, 6, nil), ShouldBeNil)
+		So(runRounds(g, c, &now, 6, nil), ShouldBeNil)
 		So(g.ranks[0].version, ShouldBeGreaterThan, 0)
 		So(c.state.Hold.Pass-before, ShouldBeLessThanOrEqualTo, 4)
 
 		Convey("that of a successor holds none that its predecessor may have released", func() {
-			second := newCoordinate(2, 1)
-			So(settleAll(g, second, &now, 4, nil), ShouldBeNil)
+			second := newModelCoordinator(2, 1)
+			So(runRounds(g, second, &now, 4, nil), ShouldBeNil)
 			read := g.pass
 			second.plan(now)
-			So(settleAll(g, second, &now, 20, nil), ShouldBeNil)
+			So(runRounds(g, second, &now, 20, nil), ShouldBeNil)
 			So(second.state.Hold.Pass, ShouldBeGreaterThan, read+1)
 		})
 	})
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -30,9 +30,9 @@
 	// least. A hold that comes too late for its pass is refused, and the answer tells
 	// which pass is the next.
 	passLead = 1
-	// lossyPassLead holds where orders of the same change were lost: the group
+	// lostOrderPassLead holds where orders of the same change were lost: the group
 	// then has a pass to run while lost orders to arm are repeated.
-	lossyPassLead = 2
+	lostOrderPassLead = 2
 	// maxPassLead is how many passes ahead of the last known one a hold is put at
 	// most. A successor's holds are beyond all passes that it finds within it, so
 	// that a predecessor's release which takes effect late never meets them.
@@ -94,19 +94,19 @@
 	CurrentVersion int64     // The version of Current.
 	Hold           Hold
 
-	silentAt  time.Time     // When a giver of a hold did not answer; zero for never.
-	hearing   time.Duration // Overrides the hearing limit; 0 for the usual one.
-	ownRank   int           // The rank beside the coordinator.
-	holdFloor int64         // Passes below it are not held: a release may be on its way.
+	senderFailedAt       time.Time     // When a giver of a hold did not answer; zero for never.
+	readAgeLimitOverride time.Duration // Overrides the hearing limit; 0 for the usual one.
+	ownRank              int           // The rank beside the coordinator.
+	minHoldPass          int64         // Passes below it are not held: a release may be on its way.
 
-	succeeded bool // A rank has shown a version of a later lease; nothing is done any more.
+	superseded bool // A rank has shown a version of a later lease; nothing is done any more.
 
-	made  int64 // Versions made under this lease.
-	lossy bool  // An order to copy had to be repeated in this change.
-	tempo tempo
-	// harmless are passes whose hold may be released at once: those that this lease
+	versionsMade int64 // Versions made under this lease.
+	ordersLost   bool  // An order to copy had to be repeated in this change.
+	passTiming   passTiming
+	// releasablePasses are passes whose hold may be released at once: those that this lease
 	// has held, and those whose orders to arm were made void.
-	harmless map[int64]bool
+	releasablePasses map[int64]bool
 }
 
 // Rank is a rank as last reported.
@@ -122,7 +122,7 @@
 // New returns the state of a coordinator that has just taken the lease, on the
 // machine of a rank.
 func New(fence uint64, ownRank int) State {
-	return State{Fence: fence, ownRank: ownRank, Ranks: map[int]Rank{}, harmless: map[int64]bool{}}
+	return State{Fence: fence, ownRank: ownRank, Ranks: map[int]Rank{}, releasablePasses: map[int64]bool{}}
 }
 
 // RankRead brings a rank's own report, and its lists where they were read.
@@ -201,13 +201,13 @@
 
 // Step reduces one input. The maps inside the state are its own.
 func Step(s State, input reduce.Input) (State, []reduce.Effect) {
-	if s.succeeded {
+	if s.superseded {
 		return s, nil
 	}
 	var effects []reduce.Effect
 	switch event := input.Event.(type) {
 	case RankRead:
-		s, effects = s.read(event, input.Now)
+		s, effects = s.applyReport(event, input.Now)
 	case OrderReturned:
 		if rank, known := s.Ranks[event.Rank]; known {
 			rank.OrderPending = false
@@ -220,35 +220,35 @@
 		if s.Phase == Idle && event.Epoch == s.Epoch {
 			s.Next = event.Map
 			s.Version = s.nextVersion()
-			s.lossy = false
-			s, effects = s.move(Preparing, "planned", input.Now)
+			s.ordersLost = false
+			s, effects = s.enterPhase(Preparing, "planned", input.Now)
 		}
 	}
-	if s.succeeded {
+	if s.superseded {
 		return s, effects
 	}
 	s, more := s.advance(input.Now)
 	return s, append(effects, more...)
 }
 
-// read takes in a report. A new epoch makes all that is known of ranks void.
-func (s State) read(event RankRead, now time.Time) (State, []reduce.Effect) {
+// applyReport takes in a report. A new epoch makes all that is known of ranks void.
+func (s State) applyReport(event RankRead, now time.Time) (State, []reduce.Effect) {
 	state := event.State
 	var effects []reduce.Effect
 	if state.Epoch < s.Epoch {
 		return s, nil
 	}
-	if s.madeBySuccessor(state) {
-		s.succeeded = true
+	if s.hasSuccessorVersion(state) {
+		s.superseded = true
 		return s, []reduce.Effect{Superseded{Version: max(state.MapVersion, state.Prepared, state.Armed)}}
 	}
 	if state.Epoch > s.Epoch || state.Size != s.Size {
 		s.Epoch, s.Size = state.Epoch, state.Size
 		s.Ranks = map[int]Rank{}
 		s.Current, s.Next = nil, nil
-		s.harmless, s.holdFloor = map[int64]bool{}, 0
-		s.tempo.pass = 0
-		s, effects = s.move(Survey, "new epoch", now)
+		s.releasablePasses, s.minHoldPass = map[int64]bool{}, 0
+		s.passTiming.pass = 0
+		s, effects = s.enterPhase(Survey, "new epoch", now)
 	}
 	rank := s.Ranks[state.Rank]
 	if event.RequestedAt.Before(rank.ReportRequestedAt) {
@@ -259,7 +259,7 @@
 		rank.Lists = event.Lists
 	}
 	s.Ranks[state.Rank] = rank
-	s.tempo.see(s.lastPass(), now)
+	s.passTiming.observePass(s.lastPass(), now)
 	return s, effects
 }
 
@@ -268,7 +268,7 @@
 func (s State) advance(now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for {
-		next, moved, orders := s.step(now)
+		next, moved, orders := s.stepPhase(now)
 		effects = append(effects, moved...)
 		effects = append(effects, orders...)
 		if next.Phase == s.Phase {
@@ -278,12 +278,12 @@
 	}
 }
 
-func (s State) step(now time.Time) (next State, moved, orders []reduce.Effect) {
-	if !s.complete() {
+func (s State) stepPhase(now time.Time) (next State, moved, orders []reduce.Effect) {
+	if !s.allRanksRead() {
 		return s, nil, nil
 	}
-	if (s.Phase == Idle || s.Phase == Preparing) && s.foreignHold() {
-		s, moved = s.move(Survey, "a predecessor has put a hold", now)
+	if (s.Phase == Idle || s.Phase == Preparing) && s.hasForeignHold() {
+		s, moved = s.enterPhase(Survey, "a predecessor has put a hold", now)
 		return s, moved, nil
 	}
 	switch s.Phase {
@@ -292,30 +292,30 @@
 	case Idle:
 		// A hold of this lease whose order took effect late; nothing is armed for
 		// its pass, since that pass was given up or is over.
-		s, orders = s.releaseStray(now)
+		s, orders = s.releaseLateHolds(now)
 	case Preparing:
 		s, moved, orders = s.prepare(now)
 		var strays []reduce.Effect
-		s, strays = s.releaseStray(now)
+		s, strays = s.releaseLateHolds(now)
 		orders = append(orders, strays...)
 	case Holding:
-		s, moved, orders = s.hold(now)
+		s, moved, orders = s.putHold(now)
 	case Arming:
 		s, moved, orders = s.arm(now)
 	case Releasing:
 		s, moved, orders = s.release(now)
 	case Settling:
 		// A hold that took effect late is released again: all ranks are armed.
-		s, orders = s.releaseStray(now)
+		s, orders = s.releaseLateHolds(now)
 		s, moved = s.settle(now)
 	case Fencing:
-		s, moved, orders = s.fenceOff(now)
+		s, moved, orders = s.fencePredecessor(now)
 	}
 	return s, moved, orders
 }
 
-// complete reports whether every rank of the epoch has been read.
-func (s State) complete() bool { return s.Size > 0 && len(s.Ranks) == s.Size }
+// allRanksRead reports whether every rank of the epoch has been read.
+func (s State) allRanksRead() bool { return s.Size > 0 && len(s.Ranks) == s.Size }
 
 // NeedsLists reports whether the ranks' lists must be read.
 func (s State) NeedsLists() bool { return s.Phase == Survey }
@@ -338,8 +338,8 @@
 	return total
 }
 
-// move enters a phase; orders of the phase before don't delay its own.
-func (s State) move(to Phase, reason string, now time.Time) (State, []reduce.Effect) {
+// enterPhase enters a phase; orders of the phase before don't delay its own.
+func (s State) enterPhase(to Phase, reason string, now time.Time) (State, []reduce.Effect) {
 	effect := PhaseChanged{From: s.Phase, To: to, Epoch: s.Epoch, Version: s.Version, Pass: s.Hold.Pass, Reason: reason}
 	if !s.Since.IsZero() {
 		effect.TimeInPhase = now.Sub(s.Since)
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -11,38 +11,38 @@
 // a moment ago.
 func (s State) order(now time.Time, order topology.Order, needs func(Rank) bool) []reduce.Effect {
 	order.Epoch, order.Fence = s.Epoch, s.Fence
-	patience := resendAfter
+	resendDelay := resendAfter
 	if order.Kind == topology.Prepare {
-		patience = copyResendAfter
+		resendDelay = copyResendAfter
 	}
 	var effects []reduce.Effect
 	for id := range s.Size {
 		rank := s.Ranks[id]
-		waits := now.Sub(rank.OrderedAt)
-		if !needs(rank) || waits < patience || rank.OrderPending && waits < pendingLimit {
+		waited := now.Sub(rank.OrderedAt)
+		if !needs(rank) || waited < resendDelay || rank.OrderPending && waited < pendingLimit {
 			continue
 		}
 		rank.OrderedAt, rank.OrderPending = now, true
 		s.Ranks[id] = rank
-		give := SendOrder{Rank: id, Order: order, Through: id}
+		send := SendOrder{Rank: id, Order: order, Through: id}
 		switch {
 		case order.Kind == topology.Hold:
-			give.Through = s.Hold.giver
+			send.Through = s.Hold.sender
 		case order.Kind == topology.Prepare && s.Current != nil:
-			give.BaseMap, give.BaseVersion = s.Current, s.CurrentVersion
+			send.BaseMap, send.BaseVersion = s.Current, s.CurrentVersion
 		}
-		effects = append(effects, give)
+		effects = append(effects, send)
 	}
 	return effects
 }
 
-func (s State) only(id int) func(Rank) bool {
+func (s State) isRank(id int) func(Rank) bool {
 	return func(r Rank) bool { return r.State.Rank == id }
 }
 
-func (s State) all(holds func(Rank) bool) bool {
+func (s State) allRanks(condition func(Rank) bool) bool {
 	for _, rank := range s.Ranks {
-		if !holds(rank) {
+		if !condition(rank) {
 			return false
 		}
 	}
@@ -57,8 +57,8 @@
 		if held == 0 || held > last {
 			continue
 		}
-		s.holdFloor = max(s.holdFloor, held+1)
-		effects = append(effects, s.order(now, topology.Order{Kind: topology.Release, Pass: held}, s.only(id))...)
+		s.minHoldPass = max(s.minHoldPass, held+1)
+		effects = append(effects, s.order(now, topology.Order{Kind: topology.Release, Pass: held}, s.isRank(id))...)
 	}
 	return s, effects
 }
@@ -74,13 +74,13 @@
 // nextVersion returns a version that no other lease makes, above all versions of
 // the leases before.
 func (s *State) nextVersion() int64 {
-	s.made++
-	return int64(s.Fence)*versionsPerFence + s.made
+	s.versionsMade++
+	return int64(s.Fence)*versionsPerFence + s.versionsMade
 }
 
-// void reports whether no coordinator can ever see all ranks armed for the
+// cannotComplete reports whether no coordinator can ever see all ranks armed for the
 // version: a rank that is not has had a later one.
-func (s State) void(version int64) bool {
+func (s State) cannotComplete(version int64) bool {
 	for _, rank := range s.Ranks {
 		if rank.State.Prepared > version && rank.State.Armed != version && rank.State.MapVersion != version {
 			return true
@@ -89,8 +89,8 @@
 	return false
 }
 
-// armed returns a rank that is armed; not ok where none is.
-func (s State) armed() (rank Rank, ok bool) {
+// armedRank returns a rank that is armedRank; not ok where none is.
+func (s State) armedRank() (rank Rank, ok bool) {
 	for id := range s.Size {
 		if s.Ranks[id].State.Armed != 0 {
 			return s.Ranks[id], true
@@ -99,8 +99,8 @@
 	return Rank{}, false
 }
 
-// madeBySuccessor reports whether the rank shows a version of a later lease.
-func (s State) madeBySuccessor(rank topology.RankState) bool {
+// hasSuccessorVersion reports whether the rank shows a version of a later lease.
+func (s State) hasSuccessorVersion(rank topology.RankState) bool {
 	latest := max(rank.MapVersion, rank.Prepared, rank.Armed)
 	return latest >= int64(s.Fence+1)*versionsPerFence
 }
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -11,13 +11,13 @@
 // survey finds out where a predecessor, or an earlier epoch, has left the
 // group.
 func (s State) survey(now time.Time) (State, []reduce.Effect) {
-	armed, isArmed := s.armed()
-	if isArmed && !s.void(armed.State.Armed) {
-		s.Version, s.Hold.Pass = armed.State.Armed, armed.State.ArmedPass
+	armedRank, isArmed := s.armedRank()
+	if isArmed && !s.cannotComplete(armedRank.State.Armed) {
+		s.Version, s.Hold.Pass = armedRank.State.Armed, armedRank.State.ArmedPass
 		s.Next = nil
-		return s.move(Arming, "a predecessor has armed a rank", now)
+		return s.enterPhase(Arming, "a predecessor has armed a rank", now)
 	}
-	current, ok := s.lists()
+	current, ok := s.currentMap()
 	if !ok {
 		return s, nil
 	}
@@ -28,26 +28,26 @@
 	if isArmed || held != 0 {
 		s.Hold.Pass = held
 		s.Version, s.Next = s.nextVersion(), current
-		return s.move(Fencing, "a predecessor has left its orders", now)
+		return s.enterPhase(Fencing, "a predecessor has left its orders", now)
 	}
 	s.Current, s.CurrentVersion = current, s.Ranks[0].Lists.MapVersion
-	if !s.untouched() {
-		s.holdFloor = max(s.holdFloor, s.lastPass()+maxPassLead+1)
+	if !s.noHoldInEpoch() {
+		s.minHoldPass = max(s.minHoldPass, s.lastPass()+maxPassLead+1)
 	}
-	return s.move(Idle, "all ranks read", now)
+	return s.enterPhase(Idle, "all ranks read", now)
 }
 
-// untouched reports whether no coordinator has got as far as a hold in this epoch:
+// noHoldInEpoch reports whether no coordinator has got as far as a hold in this epoch:
 // before that all ranks have prepared a version. Demand has usually jumped when a
 // group forms, so the first change must not wait for passes that nobody has held.
-func (s State) untouched() bool {
-	return s.all(func(r Rank) bool {
+func (s State) noHoldInEpoch() bool {
+	return s.allRanks(func(r Rank) bool {
 		return !r.Direct && r.State.MapVersion == 0 && r.State.Prepared == 0 && r.State.Armed == 0
 	})
 }
 
-// lists puts the map in use together from the ranks' lists.
-func (s State) lists() (Map, bool) {
+// currentMap puts the map in use together from the ranks' currentMap.
+func (s State) currentMap() (Map, bool) {
 	var current Map
 	for id := range s.Size {
 		rank := s.Ranks[id]
@@ -66,22 +66,22 @@
 
 func (s State) prepare(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	if now.Sub(s.Since) > prepareLimit {
-		s, moved := s.move(Survey, "ranks did not copy in time", now)
+		s, moved := s.enterPhase(Survey, "ranks did not copy in time", now)
 		return s, moved, nil
 	}
-	if s.all(func(r Rank) bool { return r.State.Prepared == s.Version }) {
-		pass, ok := s.nextHold()
-		if !ok || !s.allHeard(now) {
+	if s.allRanks(func(r Rank) bool { return r.State.Prepared == s.Version }) {
+		pass, ok := s.nextHoldPass()
+		if !ok || !s.allReadRecently(now) {
 			return s, nil, nil
 		}
-		s.Hold.Pass, s.Hold.firstAt = pass, now
-		s = s.takeHolder()
-		s, moved := s.move(Holding, "all ranks prepared", now)
+		s.Hold.Pass, s.Hold.firstOrderedAt = pass, now
+		s = s.selectHoldRanks()
+		s, moved := s.enterPhase(Holding, "all ranks prepared", now)
 		return s, moved, nil
 	}
 	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.Next},
 		func(r Rank) bool { return r.State.Prepared != s.Version && !r.State.OrderRunning })
-	s.lossy = s.lossy || len(orders) > 0 && now.After(s.Since)
+	s.ordersLost = s.ordersLost || len(orders) > 0 && now.After(s.Since)
 	return s, nil, orders
 }
 
@@ -89,12 +89,12 @@
 	armed := func(r Rank) bool {
 		return r.State.MapVersion == s.Version || r.State.Armed == s.Version && r.State.ArmedPass == s.Hold.Pass
 	}
-	if s.all(armed) {
-		s, moved := s.move(Releasing, "all ranks armed", now)
+	if s.allRanks(armed) {
+		s, moved := s.enterPhase(Releasing, "all ranks armed", now)
 		return s, moved, nil
 	}
-	if s.void(s.Version) {
-		s, moved := s.move(Survey, "a rank can no longer be armed", now)
+	if s.cannotComplete(s.Version) {
+		s, moved := s.enterPhase(Survey, "a rank can no longer be armed", now)
 		return s, moved, nil
 	}
 	return s, nil, s.order(now, topology.Order{Kind: topology.Arm, Version: s.Version, Pass: s.Hold.Pass},
@@ -103,11 +103,11 @@
 
 func (s State) release(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	s, orders := s.releaseHolds(s.Hold.Pass, now)
-	if s.all(func(r Rank) bool { return r.State.HeldPass == 0 || r.State.HeldPass > s.Hold.Pass }) {
+	if s.allRanks(func(r Rank) bool { return r.State.HeldPass == 0 || r.State.HeldPass > s.Hold.Pass }) {
 		if s.Next != nil {
-			s.tempo.armed(now.Sub(s.Hold.firstAt))
+			s.passTiming.observeArming(now.Sub(s.Hold.firstOrderedAt))
 		}
-		s, moved := s.move(Settling, "released", now)
+		s, moved := s.enterPhase(Settling, "released", now)
 		return s, moved, nil
 	}
 	return s, nil, orders
@@ -115,54 +115,54 @@
 
 // settle waits until the group has begun the pass; an idle group has none.
 func (s State) settle(now time.Time) (State, []reduce.Effect) {
-	if !s.all(func(r Rank) bool { return r.State.MapVersion == s.Version && r.State.Armed == 0 }) {
+	if !s.allRanks(func(r Rank) bool { return r.State.MapVersion == s.Version && r.State.Armed == 0 }) {
 		return s, nil
 	}
 	if s.Next == nil {
-		return s.move(Survey, "a predecessor's change is in force", now)
+		return s.enterPhase(Survey, "a predecessor's change is in force", now)
 	}
 	s.Current, s.CurrentVersion, s.Next = s.Next, s.Version, nil
-	return s.move(Idle, "in force", now)
+	return s.enterPhase(Idle, "in force", now)
 }
 
-// fenceOff prepares a new version at all ranks: a predecessor's order to arm then
+// fencePredecessor prepares a new version at all ranks: a predecessor's order to arm then
 // names a version that is no longer prepared.
-func (s State) fenceOff(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
-	armed, isArmed := s.armed()
-	if isArmed && !s.void(armed.State.Armed) {
-		s, moved := s.move(Survey, "a predecessor has armed a rank", now)
+func (s State) fencePredecessor(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
+	armedRank, isArmed := s.armedRank()
+	if isArmed && !s.cannotComplete(armedRank.State.Armed) {
+		s, moved := s.enterPhase(Survey, "a predecessor has armed a rank", now)
 		return s, moved, nil
 	}
-	if !isArmed && s.all(func(r Rank) bool { return r.State.Prepared == s.Version }) {
+	if !isArmed && s.allRanks(func(r Rank) bool { return r.State.Prepared == s.Version }) {
 		s.Current, s.CurrentVersion, s.Next = s.Next, s.Ranks[0].Lists.MapVersion, nil
 		for _, rank := range s.Ranks {
-			s.harmless[rank.State.HeldPass] = true
+			s.releasablePasses[rank.State.HeldPass] = true
 		}
-		s.holdFloor = max(s.holdFloor, s.lastPass()+maxPassLead+1)
-		s, moved := s.move(Idle, "predecessor's orders are void", now) // Holds are released there.
+		s.minHoldPass = max(s.minHoldPass, s.lastPass()+maxPassLead+1)
+		s, moved := s.enterPhase(Idle, "predecessor's orders are void", now) // Holds are released there.
 		return s, moved, nil
 	}
 	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.Next},
 		func(r Rank) bool { return r.State.Prepared != s.Version && r.State.Armed == 0 && !r.State.OrderRunning })
 	if isArmed {
-		version := armed.State.Armed
+		version := armedRank.State.Armed
 		orders = append(orders, s.order(now, topology.Order{Kind: topology.Disarm, Version: version},
 			func(r Rank) bool { return r.State.Armed == version })...)
 	}
 	return s, nil, orders
 }
 
-// releaseStray releases holds whose order took effect late.
-func (s State) releaseStray(now time.Time) (State, []reduce.Effect) {
+// releaseLateHolds releases holds whose order took effect late.
+func (s State) releaseLateHolds(now time.Time) (State, []reduce.Effect) {
 	return s.releaseHolds(math.MaxInt64, now)
 }
 
-// foreignHold reports whether a rank is held by another lease's order: a
+// hasForeignHold reports whether a rank is held by another lease's order: a
 // predecessor that woke may have put it after the survey, and its orders to arm
 // for that pass may still take effect.
-func (s State) foreignHold() bool {
+func (s State) hasForeignHold() bool {
 	for _, rank := range s.Ranks {
-		if rank.State.HeldPass != 0 && !s.harmless[rank.State.HeldPass] {
+		if rank.State.HeldPass != 0 && !s.releasablePasses[rank.State.HeldPass] {
 			return true
 		}
 	}
--- a/policy/topology/snapshot.go
+++ b/policy/topology/snapshot.go
@@ -10,10 +10,10 @@
 	Config *Configuration // Nil before the first one was read.
 	Ready  bool           // Configuration and servers have been read.
 
-	routesByHost map[string][]*Route // Longest prefix first.
-	byKey        map[string]*Organisation
-	servers      map[string][]Candidate // Usable ones by service, in order of their id.
-	listed       map[string][]Server    // All by service, in order of their id.
+	routesByHost       map[string][]*Route // Longest prefix first.
+	organisationsByKey map[string]*Organisation
+	candidates         map[string][]Candidate // Usable ones by service, in order of their id.
+	listedServers      map[string][]Server    // All by service, in order of their id.
 }
 
 // Candidate is a backend server that may get new work.
@@ -26,29 +26,29 @@
 // configuration lends its index.
 func (s State) Snapshot(previous *Snapshot) *Snapshot {
 	snapshot := &Snapshot{
-		Config:  s.Config,
-		Ready:   s.Config != nil && s.ServersListed,
-		servers: map[string][]Candidate{}, listed: map[string][]Server{},
+		Config:     s.Config,
+		Ready:      s.Config != nil && s.ServersListed,
+		candidates: map[string][]Candidate{}, listedServers: map[string][]Server{},
 	}
 	if previous != nil && previous.Config == s.Config {
-		snapshot.routesByHost, snapshot.byKey = previous.routesByHost, previous.byKey
+		snapshot.routesByHost, snapshot.organisationsByKey = previous.routesByHost, previous.organisationsByKey
 	} else if s.Config != nil {
 		snapshot.index()
 	}
 	for _, server := range s.latestAtAddress() {
 		service := server.Server.Service
-		snapshot.listed[service] = append(snapshot.listed[service], server.Server)
+		snapshot.listedServers[service] = append(snapshot.listedServers[service], server.Server)
 		if server.Server.Leaving || s.TakenOut[server.Server.DataCentre] {
 			continue
 		}
-		snapshot.servers[service] = append(snapshot.servers[service], Candidate{
+		snapshot.candidates[service] = append(snapshot.candidates[service], Candidate{
 			Server: server.Server, Unlisted: !server.DropAt.IsZero(),
 		})
 	}
-	for _, list := range snapshot.servers {
+	for _, list := range snapshot.candidates {
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	}
-	for _, list := range snapshot.listed {
+	for _, list := range snapshot.listedServers {
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	}
 	return snapshot
@@ -73,7 +73,7 @@
 
 func (s *Snapshot) index() {
 	s.routesByHost = map[string][]*Route{}
-	s.byKey = map[string]*Organisation{}
+	s.organisationsByKey = map[string]*Organisation{}
 	for i := range s.Config.Routes {
 		route := &s.Config.Routes[i]
 		host := strings.ToLower(route.Host)
@@ -85,7 +85,7 @@
 	for i := range s.Config.Organisations {
 		organisation := &s.Config.Organisations[i]
 		for _, key := range organisation.Keys {
-			s.byKey[key] = organisation
+			s.organisationsByKey[key] = organisation
 		}
 	}
 }
@@ -112,18 +112,18 @@
 func (s *Snapshot) HasOrganisations() bool { return len(s.Config.Organisations) > 0 }
 
 // Organisation returns the holder of the key, or nil.
-func (s *Snapshot) Organisation(key string) *Organisation { return s.byKey[key] }
+func (s *Snapshot) Organisation(key string) *Organisation { return s.organisationsByKey[key] }
 
 // Service returns the service, the zero value if it is not configured.
 func (s *Snapshot) Service(name string) Service { return s.Config.Services[name] }
 
 // Candidates returns the usable backend servers of the service. The caller must
 // not change the slice.
-func (s *Snapshot) Candidates(service string) []Candidate { return s.servers[service] }
+func (s *Snapshot) Candidates(service string) []Candidate { return s.candidates[service] }
 
 // Listed returns all servers of the service, also those that get no new work.
 // The caller must not change the slice.
-func (s *Snapshot) Listed(service string) []Server { return s.listed[service] }
+func (s *Snapshot) Listed(service string) []Server { return s.listedServers[service] }
 
 // PickService returns the target that the random number in [0, 1) falls on.
 func (r *Route) PickService(random float64) string {
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -18,10 +18,10 @@
 	// disappeared is kept: rows that lapsed in an outage are back within about
 	// two seconds, as the platform promises.
 	StoreReturnGrace = 2 * time.Second
-	// unannouncedGrace is how long a server is kept as a last resort whose row
+	// unlistedGrace is how long a server is kept as a last resort whose row
 	// disappeared without notice: an outage of the store may have gone unseen
 	// here. It ends before a leaving server's shortest drain period, 2 s.
-	unannouncedGrace = 1500 * time.Millisecond
+	unlistedGrace = 1500 * time.Millisecond
 )
 
 // State is what a process knows of the deployment.
@@ -117,19 +117,19 @@
 func Step(s State, input reduce.Input) (State, []reduce.Effect) {
 	switch event := input.Event.(type) {
 	case reduce.Tick:
-		return s.dropVanished(input.Now)
+		return s.dropExpired(input.Now)
 	case ConfigurationRead:
 		return s.install(event.Config)
 	case TakenOutRead:
-		return s.takeOut(event.DataCentre, event.Out)
+		return s.setTakenOut(event.DataCentre, event.Out)
 	case TakenOutListed:
-		return s.listTakenOut(event.DataCentres)
+		return s.replaceTakenOut(event.DataCentres)
 	case ServerRead:
-		return s.readServer(event.Server, input.Now)
+		return s.updateServer(event.Server, input.Now)
 	case ServerGone:
-		return s.vanish(event.ID, input.Now)
+		return s.removeServer(event.ID, input.Now)
 	case ServersListed:
-		return s.listServers(event.Servers, input.Now)
+		return s.replaceServers(event.Servers, input.Now)
 	case StoreLost:
 		s.LostWatches = maps.Clone(s.LostWatches)
 		s.LostWatches[event.Watch] = true
@@ -157,7 +157,7 @@
 	return s, []reduce.Effect{Change{What: "configuration", Outcome: "installed", Version: config.Version}}
 }
 
-func (s State) takeOut(dataCentre string, out bool) (State, []reduce.Effect) {
+func (s State) setTakenOut(dataCentre string, out bool) (State, []reduce.Effect) {
 	if s.TakenOut[dataCentre] == out {
 		return s, nil
 	}
@@ -173,7 +173,7 @@
 	return s, []reduce.Effect{Change{What: "data_centre", Subject: dataCentre, Outcome: outcome}}
 }
 
-func (s State) listTakenOut(dataCentres []string) (State, []reduce.Effect) {
+func (s State) replaceTakenOut(dataCentres []string) (State, []reduce.Effect) {
 	listed := map[string]bool{}
 	for _, name := range dataCentres {
 		listed[name] = true
@@ -181,18 +181,18 @@
 	var effects, more []reduce.Effect
 	for name := range s.TakenOut {
 		if !listed[name] {
-			s, more = s.takeOut(name, false)
+			s, more = s.setTakenOut(name, false)
 			effects = append(effects, more...)
 		}
 	}
 	for _, name := range dataCentres {
-		s, more = s.takeOut(name, true)
+		s, more = s.setTakenOut(name, true)
 		effects = append(effects, more...)
 	}
 	return s, effects
 }
 
-func (s State) readServer(server Server, now time.Time) (State, []reduce.Effect) {
+func (s State) updateServer(server Server, now time.Time) (State, []reduce.Effect) {
 	before, known := s.Servers[server.ID]
 	next := ServerState{Server: server, SeenAt: now}
 	s.Servers = maps.Clone(s.Servers)
@@ -209,9 +209,9 @@
 	return s, []reduce.Effect{Change{What: "server", Subject: server.ID, Outcome: outcome, Reason: server.Address}}
 }
 
-// vanish sets the time when the server is dropped. A leaving one has announced
+// removeServer sets the time when the server is dropped. A leaving one has announced
 // it and is dropped at once.
-func (s State) vanish(id string, now time.Time) (State, []reduce.Effect) {
+func (s State) removeServer(id string, now time.Time) (State, []reduce.Effect) {
 	server, known := s.Servers[id]
 	if !known || !server.DropAt.IsZero() {
 		return s, nil
@@ -222,7 +222,7 @@
 		delete(s.Servers, id)
 		return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "gone", Reason: "row removed after its notice"}}
 	}
-	server.DropAt = now.Add(unannouncedGrace)
+	server.DropAt = now.Add(unlistedGrace)
 	if graceEnd := s.StoreUpSince.Add(StoreReturnGrace); !s.StoreUpSince.IsZero() && graceEnd.After(server.DropAt) {
 		server.DropAt = graceEnd
 	}
@@ -230,25 +230,25 @@
 	return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "unlisted", Reason: "row removed without notice; kept as a last resort for " + server.DropAt.Sub(now).String()}}
 }
 
-func (s State) listServers(servers []Server, now time.Time) (State, []reduce.Effect) {
+func (s State) replaceServers(servers []Server, now time.Time) (State, []reduce.Effect) {
 	s.ServersListed = true
 	listed := map[string]bool{}
 	var effects, more []reduce.Effect
 	for _, server := range servers {
 		listed[server.ID] = true
-		s, more = s.readServer(server, now)
+		s, more = s.updateServer(server, now)
 		effects = append(effects, more...)
 	}
 	for id := range s.Servers {
 		if !listed[id] {
-			s, more = s.vanish(id, now)
+			s, more = s.removeServer(id, now)
 			effects = append(effects, more...)
 		}
 	}
 	return s, effects
 }
 
-func (s State) dropVanished(now time.Time) (State, []reduce.Effect) {
+func (s State) dropExpired(now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for id, server := range s.Servers {
 		if server.DropAt.IsZero() || now.Before(server.DropAt) {
--- a/policy/topology/topology_test.go
+++ b/policy/topology/topology_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// after reduces the events in turn, a millisecond apart.
-func after(s State, now *time.Time, events ...reduce.Event) State {
+// applyEvents reduces the events in turn, a millisecond apart.
+func applyEvents(s State, now *time.Time, events ...reduce.Event) State {
 	for _, event := range events {
 		*now = now.Add(time.Millisecond)
 		s, _ = Step(s, reduce.Input{Now: *now, Event: event})
@@ -25,7 +25,7 @@
 	return Server{ID: id, Service: "llm", Address: id + ":1", DataCentre: "a", Slots: 2}
 }
 
-func ids(s State) []string {
+func candidateIDs(s State) []string {
 	var found []string
 	for _, candidate := range s.Snapshot(nil).Candidates("llm") {
 		found = append(found, candidate.ID)
@@ -36,12 +36,12 @@
 func TestConfiguration(t *testing.T) {
 	Convey("A lower version is never installed", t, func() {
 		now := start
-		s := after(New(), &now, ConfigurationRead{Config: &Configuration{Version: 7}}, ConfigurationRead{Config: &Configuration{Version: 3}})
+		s := applyEvents(New(), &now, ConfigurationRead{Config: &Configuration{Version: 7}}, ConfigurationRead{Config: &Configuration{Version: 3}})
 		So(s.Config.Version, ShouldEqual, 7)
 	})
 	Convey("A row that can't be decoded changes nothing", t, func() {
 		now := start
-		s := after(New(), &now, ConfigurationRead{Config: &Configuration{Version: 7}}, ConfigurationRead{})
+		s := applyEvents(New(), &now, ConfigurationRead{Config: &Configuration{Version: 7}}, ConfigurationRead{})
 		So(s.Config.Version, ShouldEqual, 7)
 	})
 	Convey("The version in force never falls, whatever comes", t, func() {
@@ -49,7 +49,7 @@
 			now, s := start, New()
 			highest := int64(0)
 			for _, version := range rapid.SliceOf(rapid.Int64Range(1, 20)).Draw(t, "versions") {
-				s = after(s, &now, ConfigurationRead{Config: &Configuration{Version: version}})
+				s = applyEvents(s, &now, ConfigurationRead{Config: &Configuration{Version: version}})
 				highest = max(highest, version)
 				if s.Config.Version != highest {
 					t.Fatalf("version %d in force, %d was read", s.Config.Version, highest)
@@ -62,55 +62,55 @@
 func TestServers(t *testing.T) {
 	Convey("Given three listed servers", t, func() {
 		now := start
-		s := after(New(), &now, ServersListed{Servers: []Server{server("x"), server("y"), server("z")}})
-		So(ids(s), ShouldResemble, []string{"x", "y", "z"})
+		s := applyEvents(New(), &now, ServersListed{Servers: []Server{server("x"), server("y"), server("z")}})
+		So(candidateIDs(s), ShouldResemble, []string{"x", "y", "z"})
 
 		Convey("a leaving one gets no new work but stays listed", func() {
 			leaving := server("y")
 			leaving.Leaving = true
-			s = after(s, &now, ServerRead{Server: leaving})
-			So(ids(s), ShouldResemble, []string{"x", "z"})
+			s = applyEvents(s, &now, ServerRead{Server: leaving})
+			So(candidateIDs(s), ShouldResemble, []string{"x", "z"})
 			So(s.Snapshot(nil).Listed("llm"), ShouldHaveLength, 3)
 		})
 		Convey("one that vanishes without notice is a last resort, and is gone before 2 s", func() {
-			s = after(s, &now, ServerGone{ID: "y"})
+			s = applyEvents(s, &now, ServerGone{ID: "y"})
 			So(s.Snapshot(nil).Candidates("llm")[1].Unlisted, ShouldBeTrue)
 			now = now.Add(1900 * time.Millisecond)
-			s = after(s, &now, reduce.Tick{})
-			So(ids(s), ShouldResemble, []string{"x", "z"})
+			s = applyEvents(s, &now, reduce.Tick{})
+			So(candidateIDs(s), ShouldResemble, []string{"x", "z"})
 		})
 		Convey("one whose row is back in time stays", func() {
-			s = after(s, &now, ServerGone{ID: "y"}, ServerRead{Server: server("y")})
+			s = applyEvents(s, &now, ServerGone{ID: "y"}, ServerRead{Server: server("y")})
 			now = now.Add(5 * time.Second)
-			s = after(s, &now, reduce.Tick{})
-			So(ids(s), ShouldResemble, []string{"x", "y", "z"})
+			s = applyEvents(s, &now, reduce.Tick{})
+			So(candidateIDs(s), ShouldResemble, []string{"x", "y", "z"})
 		})
 		Convey("rows that lapsed in an outage are waited for after the store's return", func() {
-			s = after(s, &now, StoreLost{Watch: "servers"}, StoreRegained{Watch: "servers"}, ServersListed{})
+			s = applyEvents(s, &now, StoreLost{Watch: "servers"}, StoreRegained{Watch: "servers"}, ServersListed{})
 			now = now.Add(StoreReturnGrace - 100*time.Millisecond)
-			s = after(s, &now, reduce.Tick{})
-			So(ids(s), ShouldHaveLength, 3)
+			s = applyEvents(s, &now, reduce.Tick{})
+			So(candidateIDs(s), ShouldHaveLength, 3)
 			now = now.Add(200 * time.Millisecond)
-			s = after(s, &now, reduce.Tick{})
-			So(ids(s), ShouldBeEmpty)
+			s = applyEvents(s, &now, reduce.Tick{})
+			So(candidateIDs(s), ShouldBeEmpty)
 		})
 		Convey("none gets work in a data centre that is taken out, until it returns", func() {
-			s = after(s, &now, TakenOutRead{DataCentre: "a", Out: true})
-			So(ids(s), ShouldBeEmpty)
-			s = after(s, &now, TakenOutListed{})
-			So(ids(s), ShouldHaveLength, 3)
+			s = applyEvents(s, &now, TakenOutRead{DataCentre: "a", Out: true})
+			So(candidateIDs(s), ShouldBeEmpty)
+			s = applyEvents(s, &now, TakenOutListed{})
+			So(candidateIDs(s), ShouldHaveLength, 3)
 		})
 		Convey("one whose address has a newer server is passed over", func() {
 			successor := server("w")
 			successor.Address, successor.Revision = "y:1", 9
-			s = after(s, &now, ServerRead{Server: successor})
-			So(ids(s), ShouldResemble, []string{"w", "x", "z"})
+			s = applyEvents(s, &now, ServerRead{Server: successor})
+			So(candidateIDs(s), ShouldResemble, []string{"w", "x", "z"})
 		})
 		Convey("a snapshot does not change when the state does", func() {
 			before := s.Snapshot(nil)
 			leaving := server("y")
 			leaving.Leaving = true
-			after(s, &now, ServerRead{Server: leaving})
+			applyEvents(s, &now, ServerRead{Server: leaving})
 			So(before.Candidates("llm"), ShouldHaveLength, 3)
 		})
 	})
@@ -127,7 +127,7 @@
 		},
 	}
 	now := start
-	snapshot := after(New(), &now, ConfigurationRead{Config: config}).Snapshot(nil)
+	snapshot := applyEvents(New(), &now, ConfigurationRead{Config: config}).Snapshot(nil)
 	Convey("The longest prefix of the host's routes is taken", t, func() {
 		for _, c := range []struct{ host, path, want string }{
 			{"h", "/a/x", "short"}, {"h", "/a/b/x", "long"}, {"h", "/a/b", "short"},
