--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -17,7 +17,7 @@
 
 const (
 	renewInterval = 2 * time.Second
-	lapse         = 6 * time.Second // A row unchanged for so long is free.
+	leaseTimeout  = 6 * time.Second // A row unchanged for so long is free.
 	retryInterval = time.Second
 )
 
@@ -30,17 +30,17 @@
 
 // State is what a candidate knows of the lease.
 type State struct {
-	Self string
-	Wait time.Duration // Added to the lapse, so that candidates don't race.
-
-	Held    bool
-	Fence   uint64 // Highest fencing number seen; the own one while Held.
-	Version uint64 // Of the row as last seen.
-	Nonce   uint64 // Of the own write under way.
-	Row     Row    // As last seen.
-	SeenAt  time.Time
-	Busy    bool // A read or write is under way.
-	NextAt  time.Time
+	Self          string
+	TakeoverDelay time.Duration // Added to the lapse, so that candidates don't race.
+
+	Held     bool
+	Fence    uint64 // Highest fencing number seen; the own one while Held.
+	Version  uint64 // Of the row as last seen.
+	Nonce    uint64 // Of the own write under way.
+	Row      Row    // As last seen.
+	SeenAt   time.Time
+	InFlight bool // A read or write is under way.
+	NextAt   time.Time
 }
 
 // Read brings the row; Version 0 means that it does not exist.
@@ -103,45 +103,45 @@
 	case reduce.Tick:
 		return s.tick(input)
 	case HolderHeard:
-		return s.heard(event, input.Now), nil
+		return s.holderHeard(event, input.Now), nil
 	case Read:
-		s.Busy = false
+		s.InFlight = false
 		return s.read(event, input)
 	case Written:
-		s.Busy = false
-		return s.see(event.Row, event.Version, input.Now), nil
+		s.InFlight = false
+		return s.observe(event.Row, event.Version, input.Now), nil
 	case Conflict:
-		s.Busy = false
+		s.InFlight = false
 		s.NextAt = input.Now
 	case Failed:
-		s.Busy = false
+		s.InFlight = false
 		s.NextAt = input.Now.Add(retryInterval)
 	}
 	return s, nil
 }
 
 func (s State) tick(input reduce.Input) (State, []reduce.Effect) {
-	if s.Busy || input.Now.Before(s.NextAt) {
+	if s.InFlight || input.Now.Before(s.NextAt) {
 		return s, nil
 	}
-	s.Busy = true
+	s.InFlight = true
 	s.NextAt = input.Now.Add(renewInterval)
 	return s, []reduce.Effect{ReadRow{}}
 }
 
-func (s State) heard(event HolderHeard, now time.Time) State {
+func (s State) holderHeard(event HolderHeard, now time.Time) State {
 	if s.Held || event.Fence < s.Fence {
 		return s
 	}
 	s.Fence, s.SeenAt = event.Fence, now
-	s.NextAt = now.Add(lapse / 2)
+	s.NextAt = now.Add(leaseTimeout / 2)
 	return s
 }
 
 // read renews the own lease or takes one that has lapsed.
 func (s State) read(event Read, input reduce.Input) (State, []reduce.Effect) {
-	s = s.see(event.Row, event.Version, input.Now)
-	free := event.Version == 0 || input.Now.Sub(s.SeenAt) >= lapse+s.Wait
+	s = s.observe(event.Row, event.Version, input.Now)
+	free := event.Version == 0 || input.Now.Sub(s.SeenAt) >= leaseTimeout+s.TakeoverDelay
 	row := Row{Holder: s.Self, Fence: event.Row.Fence, Nonce: input.Random}
 	switch {
 	case s.Held:
@@ -150,13 +150,13 @@
 	default:
 		return s, nil
 	}
-	s.Busy, s.Nonce = true, input.Random
+	s.InFlight, s.Nonce = true, input.Random
 	return s, []reduce.Effect{WriteRow{Row: row, IfVersion: event.Version}}
 }
 
-// see takes in the row. A write of this process with a lost answer is known by
+// observe takes in the row. A write of this process with a lost answer is known by
 // its nonce.
-func (s State) see(row Row, version uint64, now time.Time) State {
+func (s State) observe(row Row, version uint64, now time.Time) State {
 	if version != s.Version {
 		s.SeenAt = now
 	}
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -30,9 +30,9 @@
 	// least. A hold that comes too late for its pass is refused, and the answer tells
 	// which pass is the next.
 	passLead = 1
-	// lossyPassLead holds where orders of the same change were lost: the group
+	// lostOrderPassLead holds where orders of the same change were lost: the group
 	// then has a pass to run while lost orders to arm are repeated.
-	lossyPassLead = 2
+	lostOrderPassLead = 2
 	// maxPassLead is how many passes ahead of the last known one a hold is put at
 	// most. A successor's holds are beyond all passes that it finds within it, so
 	// that a predecessor's release which takes effect late never meets them.
@@ -86,52 +86,52 @@
 	Size  int // Ranks of the group in this epoch.
 	Ranks map[int]Rank
 
-	Phase   Phase
-	Since   time.Time // Of the phase.
-	Version int64     // Being put in force, or in force.
-	Next    Map       // Content of Version while it is put in force.
-	Current Map       // In use; nil while unknown.
-	InUse   int64     // The version of Current.
-	Hold    Hold
-
-	silentAt  time.Time     // When a giver of a hold did not answer; zero for never.
-	hearing   time.Duration // Overrides the hearing limit; 0 for the usual one.
-	ownRank   int           // The rank beside the coordinator.
-	holdFloor int64         // Passes below it are not held: a release may be on its way.
-
-	succeeded bool // A rank has shown a version of a later lease; nothing is done any more.
-
-	made  int64 // Versions made under this lease.
-	lossy bool  // An order to copy had to be repeated in this change.
-	tempo tempo
-	// harmless are passes whose hold may be released at once: those that this lease
+	Phase          Phase
+	Since          time.Time // Of the phase.
+	Version        int64     // Being put in force, or in force.
+	Next           Map       // Content of Version while it is put in force.
+	Current        Map       // In use; nil while unknown.
+	CurrentVersion int64     // The version of Current.
+	Hold           Hold
+
+	senderFailedAt       time.Time     // When a giver of a hold did not answer; zero for never.
+	readAgeLimitOverride time.Duration // Overrides the hearing limit; 0 for the usual one.
+	ownRank              int           // The rank beside the coordinator.
+	minHoldPass          int64         // Passes below it are not held: a release may be on its way.
+
+	superseded bool // A rank has shown a version of a later lease; nothing is done any more.
+
+	versionsMade int64 // Versions made under this lease.
+	ordersLost   bool  // An order to copy had to be repeated in this change.
+	passTiming   passTiming
+	// releasablePasses are passes whose hold may be released at once: those that this lease
 	// has held, and those whose orders to arm were made void.
-	harmless map[int64]bool
+	releasablePasses map[int64]bool
 }
 
 // Rank is a rank as last reported.
 type Rank struct {
-	State   topology.RankState
-	Lists   topology.RankLists // Of State.MapVersion where the versions agree.
-	AskedAt time.Time          // When the report was asked for.
-	Direct  bool               // Its agent is away: the report came from the engine itself.
-	OrderAt time.Time          // When the last order was given.
-	Pending bool               // The call of the last order has not returned.
+	State             topology.RankState
+	Lists             topology.RankLists // Of State.MapVersion where the versions agree.
+	ReportRequestedAt time.Time          // When the report was asked for.
+	Direct            bool               // Its agent is away: the report came from the engine itself.
+	OrderedAt         time.Time          // When the last order was given.
+	OrderPending      bool               // The call of the last order has not returned.
 }
 
 // New returns the state of a coordinator that has just taken the lease, on the
 // machine of a rank.
 func New(fence uint64, ownRank int) State {
-	return State{Fence: fence, ownRank: ownRank, Ranks: map[int]Rank{}, harmless: map[int64]bool{}}
+	return State{Fence: fence, ownRank: ownRank, Ranks: map[int]Rank{}, releasablePasses: map[int64]bool{}}
 }
 
 // RankRead brings a rank's own report, and its lists where they were read.
 type RankRead struct {
 	State topology.RankState
 	Lists topology.RankLists
-	// Asked is when the report was asked for; an older one that arrives late is
+	// RequestedAt is when the report was asked for; an older one that arrives late is
 	// ignored.
-	Asked time.Time
+	RequestedAt time.Time
 	// Direct tells that the engine itself was read, because its agent is away.
 	Direct bool
 }
@@ -139,15 +139,15 @@
 // EventName implements reduce.Event.
 func (RankRead) EventName() string { return "mapswitch.rank_read" }
 
-// Given tells that the call of an order has returned, whatever came of the order.
-type Given struct {
+// OrderReturned tells that the call of an order has returned, whatever came of the order.
+type OrderReturned struct {
 	Rank     int
 	Kind     topology.OrderKind
 	Answered bool // By an agent, or by the engine itself.
 }
 
 // EventName implements reduce.Event.
-func (Given) EventName() string { return "mapswitch.given" }
+func (OrderReturned) EventName() string { return "mapswitch.given" }
 
 // Planned brings the next map.
 type Planned struct {
@@ -158,59 +158,59 @@
 // EventName implements reduce.Event.
 func (Planned) EventName() string { return "mapswitch.planned" }
 
-// Give asks to give the order to the rank; the rank is read after it.
-type Give struct {
+// SendOrder asks to give the order to the rank; the rank is read after it.
+type SendOrder struct {
 	Rank  int
 	Order topology.Order
-	// From and FromVersion are the map in use where an order to copy builds on it;
+	// BaseMap and FromVersion are the map in use where an order to copy builds on it;
 	// nil for others. A rank's own report may lag behind that version.
-	From        Map
-	FromVersion int64
+	BaseMap     Map
+	BaseVersion int64
 	// Through is the rank whose agent gives the order: the rank itself, but for holds.
 	Through int
 }
 
 // EffectName implements reduce.Effect.
-func (Give) EffectName() string { return "mapswitch.give" }
+func (SendOrder) EffectName() string { return "mapswitch.give" }
 
-// Look asks to read a rank at once.
-type Look struct{ Rank int }
+// ReadRank asks to read a rank at once.
+type ReadRank struct{ Rank int }
 
 // EffectName implements reduce.Effect.
-func (Look) EffectName() string { return "mapswitch.look" }
-
-// Moved reports a change of phase, for the log.
-type Moved struct {
-	From, To Phase
-	Epoch    int64
-	Version  int64
-	Pass     int64
-	After    time.Duration // In the phase before.
-	Reason   string
+func (ReadRank) EffectName() string { return "mapswitch.look" }
+
+// PhaseChanged reports a change of phase, for the log.
+type PhaseChanged struct {
+	From, To    Phase
+	Epoch       int64
+	Version     int64
+	Pass        int64
+	TimeInPhase time.Duration // In the phase before.
+	Reason      string
 }
 
 // EffectName implements reduce.Effect.
-func (Moved) EffectName() string { return "mapswitch.moved" }
+func (PhaseChanged) EffectName() string { return "mapswitch.moved" }
 
-// Resigned reports that a later lease has made the version, so that this
+// Superseded reports that a later lease has made the version, so that this
 // coordinator must end.
-type Resigned struct{ Version int64 }
+type Superseded struct{ Version int64 }
 
 // EffectName implements reduce.Effect.
-func (Resigned) EffectName() string { return "mapswitch.resigned" }
+func (Superseded) EffectName() string { return "mapswitch.resigned" }
 
 // Step reduces one input. The maps inside the state are its own.
 func Step(s State, input reduce.Input) (State, []reduce.Effect) {
-	if s.succeeded {
+	if s.superseded {
 		return s, nil
 	}
 	var effects []reduce.Effect
 	switch event := input.Event.(type) {
 	case RankRead:
-		s, effects = s.read(event, input.Now)
-	case Given:
+		s, effects = s.applyReport(event, input.Now)
+	case OrderReturned:
 		if rank, known := s.Ranks[event.Rank]; known {
-			rank.Pending = false
+			rank.OrderPending = false
 			s.Ranks[event.Rank] = rank
 		}
 		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.answeredAt.IsZero() {
@@ -220,46 +220,46 @@
 		if s.Phase == Idle && event.Epoch == s.Epoch {
 			s.Next = event.Map
 			s.Version = s.nextVersion()
-			s.lossy = false
-			s, effects = s.move(Preparing, "planned", input.Now)
+			s.ordersLost = false
+			s, effects = s.enterPhase(Preparing, "planned", input.Now)
 		}
 	}
-	if s.succeeded {
+	if s.superseded {
 		return s, effects
 	}
 	s, more := s.advance(input.Now)
 	return s, append(effects, more...)
 }
 
-// read takes in a report. A new epoch makes all that is known of ranks void.
-func (s State) read(event RankRead, now time.Time) (State, []reduce.Effect) {
+// applyReport takes in a report. A new epoch makes all that is known of ranks void.
+func (s State) applyReport(event RankRead, now time.Time) (State, []reduce.Effect) {
 	state := event.State
 	var effects []reduce.Effect
 	if state.Epoch < s.Epoch {
 		return s, nil
 	}
-	if s.madeBySuccessor(state) {
-		s.succeeded = true
-		return s, []reduce.Effect{Resigned{Version: max(state.MapVersion, state.Prepared, state.Armed)}}
+	if s.hasSuccessorVersion(state) {
+		s.superseded = true
+		return s, []reduce.Effect{Superseded{Version: max(state.MapVersion, state.Prepared, state.Armed)}}
 	}
 	if state.Epoch > s.Epoch || state.Size != s.Size {
 		s.Epoch, s.Size = state.Epoch, state.Size
 		s.Ranks = map[int]Rank{}
 		s.Current, s.Next = nil, nil
-		s.harmless, s.holdFloor = map[int64]bool{}, 0
-		s.tempo.pass = 0
-		s, effects = s.move(Survey, "new epoch", now)
+		s.releasablePasses, s.minHoldPass = map[int64]bool{}, 0
+		s.passTiming.pass = 0
+		s, effects = s.enterPhase(Survey, "new epoch", now)
 	}
 	rank := s.Ranks[state.Rank]
-	if event.Asked.Before(rank.AskedAt) {
+	if event.RequestedAt.Before(rank.ReportRequestedAt) {
 		return s, effects
 	}
-	rank.State, rank.AskedAt, rank.Direct = state, event.Asked, event.Direct
+	rank.State, rank.ReportRequestedAt, rank.Direct = state, event.RequestedAt, event.Direct
 	if event.Lists.Experts != nil && event.Lists.MapVersion == state.MapVersion {
 		rank.Lists = event.Lists
 	}
 	s.Ranks[state.Rank] = rank
-	s.tempo.see(s.lastPass(), now)
+	s.passTiming.observePass(s.lastPass(), now)
 	return s, effects
 }
 
@@ -268,7 +268,7 @@
 func (s State) advance(now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for {
-		next, moved, orders := s.step(now)
+		next, moved, orders := s.stepPhase(now)
 		effects = append(effects, moved...)
 		effects = append(effects, orders...)
 		if next.Phase == s.Phase {
@@ -278,12 +278,12 @@
 	}
 }
 
-func (s State) step(now time.Time) (next State, moved, orders []reduce.Effect) {
-	if !s.complete() {
+func (s State) stepPhase(now time.Time) (next State, moved, orders []reduce.Effect) {
+	if !s.allRanksRead() {
 		return s, nil, nil
 	}
-	if (s.Phase == Idle || s.Phase == Preparing) && s.foreignHold() {
-		s, moved = s.move(Survey, "a predecessor has put a hold", now)
+	if (s.Phase == Idle || s.Phase == Preparing) && s.hasForeignHold() {
+		s, moved = s.enterPhase(Survey, "a predecessor has put a hold", now)
 		return s, moved, nil
 	}
 	switch s.Phase {
@@ -292,30 +292,30 @@
 	case Idle:
 		// A hold of this lease whose order took effect late; nothing is armed for
 		// its pass, since that pass was given up or is over.
-		s, orders = s.releaseStray(now)
+		s, orders = s.releaseLateHolds(now)
 	case Preparing:
 		s, moved, orders = s.prepare(now)
 		var strays []reduce.Effect
-		s, strays = s.releaseStray(now)
+		s, strays = s.releaseLateHolds(now)
 		orders = append(orders, strays...)
 	case Holding:
-		s, moved, orders = s.hold(now)
+		s, moved, orders = s.putHold(now)
 	case Arming:
 		s, moved, orders = s.arm(now)
 	case Releasing:
 		s, moved, orders = s.release(now)
 	case Settling:
 		// A hold that took effect late is released again: all ranks are armed.
-		s, orders = s.releaseStray(now)
+		s, orders = s.releaseLateHolds(now)
 		s, moved = s.settle(now)
 	case Fencing:
-		s, moved, orders = s.fenceOff(now)
+		s, moved, orders = s.fencePredecessor(now)
 	}
 	return s, moved, orders
 }
 
-// complete reports whether every rank of the epoch has been read.
-func (s State) complete() bool { return s.Size > 0 && len(s.Ranks) == s.Size }
+// allRanksRead reports whether every rank of the epoch has been read.
+func (s State) allRanksRead() bool { return s.Size > 0 && len(s.Ranks) == s.Size }
 
 // NeedsLists reports whether the ranks' lists must be read.
 func (s State) NeedsLists() bool { return s.Phase == Survey }
@@ -338,15 +338,15 @@
 	return total
 }
 
-// move enters a phase; orders of the phase before don't delay its own.
-func (s State) move(to Phase, reason string, now time.Time) (State, []reduce.Effect) {
-	effect := Moved{From: s.Phase, To: to, Epoch: s.Epoch, Version: s.Version, Pass: s.Hold.Pass, Reason: reason}
+// enterPhase enters a phase; orders of the phase before don't delay its own.
+func (s State) enterPhase(to Phase, reason string, now time.Time) (State, []reduce.Effect) {
+	effect := PhaseChanged{From: s.Phase, To: to, Epoch: s.Epoch, Version: s.Version, Pass: s.Hold.Pass, Reason: reason}
 	if !s.Since.IsZero() {
-		effect.After = now.Sub(s.Since)
+		effect.TimeInPhase = now.Sub(s.Since)
 	}
 	s.Phase, s.Since = to, now
 	for id, rank := range s.Ranks {
-		rank.OrderAt, rank.Pending = time.Time{}, false
+		rank.OrderedAt, rank.OrderPending = time.Time{}, false
 		s.Ranks[id] = rank
 	}
 	return s, []reduce.Effect{effect}
