--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -40,22 +40,22 @@
 
 // Coordinator is the state of a group's coordinator.
 type Coordinator struct {
-	Margin uint64 // Steps between the newest step seen and a change's first; 0 for the default.
+	MarginSteps uint64 // Steps between the newest step seen and a change's first; 0 for the default.
 
 	Phase         Phase
 	Number        Number
 	Record        Record
 	RecordVersion uint64
 	RecordStale   bool // A write with unknown outcome may have changed the record.
-	StoreBusy     bool // A read or write of the record is under way.
+	StoreRequestInFlight     bool // A read or write of the record is under way.
 
 	States   []EngineState // By rank, as last reported in this round.
 	Answered []bool        // By rank: the state is of this round.
-	Before   []EngineState // By rank, as reported in the round before.
+	PreviousStates   []EngineState // By rank, as reported in the round before.
 
 	Change  Change // Under way.
-	Wanted  bool   // A change was proposed and not begun.
-	Version uint64 // Newest version used.
+	ChangeProposed  bool   // A change was proposed and not begun.
+	LastVersion uint64 // Newest version used.
 
 	RetryAt  time.Time
 	Deadline time.Time // Of the phase; zero for none.
@@ -65,19 +65,19 @@
 func StepCoordinator(c Coordinator, input reduce.Input) (Coordinator, []reduce.Effect) {
 	s := step{Coordinator: c, now: input.Now}
 	switch event := input.Event.(type) {
-	case Lead:
+	case LeaseAcquired:
 		s.lead(event)
-	case Unlead:
-		s.Coordinator = Coordinator{Margin: c.Margin}
+	case LeaseLost:
+		s.Coordinator = Coordinator{MarginSteps: c.MarginSteps}
 	case Propose:
-		s.Wanted = s.Phase != Passive
-	case Replied:
+		s.ChangeProposed = s.Phase != Passive
+	case ReplyReceived:
 		s.replied(event)
-	case RecordUnread:
-		s.StoreBusy = false
+	case RecordReadFailed:
+		s.StoreRequestInFlight = false
 		return s.Coordinator, nil // The next tick tries again.
-	case RecordRead, RecordWritten, RecordConflict, RecordUnknown:
-		s.StoreBusy = false
+	case RecordRead, RecordWritten, RecordConflict, RecordWriteUnknown:
+		s.StoreRequestInFlight = false
 		s.storeAnswered(event)
 	case reduce.Tick:
 		s.tick()
@@ -97,12 +97,12 @@
 
 func (s *step) emit(effect reduce.Effect) { s.effects = append(s.effects, effect) }
 
-func (s *step) lead(event Lead) {
+func (s *step) lead(event LeaseAcquired) {
 	if s.Phase != Passive && s.Number.Fence >= event.Fence {
 		return
 	}
 	s.Coordinator = Coordinator{
-		Margin: s.Margin, Number: Number{Fence: event.Fence},
+		MarginSteps: s.MarginSteps, Number: Number{Fence: event.Fence},
 		States: make([]EngineState, event.Ranks), Answered: make([]bool, event.Ranks),
 	}
 	s.claim()
@@ -129,7 +129,7 @@
 func (s *step) query() {
 	s.Number.Round++
 	s.Answered = make([]bool, len(s.Answered))
-	s.Before = s.States
+	s.PreviousStates = s.States
 	s.Change = Change{}
 	s.enter(Querying, 0)
 }
@@ -149,7 +149,7 @@
 	case Releasing, Aborting:
 		return state.Hold != s.Change
 	case Installing:
-		return !state.Lost()
+		return !state.HasNoMap()
 	}
 	return true
 }
@@ -176,10 +176,10 @@
 	}
 }
 
-func (s *step) replied(event Replied) {
+func (s *step) replied(event ReplyReceived) {
 	if event.Refused {
-		if event.Seen.Fence > s.Number.Fence {
-			s.Coordinator = Coordinator{Margin: s.Margin}
+		if event.HighestSeen.Fence > s.Number.Fence {
+			s.Coordinator = Coordinator{MarginSteps: s.MarginSteps}
 		}
 		return
 	}
@@ -200,21 +200,21 @@
 func (s *step) failed(state EngineState) bool {
 	switch s.Phase {
 	case Preparing:
-		return state.Lost() && !s.founding()
+		return state.HasNoMap() && !s.founding()
 	case Holding:
 		return state.Hold != s.Change
 	case Releasing:
-		return state.Lost()
+		return state.HasNoMap()
 	}
 	return false
 }
 
 // founding reports whether the group has never had a map.
-func (s *step) founding() bool { return s.Record.Change.None() && s.allLost() }
+func (s *step) founding() bool { return s.Record.Change.IsZero() && s.allLost() }
 
 func (s *step) allLost() bool {
 	for _, state := range s.States {
-		if !state.Lost() {
+		if !state.HasNoMap() {
 			return false
 		}
 	}
@@ -273,17 +273,17 @@
 
 // begin starts the proposed change.
 func (s *step) begin() {
-	if s.Phase != Steady || !s.Wanted {
+	if s.Phase != Steady || !s.ChangeProposed {
 		return
 	}
 	if s.RecordStale {
 		s.readRecord()
 		return
 	}
-	s.Wanted = false
-	s.Version = max(s.Version, s.Record.Change.ID.Version, s.newestVersion()) + 1
-	s.Change = Change{ID: ID{Fence: s.Number.Fence, Version: s.Version}}
-	s.emit(Begin{ID: s.Change.ID})
+	s.ChangeProposed = false
+	s.LastVersion = max(s.LastVersion, s.Record.Change.ID.Version, s.newestVersion()) + 1
+	s.Change = Change{ID: ID{Fence: s.Number.Fence, Version: s.LastVersion}}
+	s.emit(PublishMap{ID: s.Change.ID})
 	s.enter(Preparing, prepareTimeout)
 }
 
@@ -300,7 +300,7 @@
 		s.commit()
 		return
 	}
-	margin := s.Margin
+	margin := s.MarginSteps
 	if margin == 0 {
 		margin = defaultMargin
 	}
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -16,13 +16,13 @@
 		s.decideWithoutMap()
 		return
 	}
-	if change := s.held(); !change.None() {
+	if change := s.held(); !change.IsZero() {
 		s.Change = change
 		s.settle(change)
 		return
 	}
 	for _, state := range s.States {
-		if state.Lost() {
+		if state.HasNoMap() {
 			s.enter(Installing, 0)
 			return
 		}
@@ -34,7 +34,7 @@
 // the group has then stood still while the other ranks reported their steps.
 func (s *step) frozen() bool {
 	for rank, state := range s.States {
-		if state.Lost() && s.Before[rank].Boot != state.Boot {
+		if state.HasNoMap() && s.PreviousStates[rank].Boot != state.Boot {
 			return false
 		}
 	}
@@ -56,7 +56,7 @@
 	switch {
 	case s.RecordStale:
 		s.claim()
-	case s.Record.Change.None():
+	case s.Record.Change.IsZero():
 		s.rest()
 	default:
 		s.enter(Installing, 0)
@@ -71,7 +71,7 @@
 // held returns a change that a rank holds.
 func (s *step) held() Change {
 	for _, state := range s.States {
-		if !state.Hold.None() {
+		if !state.Hold.IsZero() {
 			return state.Hold
 		}
 	}
@@ -84,7 +84,7 @@
 		if state.Pending == change || state.InForce == change {
 			return true
 		}
-		if !state.Lost() && (state.Hold != change || state.VoidedBy != 0) {
+		if !state.HasNoMap() && (state.Hold != change || state.VoidedBy != 0) {
 			allHold = false
 		}
 	}
@@ -100,7 +100,7 @@
 		InForce: s.Record.Change, LastHeld: s.Record.Change.ID, Next: s.Record.Change.FirstStep,
 	}
 	for _, other := range s.States {
-		if !other.Lost() && (state.Boot == "" || other.Next > state.Next) {
+		if !other.HasNoMap() && (state.Boot == "" || other.Next > state.Next) {
 			state = other
 		}
 	}
--- a/policy/expertmap/directed_test.go
+++ b/policy/expertmap/directed_test.go
@@ -163,22 +163,22 @@
 		}
 		Convey("does not hold before a step that it has run", func() {
 			ready.Next = 6
-			So(ready.Apply(order(expertmap.Hold, 2)).Hold.None(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsZero(), ShouldBeTrue)
 		})
 		Convey("does not hold without the weights", func() {
 			ready.Prepared = first.ID
-			So(ready.Apply(order(expertmap.Hold, 2)).Hold.None(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsZero(), ShouldBeTrue)
 		})
 		Convey("does not hold a change again after an abort", func() {
 			state := ready.Apply(order(expertmap.Hold, 2)).Apply(order(expertmap.Abort, 2))
-			So(state.Apply(order(expertmap.Hold, 2)).Hold.None(), ShouldBeTrue)
+			So(state.Apply(order(expertmap.Hold, 2)).Hold.IsZero(), ShouldBeTrue)
 		})
 		Convey("is not released for a change that it does not hold", func() {
-			So(ready.Apply(order(expertmap.Release, 2)).Pending.None(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Release, 2)).Pending.IsZero(), ShouldBeTrue)
 		})
 		Convey("is not released after a void of the same coordinator", func() {
 			state := ready.Apply(order(expertmap.Hold, 2)).Apply(order(expertmap.Void, 2))
-			So(state.Apply(order(expertmap.Release, 2)).Pending.None(), ShouldBeTrue)
+			So(state.Apply(order(expertmap.Release, 2)).Pending.IsZero(), ShouldBeTrue)
 			So(state.Apply(order(expertmap.Release, 3)).Pending, ShouldResemble, held)
 		})
 		Convey("takes a state only while it has none, and only for its boot", func() {
@@ -187,7 +187,7 @@
 			So(ready.Apply(install).InForce, ShouldResemble, first)
 			install.State.Boot = "b"
 			lost := expertmap.EngineState{Boot: "c"}
-			So(lost.Apply(install).Lost(), ShouldBeTrue)
+			So(lost.Apply(install).HasNoMap(), ShouldBeTrue)
 			lost.Boot = "b"
 			So(lost.Apply(install).InForce, ShouldResemble, held)
 		})
@@ -208,7 +208,7 @@
 	Convey("A member whose engine can't run for too long is blocked until it can", t, func() {
 		m := expertmap.Member{}.Configure("agent-1", "g", 0, 2)
 		at := func(seconds int64, state expertmap.EngineState) bool {
-			input := reduce.Input{Now: time.Unix(seconds, 0), Event: expertmap.EngineSeen{State: state}}
+			input := reduce.Input{Now: time.Unix(seconds, 0), Event: expertmap.EngineReported{State: state}}
 			m, _ = expertmap.StepMember(m, input)
 			return m.Blocked
 		}
--- a/policy/expertmap/engine.go
+++ b/policy/expertmap/engine.go
@@ -14,27 +14,27 @@
 	Prepared ID     `json:"prepared"`  // Newest map whose weights are present.
 }
 
-// Lost reports whether the engine has no map.
-func (s EngineState) Lost() bool { return s.InForce.None() }
+// HasNoMap reports whether the engine has no map.
+func (s EngineState) HasNoMap() bool { return s.InForce.IsZero() }
 
 // MapAt returns the change whose map the engine uses at the step.
 func (s EngineState) MapAt(step uint64) Change {
-	if !s.Pending.None() && step >= s.Pending.FirstStep {
+	if !s.Pending.IsZero() && step >= s.Pending.FirstStep {
 		return s.Pending
 	}
 	return s.InForce
 }
 
-// MayRun reports whether the engine may run its next step.
-func (s EngineState) MayRun() bool {
-	if s.Lost() {
+// CanRunNext reports whether the engine may run its next step.
+func (s EngineState) CanRunNext() bool {
+	if s.HasNoMap() {
 		return false
 	}
-	return s.Hold.None() || s.Next < s.Hold.FirstStep
+	return s.Hold.IsZero() || s.Next < s.Hold.FirstStep
 }
 
-// Ran returns the state after the next step was run.
-func (s EngineState) Ran() EngineState {
+// AfterNextStep returns the state after the next step was run.
+func (s EngineState) AfterNextStep() EngineState {
 	if s.MapAt(s.Next) == s.Pending {
 		s.InForce, s.Pending = s.Pending, Change{}
 	}
@@ -74,7 +74,7 @@
 }
 
 func (s EngineState) hold(change Change) EngineState {
-	busy := s.Lost() || !s.Hold.None() || !s.Pending.None()
+	busy := s.HasNoMap() || !s.Hold.IsZero() || !s.Pending.IsZero()
 	late := s.Next > change.FirstStep
 	if busy || late || s.Prepared != change.ID || !s.LastHeld.Less(change.ID) {
 		return s
@@ -94,7 +94,7 @@
 }
 
 func (s EngineState) install(state EngineState) EngineState {
-	if !s.Lost() || s.Boot != state.Boot {
+	if !s.HasNoMap() || s.Boot != state.Boot {
 		return s
 	}
 	state.Prepared = s.Prepared
--- a/policy/expertmap/enumerate_test.go
+++ b/policy/expertmap/enumerate_test.go
@@ -116,7 +116,7 @@
 	if p.left.Leases > 0 && p.coords[rank].Phase == expertmap.Passive {
 		e.try(p, name("take lease"), func(n *position) { n.left.Leases--; n.takeLease(rank) })
 	}
-	if p.left.Losses > 0 && !p.engines[rank].State.Lost() {
+	if p.left.Losses > 0 && !p.engines[rank].State.HasNoMap() {
 		e.try(p, name("lose engine"), func(n *position) { n.left.Losses--; n.lose(rank) })
 	}
 	if p.left.Restarts > 0 {
--- a/policy/expertmap/events.go
+++ b/policy/expertmap/events.go
@@ -1,20 +1,20 @@
 package expertmap
 
-// Lead makes the process the coordinator of its group: it holds the lease with
+// LeaseAcquired makes the process the coordinator of its group: it holds the lease with
 // the fencing number.
-type Lead struct {
+type LeaseAcquired struct {
 	Fence uint64
 	Ranks int // Number of ranks of the group.
 }
 
 // EventName implements reduce.Event.
-func (Lead) EventName() string { return "expertmap.lead" }
+func (LeaseAcquired) EventName() string { return "expertmap.lead" }
 
-// Unlead ends the process's part as coordinator.
-type Unlead struct{}
+// LeaseLost ends the process's part as coordinator.
+type LeaseLost struct{}
 
 // EventName implements reduce.Event.
-func (Unlead) EventName() string { return "expertmap.unlead" }
+func (LeaseLost) EventName() string { return "expertmap.unlead" }
 
 // Propose asks for a change to the map stored under the ID that Begin names.
 type Propose struct{}
@@ -22,18 +22,18 @@
 // EventName implements reduce.Event.
 func (Propose) EventName() string { return "expertmap.propose" }
 
-// Replied brings the state of a rank's engine after an order.
-type Replied struct {
+// ReplyReceived brings the state of a rank's engine after an order.
+type ReplyReceived struct {
 	Rank    int
 	Kind    Kind   // Of the order.
 	Number  Number // Of the order.
 	State   EngineState
 	Refused bool   // The agent did not pass the order on.
-	Seen    Number // Refused: the highest number that the agent has seen.
+	HighestSeen    Number // Refused: the highest number that the agent has seen.
 }
 
 // EventName implements reduce.Event.
-func (Replied) EventName() string { return "expertmap.replied" }
+func (ReplyReceived) EventName() string { return "expertmap.replied" }
 
 // RecordRead brings the record; Version 0 means that there is none yet.
 type RecordRead struct {
@@ -44,11 +44,11 @@
 // EventName implements reduce.Event.
 func (RecordRead) EventName() string { return "expertmap.record_read" }
 
-// RecordUnread tells that a ReadRecord brought nothing.
-type RecordUnread struct{}
+// RecordReadFailed tells that a ReadRecord brought nothing.
+type RecordReadFailed struct{}
 
 // EventName implements reduce.Event.
-func (RecordUnread) EventName() string { return "expertmap.record_unread" }
+func (RecordReadFailed) EventName() string { return "expertmap.record_unread" }
 
 // RecordConflict tells that the record had another version than required;
 // nothing was written.
@@ -57,12 +57,12 @@
 // EventName implements reduce.Event.
 func (RecordConflict) EventName() string { return "expertmap.record_conflict" }
 
-// RecordUnknown tells that a WriteRecord may or may not have taken effect, now
+// RecordWriteUnknown tells that a WriteRecord may or may not have taken effect, now
 // or later.
-type RecordUnknown struct{}
+type RecordWriteUnknown struct{}
 
 // EventName implements reduce.Event.
-func (RecordUnknown) EventName() string { return "expertmap.record_unknown" }
+func (RecordWriteUnknown) EventName() string { return "expertmap.record_unknown" }
 
 // RecordWritten tells that the record was written and has the version.
 type RecordWritten struct {
@@ -98,11 +98,11 @@
 // EffectName implements reduce.Effect.
 func (Send) EffectName() string { return "expertmap.send" }
 
-// Begin tells under which ID the proposed map has to be found by the ranks.
-type Begin struct{ ID ID }
+// PublishMap tells under which ID the proposed map has to be found by the ranks.
+type PublishMap struct{ ID ID }
 
 // EffectName implements reduce.Effect.
-func (Begin) EffectName() string { return "expertmap.begin" }
+func (PublishMap) EffectName() string { return "expertmap.begin" }
 
 // Notice reports what the coordinator does, for the log.
 type Notice struct {
--- a/policy/expertmap/expertmap.go
+++ b/policy/expertmap/expertmap.go
@@ -37,8 +37,8 @@
 	FirstStep uint64 `json:"first_step"`
 }
 
-// None reports whether there is no change.
-func (c Change) None() bool { return c == Change{} }
+// IsZero reports whether there is no change.
+func (c Change) IsZero() bool { return c == Change{} }
 
 // Kind is the kind of an order to a rank.
 type Kind string
@@ -72,8 +72,8 @@
 // roundBits is the width of the round in an engine's fencing number.
 const roundBits = 24
 
-// Engine returns the number as the fencing number of an engine's order.
-func (n Number) Engine() uint64 { return n.Fence<<roundBits | n.Round }
+// EngineFence returns the number as the fencing number of an engine's order.
+func (n Number) EngineFence() uint64 { return n.Fence<<roundBits | n.Round }
 
 // Order is one order of a coordinator to a rank.
 type Order struct {
--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -20,16 +20,16 @@
 	Size        int // Number of ranks.
 	Lease       lease.State
 	Coordinator Coordinator
-	Orders      Rank
-	FreeAt      time.Time // When the engine was last seen able to run.
+	Orders      RankAgent
+	LastRunnableAt      time.Time // When the engine was last seen able to run.
 	Blocked     bool      // The engine has waited for its map for too long.
 }
 
-// EngineSeen brings the engine's state as its agent sees it.
-type EngineSeen struct{ State EngineState }
+// EngineReported brings the engine's state as its agent sees it.
+type EngineReported struct{ State EngineState }
 
 // EventName implements reduce.Event.
-func (EngineSeen) EventName() string { return "expertmap.engine_seen" }
+func (EngineReported) EventName() string { return "expertmap.engine_seen" }
 
 // Configure makes the agent the member of its group; a group keeps its size
 // while its agents run.
@@ -46,13 +46,13 @@
 	if m.Group == "" {
 		return m, nil
 	}
-	if seen, ok := input.Event.(EngineSeen); ok {
+	if seen, ok := input.Event.(EngineReported); ok {
 		return m.seen(seen.State, input.Now), nil
 	}
 	var effects, more []reduce.Effect
 	held := m.Lease.Held
 	m.Lease, effects = lease.Step(m.Lease, input)
-	m.Orders, more = StepRank(m.Orders, input)
+	m.Orders, more = StepRankAgent(m.Orders, input)
 	effects = append(effects, more...)
 	for _, effect := range more {
 		if forward, ok := effect.(Forward); ok {
@@ -60,20 +60,20 @@
 		}
 	}
 	if m.Lease.Held && (!held || m.Coordinator.Number.Fence < m.Lease.Fence) {
-		m.Coordinator, more = StepCoordinator(m.Coordinator, reduce.Input{Now: input.Now, Event: Lead{Fence: m.Lease.Fence, Ranks: m.Size}})
+		m.Coordinator, more = StepCoordinator(m.Coordinator, reduce.Input{Now: input.Now, Event: LeaseAcquired{Fence: m.Lease.Fence, Ranks: m.Size}})
 		effects = append(effects, more...)
 	}
 	if held && !m.Lease.Held {
-		m.Coordinator, _ = StepCoordinator(m.Coordinator, reduce.Input{Now: input.Now, Event: Unlead{}})
+		m.Coordinator, _ = StepCoordinator(m.Coordinator, reduce.Input{Now: input.Now, Event: LeaseLost{}})
 	}
 	m.Coordinator, more = StepCoordinator(m.Coordinator, input)
 	return m, append(effects, more...)
 }
 
 func (m Member) seen(state EngineState, now time.Time) Member {
-	if state.MayRun() || m.FreeAt.IsZero() {
-		m.FreeAt = now
+	if state.CanRunNext() || m.LastRunnableAt.IsZero() {
+		m.LastRunnableAt = now
 	}
-	m.Blocked = now.Sub(m.FreeAt) > blockedLimit
+	m.Blocked = now.Sub(m.LastRunnableAt) > blockedLimit
 	return m
 }
--- a/policy/expertmap/random_test.go
+++ b/policy/expertmap/random_test.go
@@ -143,7 +143,7 @@
 
 func (m *machine) founded() bool {
 	for _, e := range m.engines {
-		if e.State.Lost() {
+		if e.State.HasNoMap() {
 			return false
 		}
 	}
@@ -185,7 +185,7 @@
 		return fmt.Errorf("after healing: %s", m.violation)
 	}
 	first, last := m.engines[0].State, m.engines[m.group-1].State
-	if first.InForce.None() || first.InForce != last.InForce || !first.Hold.None() {
+	if first.InForce.IsZero() || first.InForce != last.InForce || !first.Hold.IsZero() {
 		return fmt.Errorf("ranks end as %+v and %+v", first, last)
 	}
 	return nil
--- a/policy/expertmap/record.go
+++ b/policy/expertmap/record.go
@@ -8,20 +8,20 @@
 
 func (s *step) readRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
-	if s.StoreBusy {
+	if s.StoreRequestInFlight {
 		return
 	}
-	s.StoreBusy = true
+	s.StoreRequestInFlight = true
 	s.emit(ReadRecord{})
 }
 
 // writeRecord writes the claim or the change under way.
 func (s *step) writeRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
-	if s.StoreBusy {
+	if s.StoreRequestInFlight {
 		return
 	}
-	s.StoreBusy = true
+	s.StoreRequestInFlight = true
 	record := Record{Fence: s.Number.Fence, Change: s.Record.Change}
 	if s.Phase == Committing {
 		record.Change = s.Change
@@ -56,7 +56,7 @@
 		if s.Phase == Claiming || s.Phase == Committing {
 			s.readRecord()
 		}
-	case RecordUnknown:
+	case RecordWriteUnknown:
 		s.RecordStale = true
 	}
 }
@@ -66,7 +66,7 @@
 		return
 	}
 	if event.Record.Fence > s.Number.Fence {
-		s.Coordinator = Coordinator{Margin: s.Margin}
+		s.Coordinator = Coordinator{MarginSteps: s.MarginSteps}
 		return
 	}
 	s.Record, s.RecordVersion, s.RecordStale = event.Record, event.Version, false
--- a/policy/expertmap/scale_test.go
+++ b/policy/expertmap/scale_test.go
@@ -71,7 +71,7 @@
 		}
 		for rank := range w.engines {
 			w.engines[rank].State.Next += 2
-			w.engines[rank].State = w.engines[rank].State.Ran()
+			w.engines[rank].State = w.engines[rank].State.AfterNextStep()
 		}
 	}
 	b.ReportMetric(float64(messages)/float64(b.N), "orders/op")
--- a/policy/expertmap/world_test.go
+++ b/policy/expertmap/world_test.go
@@ -19,7 +19,7 @@
 	Node  int // Coordinator's node.
 	Rank  int
 	Order expertmap.Order
-	Reply *expertmap.Replied
+	Reply *expertmap.ReplyReceived
 }
 
 // tableWrite is a write of the record on its way to the table service.
@@ -45,7 +45,7 @@
 	storeDown bool
 
 	engines []engine
-	ranks   []expertmap.Rank
+	ranks   []expertmap.RankAgent
 	coords  []expertmap.Coordinator
 	net     []message
 	writes  []tableWrite
@@ -64,11 +64,11 @@
 func newWorld(size int, checks bool) *world {
 	w := &world{checks: checks, ran: map[slot]expertmap.Change{}, now: time.Unix(0, 0)}
 	w.engines = make([]engine, size)
-	w.ranks = make([]expertmap.Rank, size)
+	w.ranks = make([]expertmap.RankAgent, size)
 	w.coords = make([]expertmap.Coordinator, size)
 	for rank := range size {
 		w.engines[rank].State.Boot = w.boot()
-		w.coords[rank].Margin = 1
+		w.coords[rank].MarginSteps = 1
 	}
 	return w
 }
@@ -80,7 +80,7 @@
 	w.record = expertmap.Record{Fence: 1, Change: first}
 	for rank := range w.engines {
 		w.engines[rank].State.InForce, w.engines[rank].State.LastHeld = first, first.ID
-		w.ranks[rank] = expertmap.Rank{Ready: true, Seen: expertmap.Number{Fence: 1}}
+		w.ranks[rank] = expertmap.RankAgent{FenceKnown: true, HighestSeen: expertmap.Number{Fence: 1}}
 	}
 }
 
@@ -109,7 +109,7 @@
 // takeLease gives the lease to the node; the holder before is not told.
 func (w *world) takeLease(node int) {
 	w.fence++
-	w.coordinate(node, expertmap.Lead{Fence: w.fence, Ranks: len(w.engines)})
+	w.coordinate(node, expertmap.LeaseAcquired{Fence: w.fence, Ranks: len(w.engines)})
 }
 
 func (w *world) coordinate(node int, event reduce.Event) {
@@ -126,7 +126,7 @@
 		w.net = append(w.net, message{Node: node, Rank: effect.Rank, Order: effect.Order})
 	case expertmap.ReadRecord:
 		if w.storeDown {
-			w.coordinate(node, expertmap.RecordUnread{})
+			w.coordinate(node, expertmap.RecordReadFailed{})
 			return
 		}
 		w.coordinate(node, expertmap.RecordRead{Record: w.record, Version: w.recordVersion})
@@ -145,7 +145,7 @@
 		w.coordinate(m.Node, *m.Reply)
 		return
 	}
-	next, effects := expertmap.StepRank(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: expertmap.Ordered{Order: m.Order}})
+	next, effects := expertmap.StepRankAgent(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: expertmap.OrderReceived{Order: m.Order}})
 	w.ranks[m.Rank] = next
 	for _, effect := range effects {
 		w.performRank(m, effect)
@@ -157,11 +157,11 @@
 	case expertmap.ReadFence:
 		var event reduce.Event = expertmap.FenceRead{Fence: w.fence}
 		if w.storeDown {
-			event = expertmap.FenceUnread{}
+			event = expertmap.FenceReadFailed{}
 		}
-		w.ranks[m.Rank], _ = expertmap.StepRank(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: event})
+		w.ranks[m.Rank], _ = expertmap.StepRankAgent(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: event})
 	case expertmap.RefuseOrder:
-		w.reply(m, expertmap.Replied{Refused: true, Seen: effect.Seen})
+		w.reply(m, expertmap.ReplyReceived{Refused: true, HighestSeen: effect.HighestSeen})
 	case expertmap.Forward:
 		w.engines[m.Rank].Queue = append(w.engines[m.Rank].Queue, m)
 		if w.direct {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (w *world) reply(m message, reply expertmap.Replied) {
+func (w *world) reply(m message, reply expertmap.ReplyReceived) {
 	reply.Rank, reply.Kind, reply.Number = m.Rank, m.Order.Kind, m.Order.Number
 	w.net = append(w.net, message{Node: m.Node, Rank: m.Rank, Reply: &reply})
 }
@@ -182,13 +182,13 @@
 	if !keep {
 		e.Queue = e.Queue[1:]
 	}
-	if w.checks && m.Order.Number.Engine() < e.Fence {
-		w.reply(m, expertmap.Replied{Refused: true})
+	if w.checks && m.Order.Number.EngineFence() < e.Fence {
+		w.reply(m, expertmap.ReplyReceived{Refused: true})
 		return
 	}
-	e.Fence = max(e.Fence, m.Order.Number.Engine())
+	e.Fence = max(e.Fence, m.Order.Number.EngineFence())
 	e.State = e.State.Apply(m.Order)
-	w.reply(m, expertmap.Replied{State: e.State})
+	w.reply(m, expertmap.ReplyReceived{State: e.State})
 }
 
 // land applies a write of the record and answers if the coordinator waits.
@@ -210,7 +210,7 @@
 // land.
 func (w *world) forget(index int) {
 	w.writes[index].Told = true
-	w.coordinate(w.writes[index].Node, expertmap.RecordUnknown{})
+	w.coordinate(w.writes[index].Node, expertmap.RecordWriteUnknown{})
 }
 
 // tick lets the node's timers run out.
@@ -221,8 +221,8 @@
 
 // restartAgent clears what the agent of the rank keeps.
 func (w *world) restartAgent(rank int) {
-	w.ranks[rank] = expertmap.Rank{}
-	w.coords[rank] = expertmap.Coordinator{Margin: 1}
+	w.ranks[rank] = expertmap.RankAgent{}
+	w.coords[rank] = expertmap.Coordinator{MarginSteps: 1}
 	for index := range w.writes {
 		w.writes[index].Told = w.writes[index].Told || w.writes[index].Node == rank
 	}
@@ -233,7 +233,7 @@
 	w.engines[rank].State = expertmap.EngineState{Boot: w.boot()}
 	w.engines[rank].Fence = 0
 	for index := range w.engines {
-		if !w.engines[index].State.Lost() {
+		if !w.engines[index].State.HasNoMap() {
 			return
 		}
 	}
@@ -248,7 +248,7 @@
 			return false
 		}
 	}
-	return state.MayRun()
+	return state.CanRunNext()
 }
 
 // run lets the rank run its next step in front of the oracle.
@@ -260,5 +260,5 @@
 		w.violation = fmt.Sprintf("step %d: rank %d uses map %v, another used %v", at.Step, rank, used.ID, seen.ID)
 	}
 	w.ran[at] = used
-	w.engines[rank].State = state.Ran()
+	w.engines[rank].State = state.AfterNextStep()
 }
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -41,7 +41,7 @@
 func (r *receiver) Order(request wire.MapOrder, reply *wire.MapReply) error {
 	r.group.node.Hear(request.Stamp)
 	ticket, done := r.group.expect()
-	r.group.node.Loop.Post(expertmap.Ordered{Ticket: ticket, Order: request.Order})
+	r.group.node.Loop.Post(expertmap.OrderReceived{Ticket: ticket, Order: request.Order})
 	result := <-done
 	reply.Stamp = r.group.node.Stamp()
 	reply.State, reply.Refused, reply.Seen = result.state, result.refused, result.seen
@@ -85,7 +85,7 @@
 }
 
 func (g *Group) give(ctx context.Context, order expertmap.Order) (expertmap.EngineState, error) {
-	request := ports.RankOrder{Fence: order.Number.Engine(), Order: order}
+	request := ports.RankOrder{Fence: order.Number.EngineFence(), Order: order}
 	if id, needs := mapOf(order); needs {
 		body, err := g.fetch(ctx, id)
 		if err != nil {
@@ -170,9 +170,9 @@
 		return
 	}
 	g.node.Hear(reply.Stamp)
-	g.node.Loop.Post(expertmap.Replied{
+	g.node.Loop.Post(expertmap.ReplyReceived{
 		Rank: send.Rank, Kind: send.Order.Kind, Number: send.Order.Number,
-		State: reply.State, Refused: reply.Refused, Seen: reply.Seen,
+		State: reply.State, Refused: reply.Refused, HighestSeen: reply.Seen,
 	})
 }
 
--- a/server/group/plan.go
+++ b/server/group/plan.go
@@ -47,11 +47,11 @@
 	if err != nil {
 		return
 	}
-	g.node.Loop.Post(expertmap.EngineSeen{State: report.State})
+	g.node.Loop.Post(expertmap.EngineReported{State: report.State})
 	if member.Coordinator.Phase != expertmap.Steady {
 		return
 	}
-	if report.State.Lost() {
+	if report.State.HasNoMap() {
 		g.propose(evenPlacement(report.Shape), "the group has no map yet")
 		return
 	}
--- a/server/group/table.go
+++ b/server/group/table.go
@@ -20,9 +20,9 @@
 	case lease.ReadRow:
 		go g.read(ctx, g.leaseKey(), lease.Failed{}, leaseRead)
 	case expertmap.ReadFence:
-		go g.read(ctx, g.leaseKey(), expertmap.FenceUnread{}, fenceRead)
+		go g.read(ctx, g.leaseKey(), expertmap.FenceReadFailed{}, fenceRead)
 	case expertmap.ReadRecord:
-		go g.read(ctx, g.recordKey(), expertmap.RecordUnread{}, recordRead)
+		go g.read(ctx, g.recordKey(), expertmap.RecordReadFailed{}, recordRead)
 	case lease.WriteRow:
 		go g.writeLease(ctx, effect)
 	case expertmap.WriteRecord:
@@ -91,7 +91,7 @@
 	case err == nil:
 		g.node.Loop.Post(expertmap.RecordWritten{Record: write.Record, Version: version})
 	case outcomeUnknown(err):
-		g.node.Loop.Post(expertmap.RecordUnknown{})
+		g.node.Loop.Post(expertmap.RecordWriteUnknown{})
 	default:
 		g.node.Loop.Post(expertmap.RecordConflict{})
 	}
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -108,7 +108,7 @@
 			return false
 		}
 	}
-	return !g.ranks[i].stalled && state.MayRun()
+	return !g.ranks[i].stalled && state.CanRunNext()
 }
 
 func (g *Group) run(i int) {
@@ -122,7 +122,7 @@
 		g.oracle.Maps = append(g.oracle.Maps, used.ID.String())
 	}
 	g.seen[state.Next] = used
-	g.ranks[i].state = state.Ran()
+	g.ranks[i].state = state.AfterNextStep()
 	g.oracle.Steps++
 }
 
@@ -133,7 +133,7 @@
 	g.ranks[i].state = expertmap.EngineState{Boot: uuid.NewString()}
 	g.ranks[i].fence = 0
 	for _, r := range g.ranks {
-		if !r.state.Lost() {
+		if !r.state.HasNoMap() {
 			return
 		}
 	}
