--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -42,20 +42,20 @@
 type Coordinator struct {
 	MarginSteps uint64 // Steps between the newest step seen and a change's first; 0 for the default.
 
-	Phase         Phase
-	Number        Number
-	Record        Record
-	RecordVersion uint64
-	RecordStale   bool // A write with unknown outcome may have changed the record.
-	StoreRequestInFlight     bool // A read or write of the record is under way.
+	Phase                Phase
+	Number               Number
+	Record               Record
+	RecordVersion        uint64
+	RecordStale          bool // A write with unknown outcome may have changed the record.
+	StoreRequestInFlight bool // A read or write of the record is under way.
 
-	States   []EngineState // By rank, as last reported in this round.
-	Answered []bool        // By rank: the state is of this round.
-	PreviousStates   []EngineState // By rank, as reported in the round before.
+	States         []EngineState // By rank, as last reported in this round.
+	Answered       []bool        // By rank: the state is of this round.
+	PreviousStates []EngineState // By rank, as reported in the round before.
 
-	Change  Change // Under way.
-	ChangeProposed  bool   // A change was proposed and not begun.
-	LastVersion uint64 // Newest version used.
+	Change         Change // Under way.
+	ChangeProposed bool   // A change was proposed and not begun.
+	LastVersion    uint64 // Newest version used.
 
 	RetryAt  time.Time
 	Deadline time.Time // Of the phase; zero for none.
--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -15,14 +15,14 @@
 // Member is an agent's part in its group: its rank, and the coordinator while
 // it holds the group's lease. The zero value is no member of any group.
 type Member struct {
-	Group       string
-	Rank        int
-	Size        int // Number of ranks.
-	Lease       lease.State
-	Coordinator Coordinator
-	Orders      RankAgent
-	LastRunnableAt      time.Time // When the engine was last seen able to run.
-	Blocked     bool      // The engine has waited for its map for too long.
+	Group          string
+	Rank           int
+	Size           int // Number of ranks.
+	Lease          lease.State
+	Coordinator    Coordinator
+	Orders         RankAgent
+	LastRunnableAt time.Time // When the engine was last seen able to run.
+	Blocked        bool      // The engine has waited for its map for too long.
 }
 
 // EngineReported brings the engine's state as its agent sees it.
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -10,7 +10,7 @@
 type RankAgent struct {
 	FenceKnown   bool   // The fencing number was read since the agent started.
 	ReadingFence bool   // A read of the fencing number is under way.
-	HighestSeen    Number // Highest number of an order taken.
+	HighestSeen  Number // Highest number of an order taken.
 }
 
 // OrderReceived brings a coordinator's order; Ticket names it in the effects.
@@ -53,8 +53,8 @@
 
 // RefuseOrder answers the order without passing it on.
 type RefuseOrder struct {
-	Ticket uint64
-	HighestSeen   Number
+	Ticket      uint64
+	HighestSeen Number
 	FenceKnown  bool
 }
 
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -26,7 +26,7 @@
 // Shape is the size of a group.
 type Shape struct {
 	Ranks     int
-	Places    int // Experts that a rank holds in each set at most.
+	Slots     int // Experts that a rank holds in each set at most.
 	Experts   int // In each set.
 	NewPerSet int // Experts that one change may bring to a rank in each set.
 
@@ -47,18 +47,18 @@
 
 // Plan is a map with what it is expected to bring.
 type Plan struct {
-	Map        Map
-	Copies     int // Experts copied, over all ranks.
-	MostCopies int // By one rank.
-	SkewBefore float64
-	SkewAfter  float64
+	Map              Map
+	Copies           int // Experts copied, over all ranks.
+	MaxCopiesPerRank int // By one rank.
+	SkewBefore       float64
+	SkewAfter        float64
 }
 
 // Costs weigh a change against what it saves.
 type Costs struct {
-	CopyTime    time.Duration // A rank's for one expert.
-	ExpertShare float64       // Share of a pass that is spent on experts.
-	Filled      float64       // Share of the group's places that are taken.
+	CopyTime        time.Duration // A rank's for one expert.
+	ExpertTimeShare float64       // Share of a pass that is spent on experts.
+	Occupancy       float64       // Share of the group's places that are taken.
 }
 
 const (
@@ -79,18 +79,18 @@
 	horizon = 2 * time.Second
 )
 
-// Pays reports whether the time that the plan saves within the horizon exceeds
+// IsWorthwhile reports whether the time that the plan saves within the horizon exceeds
 // what its copies cost the group.
-func (p Plan) Pays(costs Costs) bool {
+func (p Plan) IsWorthwhile(costs Costs) bool {
 	if p.Copies == 0 || p.SkewBefore <= 0 {
 		return false
 	}
 	gain := (p.SkewBefore - p.SkewAfter) / p.SkewBefore
-	if costs.Filled < lightLoad && gain < lightGain {
+	if costs.Occupancy < lightLoad && gain < lightGain {
 		return false
 	}
-	saved := gain * costs.ExpertShare * horizon.Seconds()
-	return saved > changeCost.Seconds()+copySlowdown*float64(p.MostCopies)*costs.CopyTime.Seconds()
+	saved := gain * costs.ExpertTimeShare * horizon.Seconds()
+	return saved > changeCost.Seconds()+copySlowdown*float64(p.MaxCopiesPerRank)*costs.CopyTime.Seconds()
 }
 
 const (
@@ -101,14 +101,14 @@
 	recovery = 600 * time.Millisecond
 )
 
-// DecideSoonest returns, among the plans of up to budget copies a rank, the one
+// DecideLeastAverageSkew returns, among the plans of up to budget copies a rank, the one
 // with the least skew on average over the time after a jump: fewer copies are in
 // force sooner, and another change follows.
-func DecideSoonest(shape Shape, current Map, load [][]float64, budget int, copyTime time.Duration) Plan {
+func DecideLeastAverageSkew(shape Shape, current Map, load [][]float64, budget int, copyTime time.Duration) Plan {
 	best, bestCost := Plan{}, math.Inf(1)
 	for copies := budget; copies >= 1; copies /= 2 {
 		plan := Decide(shape, current, load, copies)
-		until := switchTime + time.Duration(plan.MostCopies)*copyTime
+		until := switchTime + time.Duration(plan.MaxCopiesPerRank)*copyTime
 		cost := plan.SkewBefore*until.Seconds() + plan.SkewAfter*max(0, recovery-until).Seconds()
 		if cost < bestCost {
 			best, bestCost = plan, cost
@@ -139,7 +139,7 @@
 		plan.Map = append(plan.Map, s.held)
 	}
 	for _, count := range copies {
-		plan.MostCopies = max(plan.MostCopies, count)
+		plan.MaxCopiesPerRank = max(plan.MaxCopiesPerRank, count)
 	}
 	plan.SkewAfter = Skew(shape, plan.Map, load)
 	if plan.SkewAfter > plan.SkewBefore {
@@ -284,7 +284,7 @@
 }
 
 func (s *search) consider(best *step, expert, rank, hottest int) {
-	if len(s.held[rank]) < s.shape.Places {
+	if len(s.held[rank]) < s.shape.Slots {
 		s.offerBoth(best, step{expert: expert, rank: rank, victim: -1}, hottest)
 	}
 	for _, victim := range s.held[rank] {
--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -11,7 +11,7 @@
 )
 
 // usersShape is that of the users' groups.
-var usersShape = Shape{Ranks: 12, Places: 8, Experts: 72, NewPerSet: 3}
+var usersShape = Shape{Ranks: 12, Slots: 8, Experts: 72, NewPerSet: 3}
 
 const usersSets = 4
 
@@ -64,14 +64,14 @@
 		So(total/float64(jumps), ShouldBeLessThan, 1.15)
 	})
 	Convey("A change that saves less than its copies cost is not made", t, func() {
-		costs := Costs{CopyTime: 100 * time.Millisecond, ExpertShare: 0.4, Filled: 0.9}
-		So(Plan{Copies: 1, MostCopies: 1, SkewBefore: 1.18, SkewAfter: 1.17}.Pays(costs), ShouldBeFalse)
-		So(Plan{Copies: 24, MostCopies: 2, SkewBefore: 3, SkewAfter: 1.3}.Pays(costs), ShouldBeTrue)
-		So(Plan{SkewBefore: 3, SkewAfter: 3}.Pays(costs), ShouldBeFalse)
-		So(Plan{Copies: 4, MostCopies: 1, SkewBefore: 1.3, SkewAfter: 1.2}.Pays(costs), ShouldBeTrue)
-		costs.Filled = 0.2
-		So(Plan{Copies: 4, MostCopies: 1, SkewBefore: 1.3, SkewAfter: 1.2}.Pays(costs), ShouldBeFalse)
-		So(Plan{Copies: 24, MostCopies: 2, SkewBefore: 3, SkewAfter: 1.3}.Pays(costs), ShouldBeTrue)
+		costs := Costs{CopyTime: 100 * time.Millisecond, ExpertTimeShare: 0.4, Occupancy: 0.9}
+		So(Plan{Copies: 1, MaxCopiesPerRank: 1, SkewBefore: 1.18, SkewAfter: 1.17}.IsWorthwhile(costs), ShouldBeFalse)
+		So(Plan{Copies: 24, MaxCopiesPerRank: 2, SkewBefore: 3, SkewAfter: 1.3}.IsWorthwhile(costs), ShouldBeTrue)
+		So(Plan{SkewBefore: 3, SkewAfter: 3}.IsWorthwhile(costs), ShouldBeFalse)
+		So(Plan{Copies: 4, MaxCopiesPerRank: 1, SkewBefore: 1.3, SkewAfter: 1.2}.IsWorthwhile(costs), ShouldBeTrue)
+		costs.Occupancy = 0.2
+		So(Plan{Copies: 4, MaxCopiesPerRank: 1, SkewBefore: 1.3, SkewAfter: 1.2}.IsWorthwhile(costs), ShouldBeFalse)
+		So(Plan{Copies: 24, MaxCopiesPerRank: 2, SkewBefore: 3, SkewAfter: 1.3}.IsWorthwhile(costs), ShouldBeTrue)
 	})
 	Convey("An even load needs no copies", t, func() {
 		load := make([][]float64, usersSets)
@@ -93,12 +93,12 @@
 			load := topics(rand.New(rand.NewPCG(seed, 3)), usersShape, usersSets)
 			placement := inTurn(usersShape, usersSets)
 			whole := Decide(usersShape, placement, load, 3)
-			soonest := DecideSoonest(usersShape, placement, load, 3, copyTime)
-			if soonest.MostCopies < whole.MostCopies {
+			soonest := DecideLeastAverageSkew(usersShape, placement, load, 3, copyTime)
+			if soonest.MaxCopiesPerRank < whole.MaxCopiesPerRank {
 				fewer++
 			}
 			cost := func(p Plan) float64 {
-				until := (switchTime + time.Duration(p.MostCopies)*copyTime).Seconds()
+				until := (switchTime + time.Duration(p.MaxCopiesPerRank)*copyTime).Seconds()
 				return p.SkewBefore*until + p.SkewAfter*(recovery.Seconds()-until)
 			}
 			So(cost(soonest), ShouldBeLessThanOrEqualTo, cost(whole))
@@ -108,7 +108,7 @@
 	Convey("Where a copy takes no time all copies are made", t, func() {
 		load := topics(rand.New(rand.NewPCG(1, 3)), usersShape, usersSets)
 		placement := inTurn(usersShape, usersSets)
-		So(DecideSoonest(usersShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(usersShape, placement, load, 3).SkewAfter)
+		So(DecideLeastAverageSkew(usersShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(usersShape, placement, load, 3).SkewAfter)
 	})
 }
 
@@ -138,7 +138,7 @@
 		if rapid.Bool().Draw(t, "one is slow") {
 			shape.Slowness = []float64{rapid.Float64Range(1, 12).Draw(t, "slowness")}
 		}
-		shape.Places = (shape.Experts+shape.Ranks-1)/shape.Ranks + rapid.IntRange(0, 2).Draw(t, "spare places")
+		shape.Slots = (shape.Experts+shape.Ranks-1)/shape.Ranks + rapid.IntRange(0, 2).Draw(t, "spare places")
 		sets := rapid.IntRange(1, 3).Draw(t, "sets")
 		budget := rapid.IntRange(1, 4).Draw(t, "budget")
 		placement := inTurn(shape, sets)
@@ -160,7 +160,7 @@
 func TestPlanNeverRaisesSkew(t *testing.T) {
 	Convey("A step that lowers the search's cost but raises the skew is not planned", t, func() {
 		// Found by TestPlanFits.
-		shape := Shape{Ranks: 2, Places: 8, Experts: 14, NewPerSet: 1, Slowness: []float64{2.75}}
+		shape := Shape{Ranks: 2, Slots: 8, Experts: 14, NewPerSet: 1, Slowness: []float64{2.75}}
 		load := [][]float64{{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 6.75, 1, 26.875, 100}}
 		plan := Decide(shape, inTurn(shape, 1), load, 1)
 		So(plan.SkewAfter, ShouldBeLessThanOrEqualTo, plan.SkewBefore)
@@ -172,7 +172,7 @@
 	for set := range plan.Map {
 		covered := map[int]bool{}
 		for rank, experts := range plan.Map[set] {
-			if len(experts) > shape.Places {
+			if len(experts) > shape.Slots {
 				t.Fatalf("rank %d holds %d experts", rank, len(experts))
 			}
 			old := map[int]bool{}
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -59,12 +59,12 @@
 
 // Plan is a decision with its reason.
 type Plan struct {
-	Placement   Placement // The current one where nothing pays.
-	Moves       []Move    // The most valuable layers first.
-	Reason      string
-	SkewBefore  float64 // Forecast.
-	SkewAfter   float64 // Forecast.
-	SavedSecond float64 // Over the horizon, less the cost of the change.
+	Placement    Placement // The current one where nothing pays.
+	Moves        []Move    // The most valuable layers first.
+	Reason       string
+	SkewBefore   float64 // Forecast.
+	SkewAfter    float64 // Forecast.
+	SavedSeconds float64 // Over the horizon, less the cost of the change.
 }
 
 // payback is how often the saved time must cover the cost of a move.
@@ -157,9 +157,9 @@
 	s.rememberSlowness(input.Slowness)
 	plan.Placement = next
 	plan.SkewAfter = Skew(input.Shape, next, s.forecast, input.Slowness)
-	plan.SavedSecond = value - input.Costs.SwitchSeconds
+	plan.SavedSeconds = value - input.Costs.SwitchSeconds
 	plan.Reason = fmt.Sprintf("%d moves in %d of %d changed layers lower the skew from %.3f to %.3f and save %.1f s over %.0f steps",
-		len(plan.Moves), len(pays), open, plan.SkewBefore, plan.SkewAfter, plan.SavedSecond, input.Costs.HorizonSteps)
+		len(plan.Moves), len(pays), open, plan.SkewBefore, plan.SkewAfter, plan.SavedSeconds, input.Costs.HorizonSteps)
 	return plan
 }
 
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -112,18 +112,18 @@
 	}
 	p.planned = true
 	shape := hotexperts.Shape{
-		Ranks: state.Size, Places: engine.Places, Experts: engine.Experts, NewPerSet: engine.NewPerSet,
+		Ranks: state.Size, Slots: engine.Places, Experts: engine.Experts, NewPerSet: engine.NewPerSet,
 		Slowness: state.Slowness,
 	}
-	plan := hotexperts.DecideSoonest(shape, state.Current, p.demand.Load(), copyBudget(engine), engine.CopyTime())
+	plan := hotexperts.DecideLeastAverageSkew(shape, state.Current, p.demand.Load(), copyBudget(engine), engine.CopyTime())
 	p.gauges.skew.Set(plan.SkewBefore)
-	if !plan.Pays(hotexperts.Costs{CopyTime: engine.CopyTime(), ExpertShare: expertPassShare, Filled: state.filled(engine)}) {
+	if !plan.IsWorthwhile(hotexperts.Costs{CopyTime: engine.CopyTime(), ExpertTimeShare: expertPassShare, Occupancy: state.filled(engine)}) {
 		return
 	}
 	p.postedAt = time.Now()
 	p.gauges.copies.Add(float64(plan.Copies))
 	logevent.Write(p.log, logevent.MapPlanned, logrus.Fields{
-		"group": p.group, "epoch": state.Epoch, "copies": plan.Copies, "most_copies": plan.MostCopies,
+		"group": p.group, "epoch": state.Epoch, "copies": plan.Copies, "most_copies": plan.MaxCopiesPerRank,
 		"skew_before": plan.SkewBefore, "skew_after": plan.SkewAfter, "slowest": slices.Max(state.Slowness), "choices": p.demand.Choices(),
 	})
 	control.Post(mapswitch.Planned{Epoch: state.Epoch, Map: plan.Map})
