--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -210,7 +210,7 @@
 }
 
 // founding reports whether the group has never had a map.
-func (s *step) founding() bool { return s.Record.Change.IsZero() && s.allLost() }
+func (s *step) founding() bool { return s.Record.Change.IsNone() && s.allLost() }
 
 func (s *step) allLost() bool {
 	for _, state := range s.States {
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -16,7 +16,7 @@
 		s.decideWithoutMap()
 		return
 	}
-	if change := s.held(); !change.IsZero() {
+	if change := s.held(); !change.IsNone() {
 		s.Change = change
 		s.settle(change)
 		return
@@ -56,7 +56,7 @@
 	switch {
 	case s.RecordStale:
 		s.claim()
-	case s.Record.Change.IsZero():
+	case s.Record.Change.IsNone():
 		s.rest()
 	default:
 		s.enter(Installing, 0)
@@ -71,7 +71,7 @@
 // held returns a change that a rank holds.
 func (s *step) held() Change {
 	for _, state := range s.States {
-		if !state.Hold.IsZero() {
+		if !state.Hold.IsNone() {
 			return state.Hold
 		}
 	}
--- a/policy/expertmap/directed_test.go
+++ b/policy/expertmap/directed_test.go
@@ -163,22 +163,22 @@
 		}
 		Convey("does not hold before a step that it has run", func() {
 			ready.Next = 6
-			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsZero(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
 		Convey("does not hold without the weights", func() {
 			ready.Prepared = first.ID
-			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsZero(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
 		Convey("does not hold a change again after an abort", func() {
 			state := ready.Apply(order(expertmap.Hold, 2)).Apply(order(expertmap.Abort, 2))
-			So(state.Apply(order(expertmap.Hold, 2)).Hold.IsZero(), ShouldBeTrue)
+			So(state.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
 		Convey("is not released for a change that it does not hold", func() {
-			So(ready.Apply(order(expertmap.Release, 2)).Pending.IsZero(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Release, 2)).Pending.IsNone(), ShouldBeTrue)
 		})
 		Convey("is not released after a void of the same coordinator", func() {
 			state := ready.Apply(order(expertmap.Hold, 2)).Apply(order(expertmap.Void, 2))
-			So(state.Apply(order(expertmap.Release, 2)).Pending.IsZero(), ShouldBeTrue)
+			So(state.Apply(order(expertmap.Release, 2)).Pending.IsNone(), ShouldBeTrue)
 			So(state.Apply(order(expertmap.Release, 3)).Pending, ShouldResemble, held)
 		})
 		Convey("takes a state only while it has none, and only for its boot", func() {
--- a/policy/expertmap/engine.go
+++ b/policy/expertmap/engine.go
@@ -15,11 +15,11 @@
 }
 
 // HasNoMap reports whether the engine has no map.
-func (s EngineState) HasNoMap() bool { return s.InForce.IsZero() }
+func (s EngineState) HasNoMap() bool { return s.InForce.IsNone() }
 
 // MapAt returns the change whose map the engine uses at the step.
 func (s EngineState) MapAt(step uint64) Change {
-	if !s.Pending.IsZero() && step >= s.Pending.FirstStep {
+	if !s.Pending.IsNone() && step >= s.Pending.FirstStep {
 		return s.Pending
 	}
 	return s.InForce
@@ -30,7 +30,7 @@
 	if s.HasNoMap() {
 		return false
 	}
-	return s.Hold.IsZero() || s.Next < s.Hold.FirstStep
+	return s.Hold.IsNone() || s.Next < s.Hold.FirstStep
 }
 
 // AfterNextStep returns the state after the next step was run.
@@ -74,7 +74,7 @@
 }
 
 func (s EngineState) hold(change Change) EngineState {
-	busy := s.HasNoMap() || !s.Hold.IsZero() || !s.Pending.IsZero()
+	busy := s.HasNoMap() || !s.Hold.IsNone() || !s.Pending.IsNone()
 	late := s.Next > change.FirstStep
 	if busy || late || s.Prepared != change.ID || !s.LastHeld.Less(change.ID) {
 		return s
--- a/policy/expertmap/expertmap.go
+++ b/policy/expertmap/expertmap.go
@@ -37,8 +37,8 @@
 	FirstStep uint64 `json:"first_step"`
 }
 
-// IsZero reports whether there is no change.
-func (c Change) IsZero() bool { return c == Change{} }
+// IsNone reports whether there is no change.
+func (c Change) IsNone() bool { return c == Change{} }
 
 // Kind is the kind of an order to a rank.
 type Kind string
--- a/policy/expertmap/random_test.go
+++ b/policy/expertmap/random_test.go
@@ -185,7 +185,7 @@
 		return fmt.Errorf("after healing: %s", m.violation)
 	}
 	first, last := m.engines[0].State, m.engines[m.group-1].State
-	if first.InForce.IsZero() || first.InForce != last.InForce || !first.Hold.IsZero() {
+	if first.InForce.IsNone() || first.InForce != last.InForce || !first.Hold.IsNone() {
 		return fmt.Errorf("ranks end as %+v and %+v", first, last)
 	}
 	return nil
