--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -49,13 +49,13 @@
 	RecordStale          bool // A write with unknown outcome may have changed the record.
 	StoreRequestInFlight bool // A read or write of the record is under way.
 
-	States         []EngineState // By rank, as last reported in this round.
-	Answered       []bool        // By rank: the state is of this round.
-	PreviousStates []EngineState // By rank, as reported in the round before.
+	States   []EngineState // By rank, as last reported in this round.
+	Answered []bool        // By rank: the state is of this round.
+	Before   []EngineState // By rank, as reported in the round before.
 
 	Change         Change // Under way.
 	ChangeProposed bool   // A change was proposed and not begun.
-	LastVersion    uint64 // Newest version used.
+	Version        uint64 // Newest version used.
 
 	RetryAt  time.Time
 	Deadline time.Time // Of the phase; zero for none.
@@ -129,7 +129,7 @@
 func (s *step) query() {
 	s.Number.Round++
 	s.Answered = make([]bool, len(s.Answered))
-	s.PreviousStates = s.States
+	s.Before = s.States
 	s.Change = Change{}
 	s.enter(Querying, 0)
 }
@@ -178,7 +178,7 @@
 
 func (s *step) replied(event ReplyReceived) {
 	if event.Refused {
-		if event.HighestSeen.Fence > s.Number.Fence {
+		if event.Seen.Fence > s.Number.Fence {
 			s.Coordinator = Coordinator{MarginSteps: s.MarginSteps}
 		}
 		return
@@ -281,8 +281,8 @@
 		return
 	}
 	s.ChangeProposed = false
-	s.LastVersion = max(s.LastVersion, s.Record.Change.ID.Version, s.newestVersion()) + 1
-	s.Change = Change{ID: ID{Fence: s.Number.Fence, Version: s.LastVersion}}
+	s.Version = max(s.Version, s.Record.Change.ID.Version, s.newestVersion()) + 1
+	s.Change = Change{ID: ID{Fence: s.Number.Fence, Version: s.Version}}
 	s.emit(PublishMap{ID: s.Change.ID})
 	s.enter(Preparing, prepareTimeout)
 }
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -34,7 +34,7 @@
 // the group has then stood still while the other ranks reported their steps.
 func (s *step) frozen() bool {
 	for rank, state := range s.States {
-		if state.HasNoMap() && s.PreviousStates[rank].Boot != state.Boot {
+		if state.HasNoMap() && s.Before[rank].Boot != state.Boot {
 			return false
 		}
 	}
--- a/policy/expertmap/events.go
+++ b/policy/expertmap/events.go
@@ -24,12 +24,12 @@
 
 // ReplyReceived brings the state of a rank's engine after an order.
 type ReplyReceived struct {
-	Rank        int
-	Kind        Kind   // Of the order.
-	Number      Number // Of the order.
-	State       EngineState
-	Refused     bool   // The agent did not pass the order on.
-	HighestSeen Number // Refused: the highest number that the agent has seen.
+	Rank    int
+	Kind    Kind   // Of the order.
+	Number  Number // Of the order.
+	State   EngineState
+	Refused bool   // The agent did not pass the order on.
+	Seen    Number // Refused: the highest number that the agent has seen.
 }
 
 // EventName implements reduce.Event.
--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -52,7 +52,7 @@
 	e.state(m.Order.State)
 	if m.Reply != nil {
 		e.text(string(m.Reply.Kind))
-		e.numbers(m.Reply.Number.Fence, m.Reply.Number.Round, m.Reply.HighestSeen.Fence, m.Reply.HighestSeen.Round)
+		e.numbers(m.Reply.Number.Fence, m.Reply.Number.Round, m.Reply.Seen.Fence, m.Reply.Seen.Round)
 		e.flags(m.Reply.Refused)
 		e.state(m.Reply.State)
 	}
@@ -60,12 +60,12 @@
 
 func (e *encoder) coordinator(c expertmap.Coordinator) {
 	e.text(string(c.Phase))
-	e.numbers(c.Number.Fence, c.Number.Round, c.Record.Fence, c.RecordVersion, c.LastVersion)
+	e.numbers(c.Number.Fence, c.Number.Round, c.Record.Fence, c.RecordVersion, c.Version)
 	e.change(c.Record.Change)
 	e.change(c.Change)
 	e.flags(c.RecordStale, c.StoreRequestInFlight, c.ChangeProposed, c.Deadline.IsZero())
 	e.flags(c.Answered...)
-	for _, state := range c.PreviousStates {
+	for _, state := range c.Before {
 		e.state(state)
 	}
 	for _, state := range c.States {
--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -20,7 +20,7 @@
 	Size           int // Number of ranks.
 	Lease          lease.State
 	Coordinator    Coordinator
-	Orders         RankAgent
+	Orders         Rank
 	LastRunnableAt time.Time // When the engine was last seen able to run.
 	Blocked        bool      // The engine has waited for its map for too long.
 }
@@ -52,7 +52,7 @@
 	var effects, more []reduce.Effect
 	held := m.Lease.Held
 	m.Lease, effects = lease.Step(m.Lease, input)
-	m.Orders, more = StepRankAgent(m.Orders, input)
+	m.Orders, more = StepRank(m.Orders, input)
 	effects = append(effects, more...)
 	for _, effect := range more {
 		if forward, ok := effect.(Forward); ok {
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -2,12 +2,12 @@
 
 import "persimmonwind.dev/policy/reduce"
 
-// RankAgent is the agent's part: it passes a coordinator's orders to its engine and
+// Rank is the agent's part: it passes a coordinator's orders to its engine and
 // refuses those with old numbers, also for engines that take any order.
 //
 // Invariant: Seen never decreases. A restarted agent takes no order before it
 // has read the group's fencing number, which is at least any it had seen.
-type RankAgent struct {
+type Rank struct {
 	FenceKnown   bool   // The fencing number was read since the agent started.
 	ReadingFence bool   // A read of the fencing number is under way.
 	HighestSeen  Number // Highest number of an order taken.
@@ -53,16 +53,16 @@
 
 // RefuseOrder answers the order without passing it on.
 type RefuseOrder struct {
-	Ticket      uint64
-	HighestSeen Number
-	FenceKnown  bool
+	Ticket     uint64
+	Seen       Number
+	FenceKnown bool
 }
 
 // EffectName implements reduce.Effect.
 func (RefuseOrder) EffectName() string { return "expertmap.refuse_order" }
 
-// StepRankAgent reduces one input of an agent.
-func StepRankAgent(state RankAgent, input reduce.Input) (RankAgent, []reduce.Effect) {
+// StepRank reduces one input of an agent.
+func StepRank(state Rank, input reduce.Input) (Rank, []reduce.Effect) {
 	switch event := input.Event.(type) {
 	case FenceRead:
 		state.FenceKnown, state.ReadingFence = true, false
@@ -75,8 +75,8 @@
 	return state, nil
 }
 
-func (r RankAgent) ordered(event OrderReceived) (RankAgent, []reduce.Effect) {
-	refuse := RefuseOrder{Ticket: event.Ticket, HighestSeen: r.HighestSeen, FenceKnown: r.FenceKnown}
+func (r Rank) ordered(event OrderReceived) (Rank, []reduce.Effect) {
+	refuse := RefuseOrder{Ticket: event.Ticket, Seen: r.HighestSeen, FenceKnown: r.FenceKnown}
 	if !r.FenceKnown && r.ReadingFence {
 		return r, []reduce.Effect{refuse}
 	}
--- a/policy/expertmap/world_test.go
+++ b/policy/expertmap/world_test.go
@@ -45,7 +45,7 @@
 	storeDown bool
 
 	engines []engine
-	ranks   []expertmap.RankAgent
+	ranks   []expertmap.Rank
 	coords  []expertmap.Coordinator
 	net     []message
 	writes  []tableWrite
@@ -64,7 +64,7 @@
 func newWorld(size int, checks bool) *world {
 	w := &world{checks: checks, ran: map[slot]expertmap.Change{}, now: time.Unix(0, 0)}
 	w.engines = make([]engine, size)
-	w.ranks = make([]expertmap.RankAgent, size)
+	w.ranks = make([]expertmap.Rank, size)
 	w.coords = make([]expertmap.Coordinator, size)
 	for rank := range size {
 		w.engines[rank].State.Boot = w.boot()
@@ -80,7 +80,7 @@
 	w.record = expertmap.Record{Fence: 1, Change: first}
 	for rank := range w.engines {
 		w.engines[rank].State.InForce, w.engines[rank].State.LastHeld = first, first.ID
-		w.ranks[rank] = expertmap.RankAgent{FenceKnown: true, HighestSeen: expertmap.Number{Fence: 1}}
+		w.ranks[rank] = expertmap.Rank{FenceKnown: true, HighestSeen: expertmap.Number{Fence: 1}}
 	}
 }
 
@@ -145,7 +145,7 @@
 		w.coordinate(m.Node, *m.Reply)
 		return
 	}
-	next, effects := expertmap.StepRankAgent(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: expertmap.OrderReceived{Order: m.Order}})
+	next, effects := expertmap.StepRank(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: expertmap.OrderReceived{Order: m.Order}})
 	w.ranks[m.Rank] = next
 	for _, effect := range effects {
 		w.performRank(m, effect)
@@ -159,9 +159,9 @@
 		if w.storeDown {
 			event = expertmap.FenceReadFailed{}
 		}
-		w.ranks[m.Rank], _ = expertmap.StepRankAgent(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: event})
+		w.ranks[m.Rank], _ = expertmap.StepRank(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: event})
 	case expertmap.RefuseOrder:
-		w.reply(m, expertmap.ReplyReceived{Refused: true, HighestSeen: effect.HighestSeen})
+		w.reply(m, expertmap.ReplyReceived{Refused: true, Seen: effect.Seen})
 	case expertmap.Forward:
 		w.engines[m.Rank].Queue = append(w.engines[m.Rank].Queue, m)
 		if w.direct {
@@ -221,7 +221,7 @@
 
 // restartAgent clears what the agent of the rank keeps.
 func (w *world) restartAgent(rank int) {
-	w.ranks[rank] = expertmap.RankAgent{}
+	w.ranks[rank] = expertmap.Rank{}
 	w.coords[rank] = expertmap.Coordinator{MarginSteps: 1}
 	for index := range w.writes {
 		w.writes[index].Told = w.writes[index].Told || w.writes[index].Node == rank
--- a/policy/hotexperts/bench_test.go
+++ b/policy/hotexperts/bench_test.go
@@ -14,7 +14,7 @@
 		budget int
 	}{
 		"12-ranks": {usersShape, usersSets, 2},
-		"63-ranks": {Shape{Ranks: 63, Slots: 5, Experts: 252, NewPerSet: 2}, 8, 12},
+		"63-ranks": {Shape{Ranks: 63, Places: 5, Experts: 252, NewPerSet: 2}, 8, 12},
 	}
 	for name, size := range sizes {
 		b.Run(name, func(b *testing.B) {
@@ -29,7 +29,7 @@
 
 // BenchmarkDecideSettled considers a change where demand has not jumped.
 func BenchmarkDecideSettled(b *testing.B) {
-	shape := Shape{Ranks: 63, Slots: 5, Experts: 252, NewPerSet: 2}
+	shape := Shape{Ranks: 63, Places: 5, Experts: 252, NewPerSet: 2}
 	load := topics(rand.New(rand.NewPCG(1, 1)), shape, 8)
 	placement := inTurn(shape, 8)
 	for range 12 {
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -26,7 +26,7 @@
 // Shape is the size of a group.
 type Shape struct {
 	Ranks     int
-	Slots     int // Experts that a rank holds in each set at most.
+	Places    int // Experts that a rank holds in each set at most.
 	Experts   int // In each set.
 	NewPerSet int // Experts that one change may bring to a rank in each set.
 
@@ -284,7 +284,7 @@
 }
 
 func (s *search) consider(best *step, expert, rank, hottest int) {
-	if len(s.held[rank]) < s.shape.Slots {
+	if len(s.held[rank]) < s.shape.Places {
 		s.offerBoth(best, step{expert: expert, rank: rank, victim: -1}, hottest)
 	}
 	for _, victim := range s.held[rank] {
--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -11,7 +11,7 @@
 )
 
 // usersShape is that of the users' groups.
-var usersShape = Shape{Ranks: 12, Slots: 8, Experts: 72, NewPerSet: 3}
+var usersShape = Shape{Ranks: 12, Places: 8, Experts: 72, NewPerSet: 3}
 
 const usersSets = 4
 
@@ -138,7 +138,7 @@
 		if rapid.Bool().Draw(t, "one is slow") {
 			shape.Slowness = []float64{rapid.Float64Range(1, 12).Draw(t, "slowness")}
 		}
-		shape.Slots = (shape.Experts+shape.Ranks-1)/shape.Ranks + rapid.IntRange(0, 2).Draw(t, "spare places")
+		shape.Places = (shape.Experts+shape.Ranks-1)/shape.Ranks + rapid.IntRange(0, 2).Draw(t, "spare places")
 		sets := rapid.IntRange(1, 3).Draw(t, "sets")
 		budget := rapid.IntRange(1, 4).Draw(t, "budget")
 		placement := inTurn(shape, sets)
@@ -160,7 +160,7 @@
 func TestPlanNeverRaisesSkew(t *testing.T) {
 	Convey("A step that lowers the search's cost but raises the skew is not planned", t, func() {
 		// Found by TestPlanFits.
-		shape := Shape{Ranks: 2, Slots: 8, Experts: 14, NewPerSet: 1, Slowness: []float64{2.75}}
+		shape := Shape{Ranks: 2, Places: 8, Experts: 14, NewPerSet: 1, Slowness: []float64{2.75}}
 		load := [][]float64{{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 6.75, 1, 26.875, 100}}
 		plan := Decide(shape, inTurn(shape, 1), load, 1)
 		So(plan.SkewAfter, ShouldBeLessThanOrEqualTo, plan.SkewBefore)
@@ -172,7 +172,7 @@
 	for set := range plan.Map {
 		covered := map[int]bool{}
 		for rank, experts := range plan.Map[set] {
-			if len(experts) > shape.Slots {
+			if len(experts) > shape.Places {
 				t.Fatalf("rank %d holds %d experts", rank, len(experts))
 			}
 			old := map[int]bool{}
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -78,8 +78,8 @@
 	case expertmap.Forward:
 		g.queue(effect)
 	case expertmap.RefuseOrder:
-		g.answer(effect.Ticket, answer{refused: true, seen: effect.HighestSeen})
-		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.HighestSeen.Fence, "ready": effect.FenceKnown})
+		g.answer(effect.Ticket, answer{refused: true, seen: effect.Seen})
+		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.Seen.Fence, "ready": effect.FenceKnown})
 	case expertmap.PublishMap:
 		go g.store(ctx, effect.ID)
 	case expertmap.Notice:
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -112,7 +112,7 @@
 	}
 	p.planned = true
 	shape := hotexperts.Shape{
-		Ranks: state.Size, Slots: engine.Places, Experts: engine.Experts, NewPerSet: engine.NewPerSet,
+		Ranks: state.Size, Places: engine.Places, Experts: engine.Experts, NewPerSet: engine.NewPerSet,
 		Slowness: state.Slowness,
 	}
 	plan := hotexperts.DecideLeastAverageSkew(shape, state.Current, p.demand.Load(), copyBudget(engine), engine.CopyTime())
