--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	defaultMargin  = 64 // Steps between the newest step seen and a change's first.
-	retryInterval  = 200 * time.Millisecond
-	pollInterval   = 2 * time.Second // Between two rounds of queries while nothing happens.
-	prepareTimeout = 10 * time.Minute
-	holdTimeout    = 2 * time.Second
-	commitTimeout  = 2 * time.Second // After it a commit with unknown outcome is voided.
+	defaultMarginSteps = 64 // Steps between the newest step seen and a change's first.
+	retryInterval      = 200 * time.Millisecond
+	pollInterval       = 2 * time.Second // Between two rounds of queries while nothing happens.
+	prepareTimeout     = 10 * time.Minute
+	holdTimeout        = 2 * time.Second
+	commitTimeout      = 2 * time.Second // After it a commit with unknown outcome is voided.
 )
 
 // Phase is what a coordinator is doing.
@@ -33,7 +33,7 @@
 	Installing Phase = "installing" // Ranks that lost their state get it back.
 )
 
-var orderKinds = map[Phase]Kind{
+var orderKindOf = map[Phase]Kind{
 	Querying: Query, Preparing: Prepare, Holding: Hold, Releasing: Release,
 	Voiding: Void, Aborting: Abort, Installing: Install,
 }
@@ -63,41 +63,41 @@
 
 // StepCoordinator reduces one input.
 func StepCoordinator(c Coordinator, input reduce.Input) (Coordinator, []reduce.Effect) {
-	s := step{Coordinator: c, now: input.Now}
+	s := transition{Coordinator: c, now: input.Now}
 	switch event := input.Event.(type) {
 	case LeaseAcquired:
-		s.lead(event)
+		s.becomeCoordinator(event)
 	case LeaseLost:
 		s.Coordinator = Coordinator{MarginSteps: c.MarginSteps}
 	case Propose:
 		s.ChangeProposed = s.Phase != Passive
 	case ReplyReceived:
-		s.replied(event)
+		s.handleReply(event)
 	case RecordReadFailed:
 		s.StoreRequestInFlight = false
 		return s.Coordinator, nil // The next tick tries again.
 	case RecordRead, RecordWritten, RecordConflict, RecordWriteUnknown:
 		s.StoreRequestInFlight = false
-		s.storeAnswered(event)
+		s.handleStoreResult(event)
 	case reduce.Tick:
 		s.tick()
 	default:
 		return c, nil
 	}
-	s.begin()
+	s.startProposedChange()
 	return s.Coordinator, s.effects
 }
 
-// step is one step of a coordinator.
-type step struct {
+// transition is one transition of a coordinator.
+type transition struct {
 	Coordinator
 	now     time.Time
 	effects []reduce.Effect
 }
 
-func (s *step) emit(effect reduce.Effect) { s.effects = append(s.effects, effect) }
+func (s *transition) emit(effect reduce.Effect) { s.effects = append(s.effects, effect) }
 
-func (s *step) lead(event LeaseAcquired) {
+func (s *transition) becomeCoordinator(event LeaseAcquired) {
 	if s.Phase != Passive && s.Number.Fence >= event.Fence {
 		return
 	}
@@ -108,34 +108,34 @@
 	s.claim()
 }
 
-func (s *step) claim() {
-	s.enter(Claiming, 0)
+func (s *transition) claim() {
+	s.enterPhase(Claiming, 0)
 	s.readRecord()
 }
 
-// enter begins a phase and gives its orders to the ranks.
-func (s *step) enter(phase Phase, timeout time.Duration) {
+// enterPhase begins a phase and gives its orders to the ranks.
+func (s *transition) enterPhase(phase Phase, timeout time.Duration) {
 	s.Phase = phase
 	s.Deadline = time.Time{}
 	if timeout > 0 {
 		s.Deadline = s.now.Add(timeout)
 	}
-	s.emit(Notice{Phase: phase, Change: s.Change, Ranks: s.unmet()})
+	s.emit(Notice{Phase: phase, Change: s.Change, Ranks: s.pendingRanks()})
 	s.send()
 	s.advance()
 }
 
-// query begins a new round: the state of every rank decides how to go on.
-func (s *step) query() {
+// startRound begins a new round: the state of every rank decides how to go on.
+func (s *transition) startRound() {
 	s.Number.Round++
 	s.Answered = make([]bool, len(s.Answered))
 	s.Before = s.States
 	s.Change = Change{}
-	s.enter(Querying, 0)
+	s.enterPhase(Querying, 0)
 }
 
-// met reports whether the rank is where the phase wants it.
-func (s *step) met(rank int) bool {
+// rankDone reports whether the rank is where the phase wants it.
+func (s *transition) rankDone(rank int) bool {
 	state := s.States[rank]
 	switch s.Phase {
 	case Querying:
@@ -154,10 +154,10 @@
 	return true
 }
 
-func (s *step) unmet() []int {
+func (s *transition) pendingRanks() []int {
 	var ranks []int
 	for rank := range s.States {
-		if !s.met(rank) {
+		if !s.rankDone(rank) {
 			ranks = append(ranks, rank)
 		}
 	}
@@ -165,42 +165,42 @@
 }
 
 // send gives the phase's order to every rank that is not where it should be.
-func (s *step) send() {
+func (s *transition) send() {
 	s.RetryAt = s.now.Add(retryInterval)
-	for _, rank := range s.unmet() {
-		order := Order{Kind: orderKinds[s.Phase], Number: s.Number, Change: s.Change}
+	for _, rank := range s.pendingRanks() {
+		order := Order{Kind: orderKindOf[s.Phase], Number: s.Number, Change: s.Change}
 		if s.Phase == Installing {
-			order.State = s.stateFor(rank)
+			order.State = s.stateToInstall(rank)
 		}
 		s.emit(Send{Rank: rank, Order: order})
 	}
 }
 
-func (s *step) replied(event ReplyReceived) {
+func (s *transition) handleReply(event ReplyReceived) {
 	if event.Refused {
 		if event.Seen.Fence > s.Number.Fence {
 			s.Coordinator = Coordinator{MarginSteps: s.MarginSteps}
 		}
 		return
 	}
-	if s.Phase == Passive || event.Number != s.Number || event.Kind != orderKinds[s.Phase] {
+	if s.Phase == Passive || event.Number != s.Number || event.Kind != orderKindOf[s.Phase] {
 		return
 	}
 	s.States = append([]EngineState(nil), s.States...)
 	s.Answered = append([]bool(nil), s.Answered...)
 	s.States[event.Rank], s.Answered[event.Rank] = event.State, true
-	if s.failed(event.State) {
-		s.query()
+	if s.phaseFailed(event.State) {
+		s.startRound()
 		return
 	}
 	s.advance()
 }
 
-// failed reports whether the state shows that the phase can't succeed.
-func (s *step) failed(state EngineState) bool {
+// phaseFailed reports whether the state shows that the phase can't succeed.
+func (s *transition) phaseFailed(state EngineState) bool {
 	switch s.Phase {
 	case Preparing:
-		return state.HasNoMap() && !s.founding()
+		return state.HasNoMap() && !s.installsFirstMap()
 	case Holding:
 		return state.Hold != s.Change
 	case Releasing:
@@ -209,10 +209,10 @@
 	return false
 }
 
-// founding reports whether the group has never had a map.
-func (s *step) founding() bool { return s.Record.Change.IsNone() && s.allLost() }
+// installsFirstMap reports whether the group has never had a map.
+func (s *transition) installsFirstMap() bool { return s.Record.Change.IsNone() && s.noRankHasMap() }
 
-func (s *step) allLost() bool {
+func (s *transition) noRankHasMap() bool {
 	for _, state := range s.States {
 		if !state.HasNoMap() {
 			return false
@@ -222,30 +222,30 @@
 }
 
 // advance goes on to the next phase once every rank is where it should be.
-func (s *step) advance() {
-	if len(s.unmet()) > 0 {
+func (s *transition) advance() {
+	if len(s.pendingRanks()) > 0 {
 		return
 	}
 	switch s.Phase {
 	case Querying:
-		s.decide()
+		s.resolveRound()
 	case Preparing:
-		s.prepared()
+		s.handleAllPrepared()
 	case Holding:
 		s.commit()
 	case Voiding:
-		s.enter(Aborting, 0)
+		s.enterPhase(Aborting, 0)
 	case Releasing, Aborting, Installing:
-		s.query()
+		s.startRound()
 	}
 }
 
-func (s *step) tick() {
+func (s *transition) tick() {
 	if s.Phase == Passive || s.now.Before(s.RetryAt) {
 		return
 	}
 	if !s.Deadline.IsZero() && !s.now.Before(s.Deadline) {
-		s.expire()
+		s.handlePhaseTimeout()
 		return
 	}
 	switch s.Phase {
@@ -254,25 +254,25 @@
 	case Committing:
 		s.writeRecord()
 	case Steady:
-		s.query()
+		s.startRound()
 	default:
-		s.emit(Notice{Phase: s.Phase, Change: s.Change, Ranks: s.unmet()})
+		s.emit(Notice{Phase: s.Phase, Change: s.Change, Ranks: s.pendingRanks()})
 		s.send()
 	}
 }
 
-// expire ends a phase that has taken too long.
-func (s *step) expire() {
+// handlePhaseTimeout ends a phase that has taken too long.
+func (s *transition) handlePhaseTimeout() {
 	if s.Phase == Committing {
 		s.RecordStale = true
-		s.enter(Voiding, 0)
+		s.enterPhase(Voiding, 0)
 		return
 	}
-	s.query()
+	s.startRound()
 }
 
-// begin starts the proposed change.
-func (s *step) begin() {
+// startProposedChange starts the proposed change.
+func (s *transition) startProposedChange() {
 	if s.Phase != Steady || !s.ChangeProposed {
 		return
 	}
@@ -284,10 +284,10 @@
 	s.Version = max(s.Version, s.Record.Change.ID.Version, s.newestVersion()) + 1
 	s.Change = Change{ID: ID{Fence: s.Number.Fence, Version: s.Version}}
 	s.emit(PublishMap{ID: s.Change.ID})
-	s.enter(Preparing, prepareTimeout)
+	s.enterPhase(Preparing, prepareTimeout)
 }
 
-func (s *step) newestVersion() uint64 {
+func (s *transition) newestVersion() uint64 {
 	var version uint64
 	for _, state := range s.States {
 		version = max(version, state.InForce.ID.Version, state.LastHeld.Version)
@@ -295,17 +295,17 @@
 	return version
 }
 
-func (s *step) prepared() {
-	if s.founding() {
+func (s *transition) handleAllPrepared() {
+	if s.installsFirstMap() {
 		s.commit()
 		return
 	}
 	margin := s.MarginSteps
 	if margin == 0 {
-		margin = defaultMargin
+		margin = defaultMarginSteps
 	}
 	for _, state := range s.States {
 		s.Change.FirstStep = max(s.Change.FirstStep, state.Next+margin)
 	}
-	s.enter(Holding, holdTimeout)
+	s.enterPhase(Holding, holdTimeout)
 }
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -1,38 +1,38 @@
 package expertmap
 
-// decide finds out from the states of all ranks, all reported in this round,
+// resolveRound finds out from the states of all ranks, all reported in this round,
 // and the record what the coordinators before left undone.
 //
 // A change under way lives if a rank was released for it, or if it is in the
 // record and every rank that has a map holds it without a void. Otherwise it
 // is dead: no rank was released, and either it can't be committed any more or
 // a rank may have gone on without it.
-func (s *step) decide() {
-	if !s.frozen() {
-		s.query()
+func (s *transition) resolveRound() {
+	if !s.groupStopped() {
+		s.startRound()
 		return
 	}
-	if s.allLost() {
-		s.decideWithoutMap()
+	if s.noRankHasMap() {
+		s.resolveWithoutMap()
 		return
 	}
-	if change := s.held(); !change.IsNone() {
+	if change := s.heldChange(); !change.IsNone() {
 		s.Change = change
-		s.settle(change)
+		s.resolve(change)
 		return
 	}
 	for _, state := range s.States {
 		if state.HasNoMap() {
-			s.enter(Installing, 0)
+			s.enterPhase(Installing, 0)
 			return
 		}
 	}
-	s.rest()
+	s.becomeSteady()
 }
 
-// frozen reports whether every rank without a map was so in the round before:
+// groupStopped reports whether every rank without a map was so in the round before:
 // the group has then stood still while the other ranks reported their steps.
-func (s *step) frozen() bool {
+func (s *transition) groupStopped() bool {
 	for rank, state := range s.States {
 		if state.HasNoMap() && s.Before[rank].Boot != state.Boot {
 			return false
@@ -41,35 +41,35 @@
 	return true
 }
 
-func (s *step) settle(change Change) {
+func (s *transition) resolve(change Change) {
 	switch {
-	case s.lives(change):
-		s.enter(Releasing, 0)
+	case s.mustComplete(change):
+		s.enterPhase(Releasing, 0)
 	case change == s.Record.Change:
-		s.enter(Voiding, 0)
+		s.enterPhase(Voiding, 0)
 	default:
-		s.enter(Aborting, 0)
+		s.enterPhase(Aborting, 0)
 	}
 }
 
-func (s *step) decideWithoutMap() {
+func (s *transition) resolveWithoutMap() {
 	switch {
 	case s.RecordStale:
 		s.claim()
 	case s.Record.Change.IsNone():
-		s.rest()
+		s.becomeSteady()
 	default:
-		s.enter(Installing, 0)
+		s.enterPhase(Installing, 0)
 	}
 }
 
-func (s *step) rest() {
+func (s *transition) becomeSteady() {
 	s.Phase = Steady
 	s.RetryAt = s.now.Add(pollInterval)
 }
 
-// held returns a change that a rank holds.
-func (s *step) held() Change {
+// heldChange returns a change that a rank holds.
+func (s *transition) heldChange() Change {
 	for _, state := range s.States {
 		if !state.Hold.IsNone() {
 			return state.Hold
@@ -78,7 +78,7 @@
 	return Change{}
 }
 
-func (s *step) lives(change Change) bool {
+func (s *transition) mustComplete(change Change) bool {
 	allHold := true
 	for _, state := range s.States {
 		if state.Pending == change || state.InForce == change {
@@ -91,11 +91,11 @@
 	return allHold && change == s.Record.Change
 }
 
-// stateFor returns the state to install in a rank that has none: that of the
+// stateToInstall returns the state to install in a rank that has none: that of the
 // rank which is furthest; without any, the committed map. No rank with a state
 // is then more than one step behind any rank that ever ran, so a change's first
 // step was run by none.
-func (s *step) stateFor(rank int) EngineState {
+func (s *transition) stateToInstall(rank int) EngineState {
 	state := EngineState{
 		InForce: s.Record.Change, LastHeld: s.Record.Change.ID, Next: s.Record.Change.FirstStep,
 	}
--- a/policy/expertmap/directed_test.go
+++ b/policy/expertmap/directed_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// committing returns a group whose first node has a commit under way.
-func committing() *world {
-	w := changing()
+// newCommittingWorld returns a group whose first node has a commit under way.
+func newCommittingWorld() *world {
+	w := newPreparedWorld()
 	w.deliverKind(0, expertmap.Hold)
 	return w
 }
@@ -51,7 +51,7 @@
 	for range 4 * steps {
 		for rank := range w.engines {
 			if w.canRun(rank) && w.engines[rank].State.Next < steps {
-				w.run(rank)
+				w.runStep(rank)
 			}
 		}
 	}
@@ -63,10 +63,10 @@
 	w.net = nil
 	w.takeLease(node)
 	for range 6 {
-		w.settle()
+		w.deliverAll()
 		w.tick(node)
 	}
-	w.settle()
+	w.deliverAll()
 	w.runAll(6)
 }
 
@@ -74,43 +74,43 @@
 // way; each case needs more faults than the enumeration allows.
 func TestHalfDoneByAPausedHolder(t *testing.T) {
 	Convey("Given a commit that the table service has not applied yet", t, func() {
-		w := committing()
+		w := newCommittingWorld()
 		So(w.coords[0].Phase, ShouldEqual, expertmap.Committing)
 		So(len(w.writes), ShouldEqual, 1)
 
 		Convey("the next holder's claim keeps it from being applied after a rank has gone on", func() {
 			w.takeLease(1)
 			for len(w.writes) > 1 {
-				w.land(1)
+				w.applyWrite(1)
 			}
 			w.deliverKind(1, expertmap.Query)
 			w.deliverTo(1, 0, expertmap.Abort)
 			w.runAll(3)
-			w.land(0)
-			w.lose(0)
+			w.applyWrite(0)
+			w.loseEngineState(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
 		Convey("a void by every rank comes before any rank goes on", func() {
-			w.forget(0)
+			w.loseWriteResult(0)
 			w.tick(0)
 			So(w.coords[0].Phase, ShouldEqual, expertmap.Voiding)
-			w.land(0)
+			w.applyWrite(0)
 			w.deliverKind(0, expertmap.Void)
 			w.deliverTo(0, 0, expertmap.Abort)
 			w.runAll(3)
-			w.lose(0)
+			w.loseEngineState(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
 		Convey("a void that only one rank has taken does not make ranks differ", func() {
-			w.forget(0)
+			w.loseWriteResult(0)
 			w.tick(0)
-			w.land(0)
+			w.applyWrite(0)
 			w.deliverTo(0, 0, expertmap.Void)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
@@ -118,25 +118,25 @@
 		})
 
 		Convey("a holder that takes over a void ends it on every rank before any goes on", func() {
-			w.forget(0)
+			w.loseWriteResult(0)
 			w.tick(0)
-			w.land(0)
+			w.applyWrite(0)
 			w.deliverTo(0, 0, expertmap.Void)
 			w.net = nil
 			w.takeLease(1)
-			w.land(0)
+			w.applyWrite(0)
 			w.deliverKind(1, expertmap.Query)
 			w.deliverTo(1, 0, expertmap.Abort)
 			w.runAll(3)
-			w.lose(0)
+			w.loseEngineState(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
 		Convey("a commit whose answer was lost is found and completed", func() {
-			w.forget(0)
-			w.land(0)
+			w.loseWriteResult(0)
+			w.applyWrite(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[1].State.InForce, ShouldResemble, w.record.Change)
@@ -144,8 +144,8 @@
 		})
 
 		Convey("a rank lost after its promise gets the change back", func() {
-			w.land(0)
-			w.lose(1)
+			w.applyWrite(0)
+			w.loseEngineState(1)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[1].State.InForce.ID.Version, ShouldEqual, 2)
--- a/policy/expertmap/enumerate_test.go
+++ b/policy/expertmap/enumerate_test.go
@@ -21,8 +21,8 @@
 // position is a world with the faults that may still happen.
 type position struct {
 	*world
-	left  faults
-	trace *trace
+	remaining faults
+	trace     *trace
 }
 
 // trace is the way to a position.
@@ -71,9 +71,9 @@
 	e.pending = append(e.pending, p)
 }
 
-// try adds the position after the action.
-func (e *enumerator) try(p position, name string, act func(*position)) {
-	next := position{world: p.clone(), left: p.left, trace: &trace{before: p.trace, action: name}}
+// visit adds the position after the action.
+func (e *enumerator) visit(p position, name string, act func(*position)) {
+	next := position{world: p.clone(), remaining: p.remaining, trace: &trace{before: p.trace, action: name}}
 	act(&next)
 	e.add(next)
 }
@@ -84,9 +84,9 @@
 		if m.Reply != nil {
 			name = fmt.Sprintf("reply to %s %d<%d %v", m.Reply.Kind, m.Node, m.Rank, m.Reply.Number)
 		}
-		e.try(p, name, func(n *position) { n.deliver(index, false) })
-		if p.left.Duplicates > 0 && m.Reply == nil {
-			e.try(p, name+" and keep", func(n *position) { n.left.Duplicates--; n.deliver(index, true) })
+		e.visit(p, name, func(n *position) { n.deliver(index, false) })
+		if p.remaining.Duplicates > 0 && m.Reply == nil {
+			e.visit(p, name+" and keep", func(n *position) { n.remaining.Duplicates--; n.deliver(index, true) })
 		}
 	}
 	e.expandStore(p)
@@ -98,40 +98,40 @@
 func (e *enumerator) expandStore(p position) {
 	for index, write := range p.writes {
 		name := fmt.Sprintf("land write of %d %v", write.Node, write.Write.Record)
-		e.try(p, name, func(n *position) { n.land(index) })
-		if p.left.Unknown > 0 && !write.Told {
-			e.try(p, "forget "+name, func(n *position) { n.left.Unknown--; n.forget(index) })
+		e.visit(p, name, func(n *position) { n.applyWrite(index) })
+		if p.remaining.Unknown > 0 && !write.ResultReported {
+			e.visit(p, "forget "+name, func(n *position) { n.remaining.Unknown--; n.loseWriteResult(index) })
 		}
 	}
 }
 
 func (e *enumerator) expandRank(p position, rank int) {
 	name := func(action string) string { return fmt.Sprintf("%s %d", action, rank) }
-	if p.canRun(rank) && p.engines[rank].State.Next < p.left.Steps {
-		e.try(p, name("run"), func(n *position) { n.run(rank) })
+	if p.canRun(rank) && p.engines[rank].State.Next < p.remaining.Steps {
+		e.visit(p, name("run"), func(n *position) { n.runStep(rank) })
 	}
-	if p.left.Ticks > 0 && p.coords[rank].Phase != expertmap.Passive {
-		e.try(p, name("tick"), func(n *position) { n.left.Ticks--; n.tick(rank) })
+	if p.remaining.Ticks > 0 && p.coords[rank].Phase != expertmap.Passive {
+		e.visit(p, name("tick"), func(n *position) { n.remaining.Ticks--; n.tick(rank) })
 	}
-	if p.left.Leases > 0 && p.coords[rank].Phase == expertmap.Passive {
-		e.try(p, name("take lease"), func(n *position) { n.left.Leases--; n.takeLease(rank) })
+	if p.remaining.Leases > 0 && p.coords[rank].Phase == expertmap.Passive {
+		e.visit(p, name("take lease"), func(n *position) { n.remaining.Leases--; n.takeLease(rank) })
 	}
-	if p.left.Losses > 0 && !p.engines[rank].State.HasNoMap() {
-		e.try(p, name("lose engine"), func(n *position) { n.left.Losses--; n.lose(rank) })
+	if p.remaining.Losses > 0 && !p.engines[rank].State.HasNoMap() {
+		e.visit(p, name("lose engine"), func(n *position) { n.remaining.Losses--; n.loseEngineState(rank) })
 	}
-	if p.left.Restarts > 0 {
-		e.try(p, name("restart agent"), func(n *position) { n.left.Restarts--; n.restartAgent(rank) })
+	if p.remaining.Restarts > 0 {
+		e.visit(p, name("restart agent"), func(n *position) { n.remaining.Restarts--; n.restartAgent(rank) })
 	}
 }
 
-// changing returns a group in which the first node has just proposed a change
+// newPreparedWorld returns a group in which the first node has just proposed a change
 // and all ranks are prepared.
-func changing() *world {
+func newPreparedWorld() *world {
 	w := newWorld(2, false)
 	w.direct = true
-	w.found()
+	w.installFirstMap()
 	w.takeLease(0)
-	w.settle()
+	w.deliverAll()
 	w.coordinate(0, expertmap.Propose{})
 	for w.coords[0].Phase == expertmap.Preparing {
 		w.deliver(0, false)
@@ -139,11 +139,11 @@
 	return w
 }
 
-// settle delivers everything until nothing is under way.
-func (w *world) settle() {
+// deliverAll delivers everything until nothing is under way.
+func (w *world) deliverAll() {
 	for len(w.net)+len(w.writes) > 0 {
 		if len(w.writes) > 0 {
-			w.land(0)
+			w.applyWrite(0)
 			continue
 		}
 		w.deliver(0, false)
@@ -152,9 +152,9 @@
 
 func TestEveryInterleavingOfAChange(t *testing.T) {
 	cases := []struct {
-		name  string
-		left  faults
-		large bool
+		name      string
+		remaining faults
+		large     bool
 	}{
 		{"nothing fails", faults{Steps: 3}, false},
 		{"the holder is paused and another takes the lease", faults{Steps: 2, Leases: 1}, false},
@@ -173,7 +173,7 @@
 			}
 			Convey(c.name+": every step uses one map", func() {
 				var e enumerator
-				e.explore(position{world: changing(), left: c.left})
+				e.explore(position{world: newPreparedWorld(), remaining: c.remaining})
 				t.Logf("%s: %d states", c.name, e.states)
 				So(e.failure, ShouldBeEmpty)
 			})
--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func (e *encoder) left(f faults) {
+func (e *encoder) remaining(f faults) {
 	for _, value := range []int{f.Leases, f.Ticks, f.Losses, f.Restarts, f.Duplicates, f.Unknown} {
 		e.numbers(uint64(value))
 	}
@@ -83,11 +83,11 @@
 // times don't matter; the network has no order.
 func (p position) key() uint64 {
 	e := make(encoder, 0, 1024)
-	e.left(p.left)
+	e.remaining(p.remaining)
 	for rank := range p.engines {
 		e.state(p.engines[rank].State)
 		e.flags(p.ranks[rank].FenceKnown)
-		e.numbers(p.ranks[rank].HighestSeen.Fence, p.ranks[rank].HighestSeen.Round)
+		e.numbers(p.ranks[rank].Seen.Fence, p.ranks[rank].Seen.Round)
 		e.coordinator(p.coords[rank])
 	}
 	e.numbers(p.fence, p.record.Fence, p.recordVersion, p.generation)
@@ -95,10 +95,10 @@
 	for _, write := range p.writes {
 		e.numbers(uint64(write.Node), write.Write.Record.Fence, write.Write.IfVersion)
 		e.change(write.Write.Record.Change)
-		e.flags(write.Told)
+		e.flags(write.ResultReported)
 	}
-	for step := range p.left.Steps {
-		e.change(p.ran[slot{Generation: p.generation, Step: step}])
+	for step := range p.remaining.Steps {
+		e.change(p.mapUsed[stepKey{Generation: p.generation, Step: step}])
 	}
 	var messages uint64
 	for _, m := range p.net {
--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	waitPerRank  = 500 * time.Millisecond // Spreads the candidates for a lapsed lease over time.
-	blockedLimit = 3 * time.Second        // After it a rank that can't run takes no new work.
+	leaseDelayPerRank = 500 * time.Millisecond // Spreads the candidates for a lapsed lease over time.
+	blockedTimeout    = 3 * time.Second        // After it a rank that can't run takes no new work.
 )
 
 // Member is an agent's part in its group: its rank, and the coordinator while
@@ -37,7 +37,7 @@
 	if m.Group != "" || group == "" {
 		return m
 	}
-	wait := time.Duration(rank) * waitPerRank
+	wait := time.Duration(rank) * leaseDelayPerRank
 	return Member{Group: group, Rank: rank, Size: size, Lease: lease.State{Self: self, Wait: wait}}
 }
 
@@ -74,6 +74,6 @@
 	if state.CanRunNext() || m.LastRunnableAt.IsZero() {
 		m.LastRunnableAt = now
 	}
-	m.Blocked = now.Sub(m.LastRunnableAt) > blockedLimit
+	m.Blocked = now.Sub(m.LastRunnableAt) > blockedTimeout
 	return m
 }
--- a/policy/expertmap/random_test.go
+++ b/policy/expertmap/random_test.go
@@ -46,14 +46,14 @@
 			return
 		}
 		m.deliver(rapid.IntRange(0, len(m.net)-1).Draw(t, "message"), rapid.IntRange(0, 9).Draw(t, "keep") == 0)
-		m.serveAll(t)
+		m.processOrders(t)
 	}
 }
 
-func (m *machine) serveAll(t *rapid.T) {
+func (m *machine) processOrders(t *rapid.T) {
 	for rank := range m.engines {
 		for len(m.engines[rank].Queue) > 0 && rapid.IntRange(0, 3).Draw(t, "serve") > 0 {
-			m.serve(rank, rapid.IntRange(0, 9).Draw(t, "twice") == 0)
+			m.processOrder(rank, rapid.IntRange(0, 9).Draw(t, "twice") == 0)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 
 func (m *machine) Land(t *rapid.T) {
 	if !m.storeDown && len(m.writes) > 0 {
-		m.land(rapid.IntRange(0, len(m.writes)-1).Draw(t, "write"))
+		m.applyWrite(rapid.IntRange(0, len(m.writes)-1).Draw(t, "write"))
 	}
 }
 
@@ -76,8 +76,8 @@
 		return
 	}
 	index := rapid.IntRange(0, len(m.writes)-1).Draw(t, "write")
-	if !m.writes[index].Told {
-		m.forget(index)
+	if !m.writes[index].ResultReported {
+		m.loseWriteResult(index)
 	}
 }
 
@@ -87,7 +87,7 @@
 	for range 3 {
 		for rank := range m.engines {
 			if m.canRun(rank) && rapid.Bool().Draw(t, "run") {
-				m.run(rank)
+				m.runStep(rank)
 			}
 		}
 	}
@@ -112,7 +112,7 @@
 
 func (m *machine) Lose(t *rapid.T) {
 	if rapid.IntRange(0, 3).Draw(t, "lose") == 0 {
-		m.lose(m.rank(t))
+		m.loseEngineState(m.rank(t))
 	}
 }
 
@@ -129,7 +129,7 @@
 	for round := 0; ; round++ {
 		m.tick(0)
 		m.drainAll()
-		if m.coords[0].Phase == expertmap.Steady && m.founded() {
+		if m.coords[0].Phase == expertmap.Steady && m.allHaveMap() {
 			break
 		}
 		m.coordinate(0, expertmap.Propose{})
@@ -141,7 +141,7 @@
 	return m.runOn(8)
 }
 
-func (m *machine) founded() bool {
+func (m *machine) allHaveMap() bool {
 	for _, e := range m.engines {
 		if e.State.HasNoMap() {
 			return false
@@ -153,21 +153,21 @@
 // drainAll delivers everything until nothing is under way.
 func (m *machine) drainAll() {
 	for len(m.net)+len(m.writes) > 0 && m.violation == "" {
-		m.drain()
+		m.deliverOldest()
 	}
 }
 
-// drain delivers the oldest of everything that is under way.
-func (m *machine) drain() {
+// deliverOldest delivers the oldest of everything that is under way.
+func (m *machine) deliverOldest() {
 	if len(m.writes) > 0 {
-		m.land(0)
+		m.applyWrite(0)
 	}
 	if len(m.net) > 0 {
 		m.deliver(0, false)
 	}
 	for rank := range m.engines {
 		for len(m.engines[rank].Queue) > 0 {
-			m.serve(rank, false)
+			m.processOrder(rank, false)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	for range steps * m.group * 2 {
 		for rank := range m.engines {
 			if m.canRun(rank) {
-				m.run(rank)
+				m.runStep(rank)
 			}
 		}
 	}
@@ -192,17 +192,17 @@
 }
 
 func TestRandomFaults(t *testing.T) {
-	for _, checks := range []bool{true, false} {
+	for _, enforceFencing := range []bool{true, false} {
 		name := "engines that ignore fencing numbers"
-		if checks {
+		if enforceFencing {
 			name = "engines that check fencing numbers"
 		}
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				group := rapid.IntRange(2, 4).Draw(t, "ranks")
-				m := &machine{world: newWorld(group, checks), group: group}
+				m := &machine{world: newWorld(group, enforceFencing), group: group}
 				if rapid.Bool().Draw(t, "founded") {
-					m.found()
+					m.installFirstMap()
 				}
 				m.takeLease(0)
 				t.Repeat(rapid.StateMachineActions(m))
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -10,7 +10,7 @@
 type Rank struct {
 	FenceKnown   bool   // The fencing number was read since the agent started.
 	ReadingFence bool   // A read of the fencing number is under way.
-	HighestSeen  Number // Highest number of an order taken.
+	Seen         Number // Highest number of an order taken.
 }
 
 // OrderReceived brings a coordinator's order; Ticket names it in the effects.
@@ -66,17 +66,17 @@
 	switch event := input.Event.(type) {
 	case FenceRead:
 		state.FenceKnown, state.ReadingFence = true, false
-		state.HighestSeen.Fence = max(state.HighestSeen.Fence, event.Fence)
+		state.Seen.Fence = max(state.Seen.Fence, event.Fence)
 	case FenceReadFailed:
 		state.ReadingFence = false
 	case OrderReceived:
-		return state.ordered(event)
+		return state.handleOrder(event)
 	}
 	return state, nil
 }
 
-func (r Rank) ordered(event OrderReceived) (Rank, []reduce.Effect) {
-	refuse := RefuseOrder{Ticket: event.Ticket, Seen: r.HighestSeen, FenceKnown: r.FenceKnown}
+func (r Rank) handleOrder(event OrderReceived) (Rank, []reduce.Effect) {
+	refuse := RefuseOrder{Ticket: event.Ticket, Seen: r.Seen, FenceKnown: r.FenceKnown}
 	if !r.FenceKnown && r.ReadingFence {
 		return r, []reduce.Effect{refuse}
 	}
@@ -84,9 +84,9 @@
 		r.ReadingFence = true
 		return r, []reduce.Effect{refuse, ReadFence{}}
 	}
-	if event.Order.Number.Less(r.HighestSeen) {
+	if event.Order.Number.Less(r.Seen) {
 		return r, []reduce.Effect{refuse}
 	}
-	r.HighestSeen = event.Order.Number
+	r.Seen = event.Order.Number
 	return r, []reduce.Effect{Forward(event)}
 }
--- a/policy/expertmap/record.go
+++ b/policy/expertmap/record.go
@@ -6,7 +6,7 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
-func (s *step) readRecord() {
+func (s *transition) readRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
 	if s.StoreRequestInFlight {
 		return
@@ -16,7 +16,7 @@
 }
 
 // writeRecord writes the claim or the change under way.
-func (s *step) writeRecord() {
+func (s *transition) writeRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
 	if s.StoreRequestInFlight {
 		return
@@ -31,9 +31,9 @@
 
 // commit writes the change into the record. A group without a map has nothing
 // to go back to, so its first commit is tried without end.
-func (s *step) commit() {
+func (s *transition) commit() {
 	timeout := commitTimeout
-	if s.founding() {
+	if s.installsFirstMap() {
 		timeout = 0
 	}
 	s.Phase = Committing
@@ -45,12 +45,12 @@
 	s.writeRecord()
 }
 
-func (s *step) storeAnswered(event reduce.Event) {
+func (s *transition) handleStoreResult(event reduce.Event) {
 	switch event := event.(type) {
 	case RecordRead:
-		s.recordRead(event)
+		s.handleRecordRead(event)
 	case RecordWritten:
-		s.recordWritten(event)
+		s.handleRecordWritten(event)
 	case RecordConflict:
 		s.RecordStale = true
 		if s.Phase == Claiming || s.Phase == Committing {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *step) recordRead(event RecordRead) {
+func (s *transition) handleRecordRead(event RecordRead) {
 	if s.Phase == Passive {
 		return
 	}
@@ -73,34 +73,34 @@
 	claimed := event.Version > 0 && event.Record.Fence == s.Number.Fence
 	switch {
 	case s.Phase == Claiming && claimed:
-		s.query()
+		s.startRound()
 	case s.Phase == Claiming:
 		s.writeRecord()
 	case s.Phase == Committing && event.Record.Change == s.Change:
-		s.committed()
+		s.handleCommitted()
 	case s.Phase == Committing:
 		s.writeRecord()
 	}
 }
 
-func (s *step) recordWritten(event RecordWritten) {
+func (s *transition) handleRecordWritten(event RecordWritten) {
 	if s.Phase != Claiming && s.Phase != Committing {
 		s.RecordStale = true
 		return
 	}
 	s.Record, s.RecordVersion, s.RecordStale = event.Record, event.Version, false
 	if s.Phase == Claiming {
-		s.query()
+		s.startRound()
 		return
 	}
-	s.committed()
+	s.handleCommitted()
 }
 
-// committed tells the ranks; a group without a map gets its first one.
-func (s *step) committed() {
-	if s.allLost() {
-		s.enter(Installing, 0)
+// handleCommitted tells the ranks; a group without a map gets its first one.
+func (s *transition) handleCommitted() {
+	if s.noRankHasMap() {
+		s.enterPhase(Installing, 0)
 		return
 	}
-	s.enter(Releasing, 0)
+	s.enterPhase(Releasing, 0)
 }
--- a/policy/expertmap/scale_test.go
+++ b/policy/expertmap/scale_test.go
@@ -10,18 +10,18 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
-// counter counts the bytes written to it.
-type counter int
+// byteCounter counts the bytes written to it.
+type byteCounter int
 
-func (c *counter) Write(p []byte) (int, error) {
-	*c += counter(len(p))
+func (c *byteCounter) Write(p []byte) (int, error) {
+	*c += byteCounter(len(p))
 	return len(p), nil
 }
 
 // wireSize returns the bytes of one order and its reply on a connection that
 // has carried their types before.
 func wireSize(b *testing.B, order expertmap.Order, state expertmap.EngineState) float64 {
-	var bytes counter
+	var bytes byteCounter
 	encoder := gob.NewEncoder(&bytes)
 	for range 2 {
 		bytes = 0
@@ -46,9 +46,9 @@
 func benchmarkRounds(b *testing.B, ranks int, change bool) {
 	w := newWorld(ranks, true)
 	w.direct = true
-	w.found()
+	w.installFirstMap()
 	w.takeLease(0)
-	w.settle()
+	w.deliverAll()
 	messages, bytes := 0, 0.0
 	b.ReportAllocs()
 	for b.Loop() {
@@ -60,7 +60,7 @@
 		}
 		for len(w.net)+len(w.writes) > 0 {
 			if len(w.writes) > 0 {
-				w.land(0)
+				w.applyWrite(0)
 				continue
 			}
 			if m := w.net[0]; m.Reply == nil {
--- a/policy/expertmap/world_test.go
+++ b/policy/expertmap/world_test.go
@@ -10,8 +10,8 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
-// expiry is longer than every interval and timeout of a coordinator.
-const expiry = time.Hour
+// beyondAllTimeouts is longer than every interval and timeout of a coordinator.
+const beyondAllTimeouts = time.Hour
 
 // message is an order on its way to a rank's agent, or its answer on the way
 // back to the coordinator.
@@ -24,9 +24,9 @@
 
 // tableWrite is a write of the record on its way to the table service.
 type tableWrite struct {
-	Node  int
-	Write expertmap.WriteRecord
-	Told  bool // The coordinator was told that the outcome is unknown.
+	Node           int
+	Write          expertmap.WriteRecord
+	ResultReported bool // The coordinator was told that the outcome is unknown.
 }
 
 type engine struct {
@@ -35,14 +35,14 @@
 	Queue []message
 }
 
-type slot struct{ Generation, Step uint64 }
+type stepKey struct{ Generation, Step uint64 }
 
 // world is a group with its agents, coordinators, network and table service.
 // Node i is the agent of rank i.
 type world struct {
-	checks    bool // Engines refuse orders with old fencing numbers.
-	direct    bool // Orders reach the engine together with their agent.
-	storeDown bool
+	enforceFencing bool // Engines refuse orders with old fencing numbers.
+	direct         bool // Orders reach the engine together with their agent.
+	storeDown      bool
 
 	engines []engine
 	ranks   []expertmap.Rank
@@ -57,34 +57,34 @@
 	generation    uint64
 	now           time.Time
 
-	ran       map[slot]expertmap.Change // What the oracle has seen.
+	mapUsed   map[stepKey]expertmap.Change // What the oracle has seen.
 	violation string
 }
 
-func newWorld(size int, checks bool) *world {
-	w := &world{checks: checks, ran: map[slot]expertmap.Change{}, now: time.Unix(0, 0)}
+func newWorld(size int, enforceFencing bool) *world {
+	w := &world{enforceFencing: enforceFencing, mapUsed: map[stepKey]expertmap.Change{}, now: time.Unix(0, 0)}
 	w.engines = make([]engine, size)
 	w.ranks = make([]expertmap.Rank, size)
 	w.coords = make([]expertmap.Coordinator, size)
 	for rank := range size {
-		w.engines[rank].State.Boot = w.boot()
+		w.engines[rank].State.Boot = w.newBootID()
 		w.coords[rank].MarginSteps = 1
 	}
 	return w
 }
 
-// found gives every rank the same first map.
-func (w *world) found() {
+// installFirstMap gives every rank the same first map.
+func (w *world) installFirstMap() {
 	first := expertmap.Change{ID: expertmap.ID{Fence: 1, Version: 1}}
 	w.fence, w.recordVersion = 1, 1
 	w.record = expertmap.Record{Fence: 1, Change: first}
 	for rank := range w.engines {
 		w.engines[rank].State.InForce, w.engines[rank].State.LastHeld = first, first.ID
-		w.ranks[rank] = expertmap.Rank{FenceKnown: true, HighestSeen: expertmap.Number{Fence: 1}}
+		w.ranks[rank] = expertmap.Rank{FenceKnown: true, Seen: expertmap.Number{Fence: 1}}
 	}
 }
 
-func (w *world) boot() string {
+func (w *world) newBootID() string {
 	w.boots++
 	return strconv.Itoa(w.boots)
 }
@@ -99,9 +99,9 @@
 	c.coords = slices.Clone(w.coords)
 	c.net = slices.Clone(w.net)
 	c.writes = slices.Clone(w.writes)
-	c.ran = make(map[slot]expertmap.Change, len(w.ran))
-	for key, change := range w.ran {
-		c.ran[key] = change
+	c.mapUsed = make(map[stepKey]expertmap.Change, len(w.mapUsed))
+	for key, change := range w.mapUsed {
+		c.mapUsed[key] = change
 	}
 	return &c
 }
@@ -165,7 +165,7 @@
 	case expertmap.Forward:
 		w.engines[m.Rank].Queue = append(w.engines[m.Rank].Queue, m)
 		if w.direct {
-			w.serve(m.Rank, false)
+			w.processOrder(m.Rank, false)
 		}
 	}
 }
@@ -175,14 +175,14 @@
 	w.net = append(w.net, message{Node: m.Node, Rank: m.Rank, Reply: &reply})
 }
 
-// serve lets the engine take its next order, which stays if keep is set.
-func (w *world) serve(rank int, keep bool) {
+// processOrder lets the engine take its next order, which stays if keep is set.
+func (w *world) processOrder(rank int, keep bool) {
 	e := &w.engines[rank]
 	m := e.Queue[0]
 	if !keep {
 		e.Queue = e.Queue[1:]
 	}
-	if w.checks && m.Order.Number.EngineFence() < e.Fence {
+	if w.enforceFencing && m.Order.Number.EngineFence() < e.Fence {
 		w.reply(m, expertmap.ReplyReceived{Refused: true})
 		return
 	}
@@ -191,8 +191,8 @@
 	w.reply(m, expertmap.ReplyReceived{State: e.State})
 }
 
-// land applies a write of the record and answers if the coordinator waits.
-func (w *world) land(index int) {
+// applyWrite applies a write of the record and answers if the coordinator waits.
+func (w *world) applyWrite(index int) {
 	write := w.writes[index]
 	w.writes = slices.Delete(w.writes, index, index+1)
 	var answer reduce.Event = expertmap.RecordConflict{}
@@ -201,21 +201,21 @@
 		w.record = write.Write.Record
 		answer = expertmap.RecordWritten{Record: w.record, Version: w.recordVersion}
 	}
-	if !write.Told {
+	if !write.ResultReported {
 		w.coordinate(write.Node, answer)
 	}
 }
 
-// forget tells the coordinator that a write's outcome is unknown; it may still
+// loseWriteResult tells the coordinator that a write's outcome is unknown; it may still
 // land.
-func (w *world) forget(index int) {
-	w.writes[index].Told = true
+func (w *world) loseWriteResult(index int) {
+	w.writes[index].ResultReported = true
 	w.coordinate(w.writes[index].Node, expertmap.RecordWriteUnknown{})
 }
 
 // tick lets the node's timers run out.
 func (w *world) tick(node int) {
-	w.now = w.now.Add(expiry)
+	w.now = w.now.Add(beyondAllTimeouts)
 	w.coordinate(node, reduce.Tick{})
 }
 
@@ -224,13 +224,13 @@
 	w.ranks[rank] = expertmap.Rank{}
 	w.coords[rank] = expertmap.Coordinator{MarginSteps: 1}
 	for index := range w.writes {
-		w.writes[index].Told = w.writes[index].Told || w.writes[index].Node == rank
+		w.writes[index].ResultReported = w.writes[index].ResultReported || w.writes[index].Node == rank
 	}
 }
 
-// lose clears what the engine of the rank keeps.
-func (w *world) lose(rank int) {
-	w.engines[rank].State = expertmap.EngineState{Boot: w.boot()}
+// loseEngineState clears what the engine of the rank keeps.
+func (w *world) loseEngineState(rank int) {
+	w.engines[rank].State = expertmap.EngineState{Boot: w.newBootID()}
 	w.engines[rank].Fence = 0
 	for index := range w.engines {
 		if !w.engines[index].State.HasNoMap() {
@@ -251,14 +251,14 @@
 	return state.CanRunNext()
 }
 
-// run lets the rank run its next step in front of the oracle.
-func (w *world) run(rank int) {
+// runStep lets the rank runStep its next step in front of the oracle.
+func (w *world) runStep(rank int) {
 	state := w.engines[rank].State
-	at := slot{Generation: w.generation, Step: state.Next}
+	at := stepKey{Generation: w.generation, Step: state.Next}
 	used := state.MapAt(state.Next)
-	if seen, ok := w.ran[at]; ok && seen != used {
+	if seen, ok := w.mapUsed[at]; ok && seen != used {
 		w.violation = fmt.Sprintf("step %d: rank %d uses map %v, another used %v", at.Step, rank, used.ID, seen.ID)
 	}
-	w.ran[at] = used
+	w.mapUsed[at] = used
 	w.engines[rank].State = state.AfterNextStep()
 }
