--- a/policy/expertmap/directed_test.go
+++ b/policy/expertmap/directed_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// committing returns a group whose first node has a commit under way.
-func committing() *world {
-	w := changing()
+// newCommittingWorld returns a group whose first node has a commit under way.
+func newCommittingWorld() *world {
+	w := newPreparedWorld()
 	w.deliverKind(0, expertmap.Hold)
 	return w
 }
@@ -51,7 +51,7 @@
 	for range 4 * steps {
 		for rank := range w.engines {
 			if w.canRun(rank) && w.engines[rank].State.Next < steps {
-				w.run(rank)
+				w.runStep(rank)
 			}
 		}
 	}
@@ -63,10 +63,10 @@
 	w.net = nil
 	w.takeLease(node)
 	for range 6 {
-		w.settle()
+		w.deliverAll()
 		w.tick(node)
 	}
-	w.settle()
+	w.deliverAll()
 	w.runAll(6)
 }
 
@@ -74,43 +74,43 @@
 // way; each case needs more faults than the enumeration allows.
 func TestHalfDoneByAPausedHolder(t *testing.T) {
 	Convey("Given a commit that the table service has not applied yet", t, func() {
-		w := committing()
+		w := newCommittingWorld()
 		So(w.coords[0].Phase, ShouldEqual, expertmap.Committing)
 		So(len(w.writes), ShouldEqual, 1)
 
 		Convey("the next holder's claim keeps it from being applied after a rank has gone on", func() {
 			w.takeLease(1)
 			for len(w.writes) > 1 {
-				w.land(1)
+				w.applyWrite(1)
 			}
 			w.deliverKind(1, expertmap.Query)
 			w.deliverTo(1, 0, expertmap.Abort)
 			w.runAll(3)
-			w.land(0)
-			w.lose(0)
+			w.applyWrite(0)
+			w.loseEngineState(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
 		Convey("a void by every rank comes before any rank goes on", func() {
-			w.forget(0)
+			w.loseWriteResult(0)
 			w.tick(0)
 			So(w.coords[0].Phase, ShouldEqual, expertmap.Voiding)
-			w.land(0)
+			w.applyWrite(0)
 			w.deliverKind(0, expertmap.Void)
 			w.deliverTo(0, 0, expertmap.Abort)
 			w.runAll(3)
-			w.lose(0)
+			w.loseEngineState(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
 		Convey("a void that only one rank has taken does not make ranks differ", func() {
-			w.forget(0)
+			w.loseWriteResult(0)
 			w.tick(0)
-			w.land(0)
+			w.applyWrite(0)
 			w.deliverTo(0, 0, expertmap.Void)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
@@ -118,25 +118,25 @@
 		})
 
 		Convey("a holder that takes over a void ends it on every rank before any goes on", func() {
-			w.forget(0)
+			w.loseWriteResult(0)
 			w.tick(0)
-			w.land(0)
+			w.applyWrite(0)
 			w.deliverTo(0, 0, expertmap.Void)
 			w.net = nil
 			w.takeLease(1)
-			w.land(0)
+			w.applyWrite(0)
 			w.deliverKind(1, expertmap.Query)
 			w.deliverTo(1, 0, expertmap.Abort)
 			w.runAll(3)
-			w.lose(0)
+			w.loseEngineState(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
 		Convey("a commit whose answer was lost is found and completed", func() {
-			w.forget(0)
-			w.land(0)
+			w.loseWriteResult(0)
+			w.applyWrite(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[1].State.InForce, ShouldResemble, w.record.Change)
@@ -144,8 +144,8 @@
 		})
 
 		Convey("a rank lost after its promise gets the change back", func() {
-			w.land(0)
-			w.lose(1)
+			w.applyWrite(0)
+			w.loseEngineState(1)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
 			So(w.engines[1].State.InForce.ID.Version, ShouldEqual, 2)
@@ -163,22 +163,22 @@
 		}
 		Convey("does not hold before a step that it has run", func() {
 			ready.Next = 6
-			So(ready.Apply(order(expertmap.Hold, 2)).Hold.None(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
 		Convey("does not hold without the weights", func() {
 			ready.Prepared = first.ID
-			So(ready.Apply(order(expertmap.Hold, 2)).Hold.None(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
 		Convey("does not hold a change again after an abort", func() {
 			state := ready.Apply(order(expertmap.Hold, 2)).Apply(order(expertmap.Abort, 2))
-			So(state.Apply(order(expertmap.Hold, 2)).Hold.None(), ShouldBeTrue)
+			So(state.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
 		Convey("is not released for a change that it does not hold", func() {
-			So(ready.Apply(order(expertmap.Release, 2)).Pending.None(), ShouldBeTrue)
+			So(ready.Apply(order(expertmap.Release, 2)).Pending.IsNone(), ShouldBeTrue)
 		})
 		Convey("is not released after a void of the same coordinator", func() {
 			state := ready.Apply(order(expertmap.Hold, 2)).Apply(order(expertmap.Void, 2))
-			So(state.Apply(order(expertmap.Release, 2)).Pending.None(), ShouldBeTrue)
+			So(state.Apply(order(expertmap.Release, 2)).Pending.IsNone(), ShouldBeTrue)
 			So(state.Apply(order(expertmap.Release, 3)).Pending, ShouldResemble, held)
 		})
 		Convey("takes a state only while it has none, and only for its boot", func() {
@@ -187,7 +187,7 @@
 			So(ready.Apply(install).InForce, ShouldResemble, first)
 			install.State.Boot = "b"
 			lost := expertmap.EngineState{Boot: "c"}
-			So(lost.Apply(install).Lost(), ShouldBeTrue)
+			So(lost.Apply(install).HasNoMap(), ShouldBeTrue)
 			lost.Boot = "b"
 			So(lost.Apply(install).InForce, ShouldResemble, held)
 		})
@@ -208,7 +208,7 @@
 	Convey("A member whose engine can't run for too long is blocked until it can", t, func() {
 		m := expertmap.Member{}.Configure("agent-1", "g", 0, 2)
 		at := func(seconds int64, state expertmap.EngineState) bool {
-			input := reduce.Input{Now: time.Unix(seconds, 0), Event: expertmap.EngineSeen{State: state}}
+			input := reduce.Input{Now: time.Unix(seconds, 0), Event: expertmap.EngineReported{State: state}}
 			m, _ = expertmap.StepMember(m, input)
 			return m.Blocked
 		}
--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -63,7 +63,7 @@
 	e.numbers(c.Number.Fence, c.Number.Round, c.Record.Fence, c.RecordVersion, c.Version)
 	e.change(c.Record.Change)
 	e.change(c.Change)
-	e.flags(c.RecordStale, c.StoreBusy, c.Wanted, c.Deadline.IsZero())
+	e.flags(c.RecordStale, c.StoreRequestInFlight, c.ChangeProposed, c.Deadline.IsZero())
 	e.flags(c.Answered...)
 	for _, state := range c.Before {
 		e.state(state)
@@ -73,7 +73,7 @@
 	}
 }
 
-func (e *encoder) left(f faults) {
+func (e *encoder) remaining(f faults) {
 	for _, value := range []int{f.Leases, f.Ticks, f.Losses, f.Restarts, f.Duplicates, f.Unknown} {
 		e.numbers(uint64(value))
 	}
@@ -83,10 +83,10 @@
 // times don't matter; the network has no order.
 func (p position) key() uint64 {
 	e := make(encoder, 0, 1024)
-	e.left(p.left)
+	e.remaining(p.remaining)
 	for rank := range p.engines {
 		e.state(p.engines[rank].State)
-		e.flags(p.ranks[rank].Ready)
+		e.flags(p.ranks[rank].FenceKnown)
 		e.numbers(p.ranks[rank].Seen.Fence, p.ranks[rank].Seen.Round)
 		e.coordinator(p.coords[rank])
 	}
@@ -95,10 +95,10 @@
 	for _, write := range p.writes {
 		e.numbers(uint64(write.Node), write.Write.Record.Fence, write.Write.IfVersion)
 		e.change(write.Write.Record.Change)
-		e.flags(write.Told)
+		e.flags(write.ResultReported)
 	}
-	for step := range p.left.Steps {
-		e.change(p.ran[slot{Generation: p.generation, Step: step}])
+	for step := range p.remaining.Steps {
+		e.change(p.mapUsed[stepKey{Generation: p.generation, Step: step}])
 	}
 	var messages uint64
 	for _, m := range p.net {
--- a/policy/expertmap/record.go
+++ b/policy/expertmap/record.go
@@ -6,22 +6,22 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
-func (s *step) readRecord() {
+func (s *transition) readRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
-	if s.StoreBusy {
+	if s.StoreRequestInFlight {
 		return
 	}
-	s.StoreBusy = true
+	s.StoreRequestInFlight = true
 	s.emit(ReadRecord{})
 }
 
 // writeRecord writes the claim or the change under way.
-func (s *step) writeRecord() {
+func (s *transition) writeRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
-	if s.StoreBusy {
+	if s.StoreRequestInFlight {
 		return
 	}
-	s.StoreBusy = true
+	s.StoreRequestInFlight = true
 	record := Record{Fence: s.Number.Fence, Change: s.Record.Change}
 	if s.Phase == Committing {
 		record.Change = s.Change
@@ -31,9 +31,9 @@
 
 // commit writes the change into the record. A group without a map has nothing
 // to go back to, so its first commit is tried without end.
-func (s *step) commit() {
+func (s *transition) commit() {
 	timeout := commitTimeout
-	if s.founding() {
+	if s.installsFirstMap() {
 		timeout = 0
 	}
 	s.Phase = Committing
@@ -45,62 +45,62 @@
 	s.writeRecord()
 }
 
-func (s *step) storeAnswered(event reduce.Event) {
+func (s *transition) handleStoreResult(event reduce.Event) {
 	switch event := event.(type) {
 	case RecordRead:
-		s.recordRead(event)
+		s.handleRecordRead(event)
 	case RecordWritten:
-		s.recordWritten(event)
+		s.handleRecordWritten(event)
 	case RecordConflict:
 		s.RecordStale = true
 		if s.Phase == Claiming || s.Phase == Committing {
 			s.readRecord()
 		}
-	case RecordUnknown:
+	case RecordWriteUnknown:
 		s.RecordStale = true
 	}
 }
 
-func (s *step) recordRead(event RecordRead) {
+func (s *transition) handleRecordRead(event RecordRead) {
 	if s.Phase == Passive {
 		return
 	}
 	if event.Record.Fence > s.Number.Fence {
-		s.Coordinator = Coordinator{Margin: s.Margin}
+		s.Coordinator = Coordinator{MarginSteps: s.MarginSteps}
 		return
 	}
 	s.Record, s.RecordVersion, s.RecordStale = event.Record, event.Version, false
 	claimed := event.Version > 0 && event.Record.Fence == s.Number.Fence
 	switch {
 	case s.Phase == Claiming && claimed:
-		s.query()
+		s.startRound()
 	case s.Phase == Claiming:
 		s.writeRecord()
 	case s.Phase == Committing && event.Record.Change == s.Change:
-		s.committed()
+		s.handleCommitted()
 	case s.Phase == Committing:
 		s.writeRecord()
 	}
 }
 
-func (s *step) recordWritten(event RecordWritten) {
+func (s *transition) handleRecordWritten(event RecordWritten) {
 	if s.Phase != Claiming && s.Phase != Committing {
 		s.RecordStale = true
 		return
 	}
 	s.Record, s.RecordVersion, s.RecordStale = event.Record, event.Version, false
 	if s.Phase == Claiming {
-		s.query()
+		s.startRound()
 		return
 	}
-	s.committed()
+	s.handleCommitted()
 }
 
-// committed tells the ranks; a group without a map gets its first one.
-func (s *step) committed() {
-	if s.allLost() {
-		s.enter(Installing, 0)
+// handleCommitted tells the ranks; a group without a map gets its first one.
+func (s *transition) handleCommitted() {
+	if s.noRankHasMap() {
+		s.enterPhase(Installing, 0)
 		return
 	}
-	s.enter(Releasing, 0)
+	s.enterPhase(Releasing, 0)
 }
--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -64,14 +64,14 @@
 		So(total/float64(jumps), ShouldBeLessThan, 1.15)
 	})
 	Convey("A change that saves less than its copies cost is not made", t, func() {
-		costs := Costs{CopyTime: 100 * time.Millisecond, ExpertShare: 0.4, Filled: 0.9}
-		So(Plan{Copies: 1, MostCopies: 1, SkewBefore: 1.18, SkewAfter: 1.17}.Pays(costs), ShouldBeFalse)
-		So(Plan{Copies: 24, MostCopies: 2, SkewBefore: 3, SkewAfter: 1.3}.Pays(costs), ShouldBeTrue)
-		So(Plan{SkewBefore: 3, SkewAfter: 3}.Pays(costs), ShouldBeFalse)
-		So(Plan{Copies: 4, MostCopies: 1, SkewBefore: 1.3, SkewAfter: 1.2}.Pays(costs), ShouldBeTrue)
-		costs.Filled = 0.2
-		So(Plan{Copies: 4, MostCopies: 1, SkewBefore: 1.3, SkewAfter: 1.2}.Pays(costs), ShouldBeFalse)
-		So(Plan{Copies: 24, MostCopies: 2, SkewBefore: 3, SkewAfter: 1.3}.Pays(costs), ShouldBeTrue)
+		costs := Costs{CopyTime: 100 * time.Millisecond, ExpertTimeShare: 0.4, Occupancy: 0.9}
+		So(Plan{Copies: 1, MaxCopiesPerRank: 1, SkewBefore: 1.18, SkewAfter: 1.17}.IsWorthwhile(costs), ShouldBeFalse)
+		So(Plan{Copies: 24, MaxCopiesPerRank: 2, SkewBefore: 3, SkewAfter: 1.3}.IsWorthwhile(costs), ShouldBeTrue)
+		So(Plan{SkewBefore: 3, SkewAfter: 3}.IsWorthwhile(costs), ShouldBeFalse)
+		So(Plan{Copies: 4, MaxCopiesPerRank: 1, SkewBefore: 1.3, SkewAfter: 1.2}.IsWorthwhile(costs), ShouldBeTrue)
+		costs.Occupancy = 0.2
+		So(Plan{Copies: 4, MaxCopiesPerRank: 1, SkewBefore: 1.3, SkewAfter: 1.2}.IsWorthwhile(costs), ShouldBeFalse)
+		So(Plan{Copies: 24, MaxCopiesPerRank: 2, SkewBefore: 3, SkewAfter: 1.3}.IsWorthwhile(costs), ShouldBeTrue)
 	})
 	Convey("An even load needs no copies", t, func() {
 		load := make([][]float64, usersSets)
@@ -93,12 +93,12 @@
 			load := topics(rand.New(rand.NewPCG(seed, 3)), usersShape, usersSets)
 			placement := inTurn(usersShape, usersSets)
 			whole := Decide(usersShape, placement, load, 3)
-			soonest := DecideSoonest(usersShape, placement, load, 3, copyTime)
-			if soonest.MostCopies < whole.MostCopies {
+			soonest := DecideLeastAverageSkew(usersShape, placement, load, 3, copyTime)
+			if soonest.MaxCopiesPerRank < whole.MaxCopiesPerRank {
 				fewer++
 			}
 			cost := func(p Plan) float64 {
-				until := (switchTime + time.Duration(p.MostCopies)*copyTime).Seconds()
+				until := (switchTime + time.Duration(p.MaxCopiesPerRank)*copyTime).Seconds()
 				return p.SkewBefore*until + p.SkewAfter*(recovery.Seconds()-until)
 			}
 			So(cost(soonest), ShouldBeLessThanOrEqualTo, cost(whole))
@@ -108,7 +108,7 @@
 	Convey("Where a copy takes no time all copies are made", t, func() {
 		load := topics(rand.New(rand.NewPCG(1, 3)), usersShape, usersSets)
 		placement := inTurn(usersShape, usersSets)
-		So(DecideSoonest(usersShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(usersShape, placement, load, 3).SkewAfter)
+		So(DecideLeastAverageSkew(usersShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(usersShape, placement, load, 3).SkewAfter)
 	})
 }
 
