--- a/ctl/cmd/persimmonctl/configuration.go
+++ b/ctl/cmd/persimmonctl/configuration.go
@@ -145,7 +145,7 @@
 
 func readFile(files config.Files, path string) error {
 	name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	if !config.Known(name) {
+	if !config.KnownFile(name) {
 		return fmt.Errorf("%s: no configuration file is named %q; use %s", path, name, strings.Join(config.FileNames, ", "))
 	}
 	info, err := os.Stat(path)
@@ -154,8 +154,8 @@
 	}
 	if info.Size() > jsonfile.MaxBytes {
 		return jsonfile.Problems{{
-			File: path, What: fmt.Sprintf("the file has %d bytes", info.Size()),
-			Want: fmt.Sprintf("at most %d bytes are accepted", jsonfile.MaxBytes),
+			File: path, Message: fmt.Sprintf("the file has %d bytes", info.Size()),
+			Hint: fmt.Sprintf("at most %d bytes are accepted", jsonfile.MaxBytes),
 		}}
 	}
 	text, err := os.ReadFile(path)
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -161,7 +161,7 @@
 // repeats waits, if asked to, and tells whether a refused request is repeated.
 func (r *runner) repeats(ctx context.Context, d *done) bool {
 	f := d.failure
-	if f == nil || f.kind != Refused || d.attempts > r.options.Retries || !result.Describe(f.code).ComeBack {
+	if f == nil || f.kind != Refused || d.attempts > r.options.Retries || !result.Describe(f.code).Retryable {
 		return false
 	}
 	if r.options.RetryWait && !sleep(ctx, f.retryAfter) {
--- a/policy/config/parse.go
+++ b/policy/config/parse.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Known reports whether a configuration file has this name.
-func Known(file string) bool { return new(parsed).target(file) != nil }
+// KnownFile reports whether a configuration file has this name.
+func KnownFile(file string) bool { return new(parsed).target(file) != nil }
 
 // Digest returns the hex SHA-256 of a file's text.
 func Digest(text []byte) string {
@@ -89,10 +89,10 @@
 	p := &parsed{documents: map[string]*jsonfile.Document{}}
 	var problems jsonfile.Problems
 	for name := range files {
-		if !Known(name) {
+		if !KnownFile(name) {
 			problems = append(problems, jsonfile.Problem{
-				File: name, What: "no configuration file has this name",
-				Want: "use data_centres, work, backend_servers or organisations",
+				File: name, Message: "no configuration file has this name",
+				Hint: "use data_centres, work, backend_servers or organisations",
 			})
 		}
 	}
--- a/policy/jsonfile/jsonfile.go
+++ b/policy/jsonfile/jsonfile.go
@@ -34,7 +34,7 @@
 	d := &Document{name: name, text: data}
 	if len(data) > MaxBytes {
 		what := fmt.Sprintf("the file has %d bytes", len(data))
-		return nil, Problems{{File: name, What: what, Want: fmt.Sprintf("at most %d bytes are accepted", MaxBytes)}}
+		return nil, Problems{{File: name, Message: what, Hint: fmt.Sprintf("at most %d bytes are accepted", MaxBytes)}}
 	}
 	if offset := invalidUTF8(data); offset >= 0 {
 		return nil, Problems{d.problem(offset, "the text is not valid UTF-8", "save the file as UTF-8")}
@@ -68,7 +68,7 @@
 	// Comments become spaces, so that the offsets stay as they are.
 	d.root.Standardize()
 	if err := json.Unmarshal(d.root.Pack(), target); err != nil {
-		return Problems{{File: d.name, Line: 1, Column: 1, What: err.Error()}}
+		return Problems{{File: d.name, Line: 1, Column: 1, Message: err.Error()}}
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 	before := d.text[:min(offset, len(d.text))]
 	lineStart := bytes.LastIndexByte(before, '\n') + 1
 	return Problem{
-		File: d.name, What: what, Want: want,
+		File: d.name, Message: what, Hint: want,
 		Line:   1 + bytes.Count(before, []byte("\n")),
 		Column: 1 + utf8.RuneCount(before[lineStart:]),
 	}
@@ -118,7 +118,7 @@
 	if strings.Contains(text, "EOF") {
 		want = "the file seems truncated: close every string, object and array"
 	}
-	return Problem{File: d.name, Line: line, Column: column, What: text, Want: want}
+	return Problem{File: d.name, Line: line, Column: column, Message: text, Hint: want}
 }
 
 // invalidUTF8 returns the offset of the first invalid byte, or -1.
--- a/policy/jsonfile/jsonfile_test.go
+++ b/policy/jsonfile/jsonfile_test.go
@@ -87,7 +87,7 @@
 		var target file
 		err := Decode("f", text, &target)
 		problems, ok := err.(Problems)
-		if err != nil && (!ok || len(problems) == 0 || problems[0].File != "f" || problems[0].What == "") {
+		if err != nil && (!ok || len(problems) == 0 || problems[0].File != "f" || problems[0].Message == "") {
 			t.Fatalf("error without its place: %#v", err)
 		}
 		_, _, _ = SetInList("f", text, "items", "a", "out", true)
--- a/policy/jsonfile/problem.go
+++ b/policy/jsonfile/problem.go
@@ -10,11 +10,11 @@
 
 // Problem is one fault of a file, with its place and how to mend it.
 type Problem struct {
-	File   string `json:"file"`
-	Line   int    `json:"line"`   // From 1; 0 where the fault has no place.
-	Column int    `json:"column"` // From 1, in characters.
-	What   string `json:"what"`   // What is wrong.
-	Want   string `json:"want"`   // What would be right.
+	File    string `json:"file"`
+	Line    int    `json:"line"`   // From 1; 0 where the fault has no place.
+	Column  int    `json:"column"` // From 1, in characters.
+	Message string `json:"what"`   // What is wrong.
+	Hint    string `json:"want"`   // What would be right.
 }
 
 // String returns the problem as one line, in the form that editors jump to.
@@ -23,10 +23,10 @@
 	if p.Line > 0 {
 		place = fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 	}
-	if p.Want == "" {
-		return place + ": " + p.What
+	if p.Hint == "" {
+		return place + ": " + p.Message
 	}
-	return place + ": " + p.What + "; " + p.Want
+	return place + ": " + p.Message + "; " + p.Hint
 }
 
 // Problems is every fault found. It is an error where it is not empty.
--- a/policy/once/agent.go
+++ b/policy/once/agent.go
@@ -90,7 +90,7 @@
 }
 
 func (a Agent) stepStarting(event reduce.Event) (Agent, reduce.Effect) {
-	if won, ok := event.(WriteWon); ok {
+	if won, ok := event.(WriteSucceeded); ok {
 		return a.started(won.Late)
 	}
 	return a.settle()
@@ -104,7 +104,7 @@
 		return a.undo()
 	}
 	a.phase = calling
-	return a, Call{}
+	return a, CallBackend{}
 }
 
 func (a Agent) undo() (Agent, reduce.Effect) {
@@ -139,7 +139,7 @@
 }
 
 func (a Agent) stepCancelling(event reduce.Event) (Agent, reduce.Effect) {
-	if _, ok := event.(WriteWon); ok {
+	if _, ok := event.(WriteSucceeded); ok {
 		return a.refuse(result.StoreUnavailable)
 	}
 	return a.settle()
@@ -178,7 +178,7 @@
 			return a, WriteRow{Version: event.Version, Row: event.Row.finish(a.answer)}
 		}
 		return a.finish()
-	case WriteWon:
+	case WriteSucceeded:
 		return a.finish()
 	}
 	return a.store(true)
--- a/policy/once/entry.go
+++ b/policy/once/entry.go
@@ -66,15 +66,15 @@
 	case Superseded:
 		e.intent = proceed
 		return e.read()
-	case Silent:
+	case NoReply:
 		e.pending = true
 		e.intent = e.next()
 		return e.read()
-	case WriteWon:
+	case WriteSucceeded:
 		return e.cancelled()
-	case WriteLost, WriteUnknown:
+	case WriteConflict, WriteUnknown:
 		return e.read()
-	case Asked:
+	case ProgressReported:
 		return e.asked(event.Progress)
 	case Expired:
 		e.pending = e.pending || e.attempts > 0
@@ -95,7 +95,7 @@
 	e.pending = false
 	e.intent = proceed
 	e.attempts++
-	return e, Send{Epoch: epoch}
+	return e, SendAttempt{Epoch: epoch}
 }
 
 func (e Entry) read() (Entry, reduce.Effect) {
@@ -120,7 +120,7 @@
 // cancellation.
 func (e Entry) giveUp() (Entry, reduce.Effect) {
 	if !e.given {
-		return e, Refuse{Code: e.refusal, NotRunBefore: EveryEpoch}
+		return e, Refuse{Code: e.refusal, NotRunBefore: MaxEpoch}
 	}
 	e.intent = conclude
 	return e.read()
@@ -158,7 +158,7 @@
 		return e.cancel(row, version)
 	}
 	e.asking = row.Execution
-	return e, Ask{Execution: row.Execution}
+	return e, QueryProgress{Execution: row.Execution}
 }
 
 func (e Entry) resolveOpen(row Row, version uint64) (Entry, reduce.Effect) {
@@ -197,7 +197,7 @@
 	}
 	final := e.next() == conclude || e.intent == conclude
 	e.writing = row.cancel(e.fingerprint, final)
-	return e, WriteRow{Version: version, Row: e.writing, Bounded: final}
+	return e, WriteRow{Version: version, Row: e.writing, Budgeted: final}
 }
 
 func (e Entry) cancelled() (Entry, reduce.Effect) {
@@ -211,11 +211,11 @@
 func (e Entry) asked(progress Progress) (Entry, reduce.Effect) {
 	switch progress {
 	case Running:
-		return e, Ask{Execution: e.asking}
+		return e, QueryProgress{Execution: e.asking}
 	case Inactive:
 		e.inactive = e.asking
 		return e.read()
-	case Forgotten:
+	case AgentRestarted:
 		e.forgotten = e.asking
 		return e.read()
 	}
--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -74,7 +74,7 @@
 			if w.left.Timeout > 0 {
 				next := w
 				next.left.Timeout--
-				x.feedRequest(name+"silent", next, i, Silent{})
+				x.feedRequest(name+"silent", next, i, NoReply{})
 				x.feedRequest(name+"expires", next, i, Expired{})
 			}
 		case !r.over:
@@ -90,14 +90,14 @@
 		x.read(w, feed)
 	case WriteRow:
 		x.write(w, effect, feed)
-		if effect.Bounded && w.left.StoreDown > 0 {
+		if effect.Budgeted && w.left.StoreDown > 0 {
 			next := w
 			next.left.StoreDown--
 			feed("write skipped", next, WriteSkipped{})
 		}
-	case Send:
+	case SendAttempt:
 		x.send(name, w, i, effect)
-	case Ask:
+	case QueryProgress:
 		x.ask(w, effect, feed)
 	}
 }
@@ -114,9 +114,9 @@
 func (x *explorer) write(w world, write WriteRow, feed func(string, world, reduce.Event)) {
 	next, won := w.apply(write)
 	if !won {
-		feed("write conflicts", w, WriteLost{})
+		feed("write conflicts", w, WriteConflict{})
 	} else {
-		feed("writes "+string(write.Row.State), next, WriteWon{})
+		feed("writes "+string(write.Row.State), next, WriteSucceeded{})
 	}
 	if w.left.LostAnswer > 0 {
 		next.left.LostAnswer--
@@ -135,7 +135,7 @@
 	}
 }
 
-func (x *explorer) send(name string, w world, i int, effect Send) {
+func (x *explorer) send(name string, w world, i int, effect SendAttempt) {
 	if i < x.setting.refused {
 		x.feedRequest(name+"no target", w, i, NoTarget{Code: result.Overloaded})
 		return
@@ -166,12 +166,12 @@
 	}
 }
 
-func (x *explorer) ask(w world, effect Ask, feed func(string, world, reduce.Event)) {
-	feed("asks", w, Asked{Progress: w.progress(effect.Execution)})
+func (x *explorer) ask(w world, effect QueryProgress, feed func(string, world, reduce.Event)) {
+	feed("asks", w, ProgressReported{Progress: w.progress(effect.Execution)})
 	if w.left.Timeout > 0 {
 		next := w
 		next.left.Timeout--
-		feed("asks in vain", next, Asked{Progress: Unreachable})
+		feed("asks in vain", next, ProgressReported{Progress: Unreachable})
 	}
 }
 
@@ -267,9 +267,9 @@
 		x.write(w, effect, feed)
 		if next, won := w.apply(effect); won && next.left.LateStart > 0 && effect.Row.State == Started {
 			next.left.LateStart--
-			feed("starts too late", next, WriteWon{Late: true})
+			feed("starts too late", next, WriteSucceeded{Late: true})
 		}
-	case Call:
+	case CallBackend:
 		x.call(w, i, feed)
 	}
 }
@@ -278,7 +278,7 @@
 	if w.left.Unreached > 0 {
 		next := w
 		next.left.Unreached--
-		feed("backend server unreached", next, Unreached{})
+		feed("backend server unreached", next, BackendNotCalled{})
 	}
 	w.runs++
 	w.runArrival = w.sent[w.execs[i].message].arrival
--- a/policy/once/machine_test.go
+++ b/policy/once/machine_test.go
@@ -26,11 +26,11 @@
 	freed := WriteRow{Version: 1, Row: Row{State: Cancelled, Epoch: 1, Fingerprint: "body"}}
 	Convey("Given an execution whose start is known after the deadline", t, func() {
 		for _, events := range [][]reduce.Event{
-			{WriteWon{Late: true}, RowRead{Row: started, Version: 1}, WriteWon{}},
-			{WriteUnknown{}, RowRead{Row: started, Version: 1, Late: true}, RowRead{Row: started, Version: 1}, WriteWon{}},
+			{WriteSucceeded{Late: true}, RowRead{Row: started, Version: 1}, WriteSucceeded{}},
+			{WriteUnknown{}, RowRead{Row: started, Version: 1, Late: true}, RowRead{Row: started, Version: 1}, WriteSucceeded{}},
 		} {
 			effects := drive(events...)
-			So(effects, ShouldNotContain, Call{})
+			So(effects, ShouldNotContain, CallBackend{})
 			So(effects, ShouldContain, freed)
 			So(effects[len(effects)-1], ShouldResemble, Refuse{Code: result.Cancelled})
 		}
--- a/policy/once/messages.go
+++ b/policy/once/messages.go
@@ -8,21 +8,21 @@
 // WriteRow asks to write the row if it still has the version; the answer is
 // WriteWon, WriteLost, WriteUnknown or, for an entry's bounded write, WriteSkipped.
 type WriteRow struct {
-	Version uint64
-	Row     Row
-	Bounded bool // Counts against the budget of final cancellations.
+	Version  uint64
+	Row      Row
+	Budgeted bool // Counts against the budget of final cancellations.
 }
 
-// Send asks an entry to choose a backend server and to send it an attempt of
+// SendAttempt asks an entry to choose a backend server and to send it an attempt of
 // the epoch; the answer is Answered, Refused, Superseded, Silent or NoTarget.
-type Send struct{ Epoch uint64 }
+type SendAttempt struct{ Epoch uint64 }
 
-// Ask asks the execution's agent about it; the answer is Asked.
-type Ask struct{ Execution Execution }
+// QueryProgress asks the execution's agent about it; the answer is Asked.
+type QueryProgress struct{ Execution Execution }
 
-// Call asks an agent to call the backend server; the answer is Answered or
+// CallBackend asks an agent to call the backend server; the answer is Answered or
 // Unreached.
-type Call struct{}
+type CallBackend struct{}
 
 // Finish ends the state machine with an answer.
 type Finish struct{ Answer Answer }
@@ -35,8 +35,8 @@
 	NotRunBefore uint64
 }
 
-// EveryEpoch is above all epochs.
-const EveryEpoch = ^uint64(0)
+// MaxEpoch is above all epochs.
+const MaxEpoch = ^uint64(0)
 
 // EffectName implements reduce.Effect.
 func (ReadRow) EffectName() string { return "once.read_row" }
@@ -45,13 +45,13 @@
 func (WriteRow) EffectName() string { return "once.write_row" }
 
 // EffectName implements reduce.Effect.
-func (Send) EffectName() string { return "once.send" }
+func (SendAttempt) EffectName() string { return "once.send" }
 
 // EffectName implements reduce.Effect.
-func (Ask) EffectName() string { return "once.ask" }
+func (QueryProgress) EffectName() string { return "once.ask" }
 
 // EffectName implements reduce.Effect.
-func (Call) EffectName() string { return "once.call" }
+func (CallBackend) EffectName() string { return "once.call" }
 
 // EffectName implements reduce.Effect.
 func (Finish) EffectName() string { return "once.finish" }
@@ -69,11 +69,11 @@
 // ReadFailed tells that the row could not be read.
 type ReadFailed struct{}
 
-// WriteWon tells that the row was written.
-type WriteWon struct{ Late bool } // Late tells an agent that the deadline has passed.
+// WriteSucceeded tells that the row was written.
+type WriteSucceeded struct{ Late bool } // Late tells an agent that the deadline has passed.
 
-// WriteLost tells that the row had another version.
-type WriteLost struct{}
+// WriteConflict tells that the row had another version.
+type WriteConflict struct{}
 
 // WriteUnknown tells that the write may have taken effect or may still do so.
 type WriteUnknown struct{}
@@ -93,11 +93,11 @@
 // Superseded tells that the row did not allow the attempt.
 type Superseded struct{}
 
-// Silent tells that the attempt may be under way.
-type Silent struct{}
+// NoReply tells that the attempt may be under way.
+type NoReply struct{}
 
-// Unreached tells that the backend server was not called.
-type Unreached struct{}
+// BackendNotCalled tells that the backend server was not called.
+type BackendNotCalled struct{}
 
 // Expired tells that the request's deadline has passed or its caller has left.
 type Expired struct{}
@@ -107,14 +107,14 @@
 
 // Progress of an execution.
 const (
-	Unreachable Progress = iota // The agent did not answer.
-	Running                     // It may start, runs, or its answer is not yet stored.
-	Inactive                    // It is given up for good, or its answer is stored.
-	Forgotten                   // The agent has restarted since.
+	Unreachable    Progress = iota // The agent did not answer.
+	Running                        // It may start, runs, or its answer is not yet stored.
+	Inactive                       // It is given up for good, or its answer is stored.
+	AgentRestarted                 // The agent has restarted since.
 )
 
-// Asked brings the answer to Ask.
-type Asked struct{ Progress Progress }
+// ProgressReported brings the answer to Ask.
+type ProgressReported struct{ Progress Progress }
 
 // EventName implements reduce.Event.
 func (RowRead) EventName() string { return "once.row_read" }
@@ -123,10 +123,10 @@
 func (ReadFailed) EventName() string { return "once.read_failed" }
 
 // EventName implements reduce.Event.
-func (WriteWon) EventName() string { return "once.write_won" }
+func (WriteSucceeded) EventName() string { return "once.write_won" }
 
 // EventName implements reduce.Event.
-func (WriteLost) EventName() string { return "once.write_lost" }
+func (WriteConflict) EventName() string { return "once.write_lost" }
 
 // EventName implements reduce.Event.
 func (WriteUnknown) EventName() string { return "once.write_unknown" }
@@ -147,13 +147,13 @@
 func (Superseded) EventName() string { return "once.superseded" }
 
 // EventName implements reduce.Event.
-func (Silent) EventName() string { return "once.silent" }
+func (NoReply) EventName() string { return "once.silent" }
 
 // EventName implements reduce.Event.
-func (Unreached) EventName() string { return "once.unreached" }
+func (BackendNotCalled) EventName() string { return "once.unreached" }
 
 // EventName implements reduce.Event.
 func (Expired) EventName() string { return "once.expired" }
 
 // EventName implements reduce.Event.
-func (Asked) EventName() string { return "once.asked" }
+func (ProgressReported) EventName() string { return "once.asked" }
--- a/policy/once/world_test.go
+++ b/policy/once/world_test.go
@@ -97,7 +97,7 @@
 func (w world) progress(execution Execution) Progress {
 	agent := execution.Agent[0] - '0'
 	if execution.Boot != fmt.Sprint(w.boots[agent]) {
-		return Forgotten
+		return AgentRestarted
 	}
 	for _, exec := range w.execs {
 		if exec.active && exec.machine.execution == execution {
--- a/policy/result/result.go
+++ b/policy/result/result.go
@@ -71,7 +71,7 @@
 	Name       string
 	HTTPStatus int
 	NotRun     bool // The work did not run and will not run because of this attempt.
-	ComeBack   bool // Trying again later can help.
+	Retryable  bool // Trying again later can help.
 	Meaning    string
 }
 
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -82,7 +82,7 @@
 	case ByLoad(attempt.Err.Code) && attempt.Waited > maxWaited:
 		return false
 	case info.NotRun:
-		return info.ComeBack
+		return info.Retryable
 	default:
 		return attempt.Idempotent && brokenOff(attempt.Err.Code)
 	}
@@ -107,7 +107,7 @@
 // with the time to come back. Random spreads the callers over half as much
 // time again.
 func GivenUp(err *result.Error, random uint64) *result.Error {
-	if !result.Describe(err.Code).ComeBack {
+	if !result.Describe(err.Code).Retryable {
 		return err
 	}
 	final := *err
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -63,7 +63,7 @@
 func TestARequestGivenUpOnSaysWhenToComeBack(t *testing.T) {
 	for _, code := range result.Codes() {
 		err := GivenUp(&result.Error{Code: code}, 1<<63)
-		if result.Describe(code).ComeBack != (err.RetryAfter > 0) {
+		if result.Describe(code).Retryable != (err.RetryAfter > 0) {
 			t.Errorf("%v: come back after %v", code, err.RetryAfter)
 		}
 	}
--- a/server/admin/change.go
+++ b/server/admin/change.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	name := r.PathValue("file")
-	if !config.Known(name) {
+	if !config.KnownFile(name) {
 		return result.Errorf(result.UnknownFile, "no configuration file is named %q", name)
 	}
 	text, err := readBody(r)
--- a/server/admin/configuration.go
+++ b/server/admin/configuration.go
@@ -28,7 +28,7 @@
 // serveFile answers with a file's text at the accepted or an earlier revision.
 func (a *API) serveFile(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	name := r.PathValue("file")
-	if !config.Known(name) {
+	if !config.KnownFile(name) {
 		return result.Errorf(result.UnknownFile, "no configuration file is named %q", name)
 	}
 	revision, err := a.askedRevision(r)
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -133,8 +133,8 @@
 		return event
 	case policy.WriteRow:
 		event := x.owner.rows.Write(ctx, x.work.Key, effect)
-		if _, ok := event.(policy.WriteWon); ok {
-			return policy.WriteWon{Late: x.late()}
+		if _, ok := event.(policy.WriteSucceeded); ok {
+			return policy.WriteSucceeded{Late: x.late()}
 		}
 		return event
 	default:
@@ -155,7 +155,7 @@
 	}
 	x.fail(err)
 	if errors.Is(err, ports.ErrUnavailable) {
-		return policy.Unreached{}
+		return policy.BackendNotCalled{}
 	}
 	logevent.Write(x.owner.node.Log(), logevent.RunOutcomeUnknown, logrus.Fields{"request": x.work.RequestID, "error": err.Error()})
 	return policy.Answered{Answer: policy.Answer{Code: int(result.OutcomeUnknown)}}
@@ -238,7 +238,7 @@
 	e.node.Hear(request.Stamp)
 	reply.Stamp = e.node.Stamp()
 	if request.Execution.Boot != e.boot {
-		reply.Progress = policy.Forgotten
+		reply.Progress = policy.AgentRestarted
 		return nil
 	}
 	x := e.find(request.Execution.Nonce)
--- a/server/doccheck/doccheck_test.go
+++ b/server/doccheck/doccheck_test.go
@@ -48,7 +48,7 @@
 	slices.Sort(codes)
 	for _, code := range codes {
 		info := result.Describe(code)
-		fmt.Fprintf(&page, "| %d | `%s` | %d | %s | %s | %s |\n", int(code), info.Name, info.HTTPStatus, yes(info.NotRun), yes(info.ComeBack), info.Meaning)
+		fmt.Fprintf(&page, "| %d | `%s` | %d | %s | %s | %s |\n", int(code), info.Name, info.HTTPStatus, yes(info.NotRun), yes(info.Retryable), info.Meaning)
 	}
 	check(t, "../../docs/RESULT_CODES.md", page.String())
 }
--- a/server/entry/attempt/cancels_test.go
+++ b/server/entry/attempt/cancels_test.go
@@ -44,7 +44,7 @@
 				So(own, ShouldBeFalse)
 			}
 			close(held)
-			So(<-first, ShouldResemble, policy.WriteWon{})
+			So(<-first, ShouldResemble, policy.WriteSucceeded{})
 			So(table.Counts().Writes, ShouldEqual, 1)
 		})
 	})
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -72,7 +72,7 @@
 		return true
 	default:
 		// An answer that has begun is worth another try after a refusal.
-		return g.assembler.Next() > 0 && err.NotRun() && result.Describe(err.Code).ComeBack
+		return g.assembler.Next() > 0 && err.NotRun() && result.Describe(err.Code).Retryable
 	}
 }
 
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -69,7 +69,7 @@
 // deadline has passed.
 func conclusive(event reduce.Event) bool {
 	switch event.(type) {
-	case policy.Answered, policy.WriteWon:
+	case policy.Answered, policy.WriteSucceeded:
 		return true
 	}
 	return false
@@ -86,7 +86,7 @@
 
 func (c *keyedCall) refuse(end policy.Refuse) *result.Error {
 	err := result.Errorf(end.Code, "%s", c.detail)
-	if result.Describe(end.Code).ComeBack {
+	if result.Describe(end.Code).Retryable {
 		err.RetryAfter = c.waited
 	}
 	if !err.NotRun() && end.Code != result.KeyReused {
@@ -101,20 +101,20 @@
 		return c.runner.rows.Read(ctx, c.row, effect)
 	case policy.WriteRow:
 		return c.write(ctx, effect)
-	case policy.Send:
+	case policy.SendAttempt:
 		return c.send(ctx, effect.Epoch)
-	case policy.Ask:
+	case policy.QueryProgress:
 		return c.ask(ctx, effect.Execution)
 	}
 	return policy.Expired{}
 }
 
 func (c *keyedCall) write(ctx context.Context, effect policy.WriteRow) reduce.Event {
-	if effect.Bounded {
+	if effect.Budgeted {
 		return c.runner.cancels.write(ctx, c.row, c.body, effect)
 	}
 	event := c.runner.rows.Write(ctx, c.row, effect)
-	if _, ok := event.(policy.WriteWon); ok {
+	if _, ok := event.(policy.WriteSucceeded); ok {
 		logevent.Write(c.runner.node.Log(), logevent.AttemptMovedOn, logrus.Fields{"request": c.request.ID, "epoch": effect.Row.Epoch})
 	}
 	return event
@@ -148,7 +148,7 @@
 		return policy.Refused{Code: c.refused(err)}
 	}
 	c.detail = err.Detail
-	return policy.Silent{}
+	return policy.NoReply{}
 }
 
 // allowed counts the first attempt and takes each further one from the retry
@@ -183,9 +183,9 @@
 	switch {
 	case err != nil:
 		wait.For(ctx, askPause)
-		return policy.Asked{Progress: policy.Unreachable}
+		return policy.ProgressReported{Progress: policy.Unreachable}
 	case reply.Answer != nil:
 		return policy.Answered{Answer: *reply.Answer}
 	}
-	return policy.Asked{Progress: reply.Progress}
+	return policy.ProgressReported{Progress: reply.Progress}
 }
--- a/server/once/rows.go
+++ b/server/once/rows.go
@@ -132,9 +132,9 @@
 	})
 	switch {
 	case err == nil:
-		return once.WriteWon{}
+		return once.WriteSucceeded{}
 	case errors.Is(err, ports.ErrConflict):
-		return once.WriteLost{}
+		return once.WriteConflict{}
 	}
 	return once.WriteUnknown{}
 }
--- a/server/once/sweep_test.go
+++ b/server/once/sweep_test.go
@@ -31,7 +31,7 @@
 				row.Answer.Body = large
 			}
 			key := policy.RowKey("org", fmt.Sprint(number))
-			So(rows.Write(ctx, key, policy.WriteRow{Row: row}), ShouldHaveSameTypeAs, policy.WriteWon{})
+			So(rows.Write(ctx, key, policy.WriteRow{Row: row}), ShouldHaveSameTypeAs, policy.WriteSucceeded{})
 			read := rows.Read(ctx, key, policy.ReadRow{}).(policy.RowRead)
 			answer, err := rows.Load(ctx, read.Row.Answer)
 			So(err, ShouldBeNil)
@@ -75,7 +75,7 @@
 			listed, err := client.List(ctx, policy.RowPrefix, "", 1)
 			So(err, ShouldBeNil)
 			written := policy.WriteRow{Version: listed[0].Version, Row: policy.Row{State: policy.Cancelled, Epoch: 1}}
-			So(rows.Write(ctx, listed[0].Key, written), ShouldHaveSameTypeAs, policy.WriteWon{})
+			So(rows.Write(ctx, listed[0].Key, written), ShouldHaveSameTypeAs, policy.WriteSucceeded{})
 			So(sweeper.remove(ctx, listed, time.Now().Add(time.Hour)), ShouldNotBeNil)
 			So(rows.Read(ctx, listed[0].Key, policy.ReadRow{}).(policy.RowRead).Row.Epoch, ShouldEqual, 1)
 		})
