--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -275,9 +275,9 @@
 }
 
 func (x *explorer) call(w world, i int, feed func(string, world, reduce.Event)) {
-	if w.left.Unreached > 0 {
+	if w.left.BackendNotCalled > 0 {
 		next := w
-		next.left.Unreached--
+		next.left.BackendNotCalled--
 		feed("backend server unreached", next, BackendNotCalled{})
 	}
 	w.runs++
--- a/policy/once/interleaving_test.go
+++ b/policy/once/interleaving_test.go
@@ -11,9 +11,9 @@
 	{"two entries, lost answer", []string{"a", "a"}, true, budget{LostAnswer: 1, Refusal: 1}, 2, 0},
 	{"two entries, restarts", []string{"a", "a"}, true, budget{EntryCrash: 1, AgentCrash: 1, Timeout: 1}, 2, 0},
 	{"two entries, duplicates", []string{"a", "a"}, true, budget{Duplicate: 1, Timeout: 1}, 2, 0},
-	{"two entries, undone", []string{"a", "a"}, true, budget{LateStart: 1, Unreached: 1, Timeout: 1}, 2, 0},
+	{"two entries, undone", []string{"a", "a"}, true, budget{LateStart: 1, BackendNotCalled: 1, Timeout: 1}, 2, 0},
 	{"two entries, refusals", []string{"a", "a"}, true, budget{Timeout: 1, Refusal: 1}, 2, 0},
-	{"three requests, inactive start", []string{"a", "a", "a"}, true, budget{Unreached: 1, StoreDown: 1}, 2, 1},
+	{"three requests, inactive start", []string{"a", "a", "a"}, true, budget{BackendNotCalled: 1, StoreDown: 1}, 2, 1},
 	{"another body", []string{"a", "b"}, true, budget{Timeout: 1, Refusal: 1}, 2, 0},
 	{"generated key", []string{"a"}, false, budget{LateWrite: 1, StoreDown: 1, Timeout: 1, Refusal: 1}, 3, 0},
 }
@@ -22,13 +22,13 @@
 var fullSettings = []setting{
 	{"two entries, store faults", []string{"a", "a"}, true, budget{LostAnswer: 1, LateWrite: 1, Timeout: 1, Refusal: 1}, 3, 0},
 	{"two entries, restarts", []string{"a", "a"}, true, budget{EntryCrash: 1, AgentCrash: 1, Timeout: 1, StoreDown: 1, LateWrite: 1}, 3, 0},
-	{"two entries, duplicates", []string{"a", "a"}, true, budget{Duplicate: 1, Timeout: 1, Refusal: 1, Unreached: 1, LateWrite: 1}, 2, 0},
+	{"two entries, duplicates", []string{"a", "a"}, true, budget{Duplicate: 1, Timeout: 1, Refusal: 1, BackendNotCalled: 1, LateWrite: 1}, 2, 0},
 	{"two entries, late start", []string{"a", "a"}, true, budget{LateStart: 1, LateWrite: 1, Timeout: 1, Refusal: 1}, 3, 0},
 	{"three requests, one refused", []string{"a", "a", "a"}, true, budget{Timeout: 1}, 3, 1},
-	{"three requests, freed start", []string{"a", "a", "a"}, true, budget{Unreached: 1, StoreDown: 1}, 3, 1},
+	{"three requests, freed start", []string{"a", "a", "a"}, true, budget{BackendNotCalled: 1, StoreDown: 1}, 3, 1},
 	{"three requests, refusals", []string{"a", "a", "a"}, true, budget{Timeout: 1, Refusal: 2, LateWrite: 1}, 2, 0},
 	{"another body", []string{"a", "b"}, true, budget{Timeout: 1, LateWrite: 1, Refusal: 1}, 3, 0},
-	{"generated key", []string{"a"}, false, budget{LostAnswer: 1, LateWrite: 1, Timeout: 1, Refusal: 2, AgentCrash: 1, Unreached: 1}, 3, 0},
+	{"generated key", []string{"a"}, false, budget{LostAnswer: 1, LateWrite: 1, Timeout: 1, Refusal: 2, AgentCrash: 1, BackendNotCalled: 1}, 3, 0},
 }
 
 var full = flag.Bool("full", false, "enumerate the large settings too")
--- a/policy/once/world_test.go
+++ b/policy/once/world_test.go
@@ -16,7 +16,7 @@
 
 // budget bounds the faults of one enumeration; each is spent at any moment.
 type budget struct {
-	StoreDown, LostAnswer, LateWrite, Duplicate, Timeout, EntryCrash, AgentCrash, Refusal, Unreached, LateStart int
+	StoreDown, LostAnswer, LateWrite, Duplicate, Timeout, EntryCrash, AgentCrash, Refusal, BackendNotCalled, LateStart int
 }
 
 // setting is one enumeration.
