--- a/policy/config/diff.go
+++ b/policy/config/diff.go
@@ -29,12 +29,12 @@
 		if err != nil {
 			return nil, err
 		}
-		changes = append(changes, compare(file, oldFields, newFields)...)
+		changes = append(changes, compareFields(file, oldFields, newFields)...)
 	}
 	return changes, nil
 }
 
-func compare(file string, old, updated map[string]string) []Change {
+func compareFields(file string, old, updated map[string]string) []Change {
 	var changes []Change
 	for path, value := range old {
 		if updated[path] != value {
@@ -56,7 +56,7 @@
 	if len(text) == 0 {
 		return fields, nil
 	}
-	p := &parsed{}
+	p := &decodedFiles{}
 	target := p.target(file)
 	if err := jsonfile.Decode(file, text, target); err != nil {
 		return nil, err
@@ -69,19 +69,19 @@
 	if err := json.Unmarshal(standard, &value); err != nil {
 		return nil, fmt.Errorf("decode file %q: %w", file, err)
 	}
-	collect(fields, "", value)
+	flattenValue(fields, "", value)
 	return fields, nil
 }
 
-func collect(fields map[string]string, path string, value any) {
+func flattenValue(fields map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
 		for name, member := range value {
-			collect(fields, join(path, name), member)
+			flattenValue(fields, joinPath(path, name), member)
 		}
 	case []any:
 		for index, element := range value {
-			collect(fields, fmt.Sprintf("%s[%s]", path, elementName(index, element)), element)
+			flattenValue(fields, fmt.Sprintf("%s[%s]", path, elementName(index, element)), element)
 		}
 	case nil:
 	default:
@@ -90,7 +90,7 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/policy/config/parse.go
+++ b/policy/config/parse.go
@@ -27,8 +27,8 @@
 	Services []Service `json:"services"`
 }
 
-// parsed holds every decoded file with the documents for positions.
-type parsed struct {
+// decodedFiles holds every decoded file with the documents for positions.
+type decodedFiles struct {
 	documents      map[string]*jsonfile.Document
 	dataCentres    dataCentresFile
 	backendServers backendServersFile
@@ -36,7 +36,7 @@
 	work           workFile
 }
 
-func (p *parsed) target(file string) any {
+func (p *decodedFiles) target(file string) any {
 	switch file {
 	case FileDataCentres:
 		return &p.dataCentres
@@ -51,7 +51,7 @@
 }
 
 // KnownFile reports whether a configuration file has this name.
-func KnownFile(file string) bool { return new(parsed).target(file) != nil }
+func KnownFile(file string) bool { return new(decodedFiles).target(file) != nil }
 
 // Digest returns the hex SHA-256 of a file's text.
 func Digest(text []byte) string {
@@ -85,8 +85,8 @@
 	return snapshot, nil
 }
 
-func parse(files Files) (*parsed, jsonfile.Problems) {
-	p := &parsed{documents: map[string]*jsonfile.Document{}}
+func parse(files Files) (*decodedFiles, jsonfile.Problems) {
+	p := &decodedFiles{documents: map[string]*jsonfile.Document{}}
 	var problems jsonfile.Problems
 	for name := range files {
 		if !KnownFile(name) {
@@ -108,7 +108,7 @@
 	return p, problems
 }
 
-func (p *parsed) decode(name string, text []byte) jsonfile.Problems {
+func (p *decodedFiles) decode(name string, text []byte) jsonfile.Problems {
 	document, err := jsonfile.Parse(name, text)
 	if err == nil {
 		p.documents[name] = document
@@ -120,7 +120,7 @@
 	return err.(jsonfile.Problems)
 }
 
-func (p *parsed) snapshot() *Snapshot {
+func (p *decodedFiles) snapshot() *Snapshot {
 	snapshot := &Snapshot{
 		DataCentres:       make(map[string]DataCentre, len(p.dataCentres.DataCentres)),
 		BackendServers:    make(map[string]BackendServer, len(p.backendServers.BackendServers)),
--- a/policy/config/validate.go
+++ b/policy/config/validate.go
@@ -28,12 +28,12 @@
 
 // validator checks decoded files within and across each other.
 type validator struct {
-	*parsed
+	*decodedFiles
 	problems jsonfile.Problems
 }
 
-func (p *parsed) validate() jsonfile.Problems {
-	v := &validator{parsed: p}
+func (p *decodedFiles) validate() jsonfile.Problems {
+	v := &validator{decodedFiles: p}
 	v.validateDataCentres()
 	v.validateWork()
 	v.validateBackendServers()
@@ -42,8 +42,8 @@
 }
 
 // report adds a problem at the value that the JSON pointer names.
-func (v *validator) report(file, pointer, what, want string) {
-	v.problems = append(v.problems, v.documents[file].Problem(pointer, what, want))
+func (v *validator) report(file, pointer, message, hint string) {
+	v.problems = append(v.problems, v.documents[file].Problem(pointer, message, hint))
 }
 
 // name checks one name against the rule and those seen before.
@@ -57,13 +57,13 @@
 	seen[name] = true
 }
 
-// between checks a number against its bounds.
-func (v *validator) between(file, pointer string, value, low, high float64, unit string) {
-	if value >= low && value <= high {
+// checkRange checks a number against its bounds.
+func (v *validator) checkRange(file, pointer string, value, minimum, maximum float64, unit string) {
+	if value >= minimum && value <= maximum {
 		return
 	}
-	what := fmt.Sprintf("the value %s is out of bounds", decimal(value))
-	v.report(file, pointer, what, fmt.Sprintf("write %s to %s%s", decimal(low), decimal(high), unit))
+	message := fmt.Sprintf("the value %s is out of bounds", decimal(value))
+	v.report(file, pointer, message, fmt.Sprintf("write %s to %s%s", decimal(minimum), decimal(maximum), unit))
 }
 
 func decimal(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
@@ -97,12 +97,12 @@
 func (v *validator) validateAdapters(pointer string, model Model) {
 	seen := map[string]bool{}
 	for index, adapter := range model.Adapters {
-		at := fmt.Sprintf("%s/adapters/%d", pointer, index)
+		adapterPointer := fmt.Sprintf("%s/adapters/%d", pointer, index)
 		if !namePattern.MatchString(adapter) {
-			v.report(FileWork, at, fmt.Sprintf("model %q has an adapter named %q", model.Name, adapter), nameRule)
+			v.report(FileWork, adapterPointer, fmt.Sprintf("model %q has an adapter named %q", model.Name, adapter), nameRule)
 		}
 		if seen[adapter] {
-			v.report(FileWork, at, fmt.Sprintf("adapter %q is listed twice", adapter), "remove one of them")
+			v.report(FileWork, adapterPointer, fmt.Sprintf("adapter %q is listed twice", adapter), "remove one of them")
 		}
 		seen[adapter] = true
 	}
@@ -111,9 +111,9 @@
 func (v *validator) validateOperations(pointer string, service Service) {
 	seen := map[string]bool{}
 	for index, operation := range service.Operations {
-		at := fmt.Sprintf("%s/operations/%d", pointer, index)
-		v.name(FileWork, at, "operation", operation.Name, seen)
-		v.between(FileWork, at+"/timeout_ms", float64(operation.TimeoutMS), minTimeoutMS, maxTimeoutMS, " milliseconds")
+		operationPointer := fmt.Sprintf("%s/operations/%d", pointer, index)
+		v.name(FileWork, operationPointer, "operation", operation.Name, seen)
+		v.checkRange(FileWork, operationPointer+"/timeout_ms", float64(operation.TimeoutMS), minTimeoutMS, maxTimeoutMS, " milliseconds")
 	}
 }
 
@@ -127,21 +127,21 @@
 		if organisation.Weight <= 0 || organisation.Weight > maxWeight {
 			v.report(FileOrganisations, pointer+"/weight", fmt.Sprintf("organisation %q has the weight %v", organisation.Name, organisation.Weight), "write a number above 0, at most 1000000")
 		}
-		v.between(FileOrganisations, pointer+"/requests_per_second", organisation.RequestsPerSecond, 0, maxRequestRate, " requests a second")
-		v.between(FileOrganisations, pointer+"/concurrency", float64(organisation.Concurrency), 0, maxConcurrency, " requests at a time")
-		v.between(FileOrganisations, pointer+"/priority", float64(organisation.Priority), 0, maxPriority, ", 0 the highest")
+		v.checkRange(FileOrganisations, pointer+"/requests_per_second", organisation.RequestsPerSecond, 0, maxRequestRate, " requests a second")
+		v.checkRange(FileOrganisations, pointer+"/concurrency", float64(organisation.Concurrency), 0, maxConcurrency, " requests at a time")
+		v.checkRange(FileOrganisations, pointer+"/priority", float64(organisation.Priority), 0, maxPriority, ", 0 the highest")
 	}
 }
 
 func (v *validator) validateKeys(pointer string, organisation Organisation, owners map[string]string) {
 	for index, digest := range organisation.KeySHA256 {
-		at := fmt.Sprintf("%s/key_sha256/%d", pointer, index)
+		keyPointer := fmt.Sprintf("%s/key_sha256/%d", pointer, index)
 		if !digestPattern.MatchString(digest) {
-			v.report(FileOrganisations, at, fmt.Sprintf("organisation %q has a key digest of the wrong form", organisation.Name), "write the SHA-256 of the key as 64 lower-case hex digits")
+			v.report(FileOrganisations, keyPointer, fmt.Sprintf("organisation %q has a key digest of the wrong form", organisation.Name), "write the SHA-256 of the key as 64 lower-case hex digits")
 			continue
 		}
 		if owner, ok := owners[digest]; ok {
-			v.report(FileOrganisations, at, fmt.Sprintf("the key belongs to organisation %q already", owner), "give each organisation its own key")
+			v.report(FileOrganisations, keyPointer, fmt.Sprintf("the key belongs to organisation %q already", owner), "give each organisation its own key")
 		}
 		owners[digest] = organisation.Name
 	}
--- a/policy/config/validate_servers.go
+++ b/policy/config/validate_servers.go
@@ -2,30 +2,30 @@
 
 import "fmt"
 
-// slotKey names one rank of an expert-parallel group.
-type slotKey struct {
+// groupRank names one rank of an expert-parallel group.
+type groupRank struct {
 	group string
 	rank  int
 }
 
 func (v *validator) validateBackendServers() {
 	seen := map[string]bool{}
-	ranks := map[slotKey]string{}
-	dataCentres, models, services := v.names()
+	ranks := map[groupRank]string{}
+	dataCentres, models, services := v.referenceNames()
 	for index, server := range v.backendServers.BackendServers {
 		pointer := fmt.Sprintf("/backend_servers/%d", index)
 		v.name(FileBackendServers, pointer, "backend server", server.Name, seen)
-		v.validateWorkOf(pointer, server)
-		v.reference(pointer+"/data_centre", server.Name, "data centre", server.DataCentre, dataCentres, true)
-		v.reference(pointer+"/model", server.Name, "model", server.Model, models, false)
-		v.reference(pointer+"/service", server.Name, "service", server.Service, services, false)
+		v.validateWorkload(pointer, server)
+		v.checkReference(pointer+"/data_centre", server.Name, "data centre", server.DataCentre, dataCentres, true)
+		v.checkReference(pointer+"/model", server.Name, "model", server.Model, models, false)
+		v.checkReference(pointer+"/service", server.Name, "service", server.Service, services, false)
 		v.validateLimits(pointer, server)
 		v.validateRank(pointer, server, ranks)
 	}
 }
 
-// names returns what backend servers may refer to.
-func (v *validator) names() (dataCentres, models, services map[string]bool) {
+// referenceNames returns what backend servers may refer to.
+func (v *validator) referenceNames() (dataCentres, models, services map[string]bool) {
 	dataCentres, models, services = map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, dataCentre := range v.dataCentres.DataCentres {
 		dataCentres[dataCentre.Name] = true
@@ -39,30 +39,30 @@
 	return dataCentres, models, services
 }
 
-func (v *validator) validateWorkOf(pointer string, server BackendServer) {
+func (v *validator) validateWorkload(pointer string, server BackendServer) {
 	if (server.Model == "") == (server.Service == "") {
-		what := fmt.Sprintf("backend server %q carries model %q and service %q", server.Name, server.Model, server.Service)
-		v.report(FileBackendServers, pointer, what, "set exactly one of model and service")
+		message := fmt.Sprintf("backend server %q carries model %q and service %q", server.Name, server.Model, server.Service)
+		v.report(FileBackendServers, pointer, message, "set exactly one of model and service")
 	}
 }
 
-func (v *validator) reference(pointer, server, kind, name string, known map[string]bool, required bool) {
+func (v *validator) checkReference(pointer, server, kind, name string, known map[string]bool, required bool) {
 	if known[name] || (name == "" && !required) {
 		return
 	}
-	what := fmt.Sprintf("backend server %q names %s %q, which does not exist", server, kind, name)
-	v.report(FileBackendServers, pointer, what, fmt.Sprintf("name an existing %s, or add it in the same apply", kind))
+	message := fmt.Sprintf("backend server %q names %s %q, which does not exist", server, kind, name)
+	v.report(FileBackendServers, pointer, message, fmt.Sprintf("name an existing %s, or add it in the same apply", kind))
 }
 
 func (v *validator) validateLimits(pointer string, server BackendServer) {
-	v.between(FileBackendServers, pointer+"/full_limit", float64(server.FullLimit), 1, maxLimit, " requests at a time")
+	v.checkRange(FileBackendServers, pointer+"/full_limit", float64(server.FullLimit), 1, maxLimit, " requests at a time")
 	if server.FullLimit < 1 || server.FullLimit > maxLimit {
 		return
 	}
-	v.between(FileBackendServers, pointer+"/cold_limit", float64(server.ColdLimit), 1, float64(server.FullLimit), " requests at a time, at most full_limit")
+	v.checkRange(FileBackendServers, pointer+"/cold_limit", float64(server.ColdLimit), 1, float64(server.FullLimit), " requests at a time, at most full_limit")
 }
 
-func (v *validator) validateRank(pointer string, server BackendServer, ranks map[slotKey]string) {
+func (v *validator) validateRank(pointer string, server BackendServer, ranks map[groupRank]string) {
 	if server.Group == "" {
 		if server.Rank != 0 {
 			v.report(FileBackendServers, pointer+"/rank", fmt.Sprintf("backend server %q has a rank but no group", server.Name), "set group, or remove rank")
@@ -72,8 +72,8 @@
 	if server.Model == "" {
 		v.report(FileBackendServers, pointer+"/group", fmt.Sprintf("backend server %q is no model engine but has a group", server.Name), "remove group")
 	}
-	v.between(FileBackendServers, pointer+"/rank", float64(server.Rank), 0, maxRank, "")
-	key := slotKey{server.Group, server.Rank}
+	v.checkRange(FileBackendServers, pointer+"/rank", float64(server.Rank), 0, maxRank, "")
+	key := groupRank{server.Group, server.Rank}
 	if other, ok := ranks[key]; ok {
 		v.report(FileBackendServers, pointer+"/rank", fmt.Sprintf("backend server %q has rank %d of group %q already", other, server.Rank, server.Group), "give each its own rank")
 	}
--- a/policy/jsonfile/check.go
+++ b/policy/jsonfile/check.go
@@ -24,9 +24,9 @@
 	fields   map[reflect.Type]map[string]reflect.Type // By struct type.
 }
 
-func (c *checker) report(value *hujson.Value, what, want string) {
+func (c *checker) report(value *hujson.Value, message, hint string) {
 	if len(c.problems) < maxProblems {
-		c.problems = append(c.problems, c.document.problem(value.StartOffset, what, want))
+		c.problems = append(c.problems, c.document.problem(value.StartOffset, message, hint))
 	}
 }
 
@@ -81,7 +81,7 @@
 		seen[key] = true
 		field, ok := fields[key]
 		if !ok {
-			c.report(&member.Name, fmt.Sprintf("field %q is unknown", key), suggest(key, fields))
+			c.report(&member.Name, fmt.Sprintf("field %q is unknown", key), suggestField(key, fields))
 			continue
 		}
 		c.check(&member.Value, field, key)
@@ -130,7 +130,7 @@
 func (c *checker) checkScalar(value *hujson.Value, t reflect.Type, name string) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok {
-		c.reportKind(value, name, kindName(t, name))
+		c.reportKind(value, name, typeDescription(t, name))
 		return
 	}
 	kind := literal.Kind()
@@ -150,7 +150,7 @@
 		valid = err == nil
 	}
 	if !valid {
-		c.reportKind(value, name, kindName(t, name))
+		c.reportKind(value, name, typeDescription(t, name))
 	}
 }
 
@@ -159,15 +159,15 @@
 	return err == nil && !math.IsInf(number, 0)
 }
 
-func (c *checker) reportKind(value *hujson.Value, name, want string) {
+func (c *checker) reportKind(value *hujson.Value, name, expected string) {
 	if name == "" {
-		c.report(value, "the file holds the wrong kind of value", "write "+want)
+		c.report(value, "the file holds the wrong kind of value", "write "+expected)
 		return
 	}
-	c.report(value, fmt.Sprintf("field %q holds %s", name, describe(value)), "write "+want)
+	c.report(value, fmt.Sprintf("field %q holds %s", name, describeValue(value)), "write "+expected)
 }
 
-func describe(value *hujson.Value) string {
+func describeValue(value *hujson.Value) string {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok && value.Value.Kind() == '{' {
 		return "an object"
@@ -183,21 +183,21 @@
 	return text
 }
 
-// kindName describes the values of the type; the field's name tells the unit.
-func kindName(t reflect.Type, name string) string {
+// typeDescription describes the values of the type; the field's name tells the unit.
+func typeDescription(t reflect.Type, name string) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string in quotes"
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Float32, reflect.Float64:
-		return "a number" + unitOf(name)
+		return "a number" + unitSuffix(name)
 	default:
-		return "a whole number" + unitOf(name)
+		return "a whole number" + unitSuffix(name)
 	}
 }
 
-func unitOf(name string) string {
+func unitSuffix(name string) string {
 	switch {
 	case strings.HasSuffix(name, "_ms"):
 		return " of milliseconds, without its unit"
@@ -243,8 +243,8 @@
 	return fields
 }
 
-// suggest names the known fields, the most similar one first where one is.
-func suggest(key string, fields map[string]reflect.Type) string {
+// suggestField names the known fields, the most similar one first where one is.
+func suggestField(key string, fields map[string]reflect.Type) string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
 		names = append(names, name)
--- a/policy/jsonfile/jsonfile.go
+++ b/policy/jsonfile/jsonfile.go
@@ -33,15 +33,15 @@
 func Parse(name string, data []byte) (*Document, error) {
 	d := &Document{name: name, text: data}
 	if len(data) > MaxBytes {
-		what := fmt.Sprintf("the file has %d bytes", len(data))
-		return nil, Problems{{File: name, Message: what, Hint: fmt.Sprintf("at most %d bytes are accepted", MaxBytes)}}
+		message := fmt.Sprintf("the file has %d bytes", len(data))
+		return nil, Problems{{File: name, Message: message, Hint: fmt.Sprintf("at most %d bytes are accepted", MaxBytes)}}
 	}
-	if offset := invalidUTF8(data); offset >= 0 {
+	if offset := invalidUTF8Offset(data); offset >= 0 {
 		return nil, Problems{d.problem(offset, "the text is not valid UTF-8", "save the file as UTF-8")}
 	}
-	if offset := tooDeep(data); offset >= 0 {
-		what := fmt.Sprintf("values are nested more than %d deep", MaxDepth)
-		return nil, Problems{d.problem(offset, what, "no configuration file needs such depth")}
+	if offset := excessDepthOffset(data); offset >= 0 {
+		message := fmt.Sprintf("values are nested more than %d deep", MaxDepth)
+		return nil, Problems{d.problem(offset, message, "no configuration file needs such depth")}
 	}
 	// Decode changes the tree and the bytes that it refers to.
 	root, err := hujson.Parse(bytes.Clone(data))
@@ -84,24 +84,24 @@
 
 // Problem returns a problem at the value that pointer, a JSON pointer, names;
 // where it does not exist, at its nearest existing parent.
-func (d *Document) Problem(pointer, what, want string) Problem {
+func (d *Document) Problem(pointer, message, hint string) Problem {
 	for {
 		if value := d.root.Find(pointer); value != nil {
-			return d.problem(value.StartOffset, what, want)
+			return d.problem(value.StartOffset, message, hint)
 		}
 		cut := strings.LastIndexByte(pointer, '/')
 		if cut < 0 {
-			return d.problem(0, what, want)
+			return d.problem(0, message, hint)
 		}
 		pointer = pointer[:cut]
 	}
 }
 
-func (d *Document) problem(offset int, what, want string) Problem {
+func (d *Document) problem(offset int, message, hint string) Problem {
 	before := d.text[:min(offset, len(d.text))]
 	lineStart := bytes.LastIndexByte(before, '\n') + 1
 	return Problem{
-		File: d.name, Message: what, Hint: want,
+		File: d.name, Message: message, Hint: hint,
 		Line:   1 + bytes.Count(before, []byte("\n")),
 		Column: 1 + utf8.RuneCount(before[lineStart:]),
 	}
@@ -114,15 +114,15 @@
 		_, text, _ = strings.Cut(text, ": ")
 		_, text, _ = strings.Cut(text, ": ")
 	}
-	want := "write JSON; comments and trailing commas are allowed"
+	hint := "write JSON; comments and trailing commas are allowed"
 	if strings.Contains(text, "EOF") {
-		want = "the file seems truncated: close every string, object and array"
+		hint = "the file seems truncated: close every string, object and array"
 	}
-	return Problem{File: d.name, Line: line, Column: column, Message: text, Hint: want}
+	return Problem{File: d.name, Line: line, Column: column, Message: text, Hint: hint}
 }
 
-// invalidUTF8 returns the offset of the first invalid byte, or -1.
-func invalidUTF8(data []byte) int {
+// invalidUTF8Offset returns the offset of the first invalid byte, or -1.
+func invalidUTF8Offset(data []byte) int {
 	if utf8.Valid(data) {
 		return -1
 	}
@@ -136,9 +136,9 @@
 	return -1
 }
 
-// tooDeep returns the offset of the first bracket nested deeper than MaxDepth,
+// excessDepthOffset returns the offset of the first bracket nested deeper than MaxDepth,
 // or -1. Brackets in strings and comments don't count.
-func tooDeep(data []byte) int {
+func excessDepthOffset(data []byte) int {
 	depth := 0
 	for offset := 0; offset < len(data); offset++ {
 		switch data[offset] {
--- a/policy/once/agent.go
+++ b/policy/once/agent.go
@@ -5,9 +5,9 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// maxSettle is the number of reads and cancellations by which an agent tries to
+// maxResolveAttempts is the number of reads and cancellations by which an agent tries to
 // learn what became of its write before it gives the execution up.
-const maxSettle = 4
+const maxResolveAttempts = 4
 
 // phase is where an agent's execution stands.
 type phase uint8
@@ -15,25 +15,25 @@
 const (
 	reading    phase = iota // Learns the version of a cancelled row.
 	starting                // The write of the started row is under way.
-	settling                // Learns what became of that write.
+	resolving               // Learns what became of that write.
 	cancelling              // Shuts the write out if it has not landed.
 	calling                 // The backend server works.
-	undoing                 // Frees the row: the work will not run.
+	releasing               // Frees the row: the work will not run.
 	storing                 // Writes the answer.
-	over
+	finished
 )
 
 // Agent carries one execution of a key's work at an agent. It is a value; Step
 // returns the next one. Once Step has returned Finish or Refuse, the execution
 // is inactive for good.
 type Agent struct {
-	phase       phase
-	epoch       uint64
-	execution   Execution
-	fingerprint string
-	settles     int
-	answer      Answer
-	refusal     result.Code
+	phase           phase
+	epoch           uint64
+	execution       Execution
+	fingerprint     string
+	resolveAttempts int
+	answer          Answer
+	refusal         result.Code
 }
 
 // NewAgent begins an execution of the epoch for admitted work.
@@ -55,21 +55,21 @@
 		return a.stepReading(event)
 	case starting:
 		return a.stepStarting(event)
-	case settling:
-		return a.stepSettling(event)
+	case resolving:
+		return a.stepResolving(event)
 	case cancelling:
 		return a.stepCancelling(event)
 	case calling:
 		return a.stepCalling(event)
-	case undoing:
-		return a.stepUndoing(event)
+	case releasing:
+		return a.stepReleasing(event)
 	default:
 		return a.stepStoring(event)
 	}
 }
 
 func (a Agent) refuse(code result.Code) (Agent, reduce.Effect) {
-	a.phase = over
+	a.phase = finished
 	return a, Refuse{Code: code}
 }
 
@@ -78,7 +78,7 @@
 	if !ok {
 		return a.refuse(result.StoreUnavailable)
 	}
-	if !read.Row.Startable(a.epoch) || read.Row.foreign(a.fingerprint) {
+	if !read.Row.Startable(a.epoch) || read.Row.belongsToOther(a.fingerprint) {
 		return a.refuse(result.Superseded)
 	}
 	return a.write(read.Row, read.Version)
@@ -93,7 +93,7 @@
 	if won, ok := event.(WriteSucceeded); ok {
 		return a.started(won.Late)
 	}
-	return a.settle()
+	return a.resolveWrite()
 }
 
 // started calls the backend server, unless nobody waits for the answer any
@@ -101,37 +101,37 @@
 func (a Agent) started(late bool) (Agent, reduce.Effect) {
 	if late {
 		a.refusal = result.Cancelled
-		return a.undo()
+		return a.release()
 	}
 	a.phase = calling
 	return a, CallBackend{}
 }
 
-func (a Agent) undo() (Agent, reduce.Effect) {
-	a.phase = undoing
+func (a Agent) release() (Agent, reduce.Effect) {
+	a.phase = releasing
 	return a, ReadRow{}
 }
 
-// settle learns what became of the write. Where the store doesn't tell in
+// resolveWrite learns what became of the write. Where the store doesn't tell in
 // time, the execution is given up: the write may still land, but the work won't
 // run.
-func (a Agent) settle() (Agent, reduce.Effect) {
-	a.phase = settling
-	a.settles++
-	if a.settles > maxSettle {
+func (a Agent) resolveWrite() (Agent, reduce.Effect) {
+	a.phase = resolving
+	a.resolveAttempts++
+	if a.resolveAttempts > maxResolveAttempts {
 		return a.refuse(result.StoreUnavailable)
 	}
-	return a, ReadRow{Delayed: a.settles > 1}
+	return a, ReadRow{Delayed: a.resolveAttempts > 1}
 }
 
-func (a Agent) stepSettling(event reduce.Event) (Agent, reduce.Effect) {
+func (a Agent) stepResolving(event reduce.Event) (Agent, reduce.Effect) {
 	read, ok := event.(RowRead)
 	switch {
 	case !ok:
-		return a.settle()
+		return a.resolveWrite()
 	case read.Row.heldBy(a.execution):
 		return a.started(read.Late)
-	case read.Row.Startable(a.epoch) && !read.Row.foreign(a.fingerprint):
+	case read.Row.Startable(a.epoch) && !read.Row.belongsToOther(a.fingerprint):
 		a.phase = cancelling
 		return a, WriteRow{Version: read.Version, Row: read.Row.cancel(a.fingerprint, false)}
 	}
@@ -142,22 +142,22 @@
 	if _, ok := event.(WriteSucceeded); ok {
 		return a.refuse(result.StoreUnavailable)
 	}
-	return a.settle()
+	return a.resolveWrite()
 }
 
 func (a Agent) stepCalling(event reduce.Event) (Agent, reduce.Effect) {
 	answered, ok := event.(Answered)
 	if !ok {
 		a.refusal = result.NoBackendServer
-		return a.undo()
+		return a.release()
 	}
 	a.answer = answered.Answer
 	return a.store(false)
 }
 
-// stepUndoing frees the row if that takes no more than one try: the execution
+// stepReleasing frees the row if that takes no more than one try: the execution
 // is inactive anyhow, which this agent tells whoever asks.
-func (a Agent) stepUndoing(event reduce.Event) (Agent, reduce.Effect) {
+func (a Agent) stepReleasing(event reduce.Event) (Agent, reduce.Effect) {
 	read, ok := event.(RowRead)
 	if !ok || !read.Row.heldBy(a.execution) {
 		return a.refuse(a.refusal)
@@ -185,6 +185,6 @@
 }
 
 func (a Agent) finish() (Agent, reduce.Effect) {
-	a.phase = over
+	a.phase = finished
 	return a, Finish{Answer: a.answer}
 }
--- a/policy/once/entry.go
+++ b/policy/once/entry.go
@@ -7,7 +7,7 @@
 
 const (
 	maxAttempts    = 3
-	maxRounds      = 6 // Reads of the row to settle one request.
+	maxReads       = 6 // Reads of the row to settle one request.
 	maxUnreachable = 5 // Unanswered questions about one execution.
 )
 
@@ -15,35 +15,35 @@
 type intent uint8
 
 const (
-	begin    intent = iota // Take the request in.
-	proceed                // Move on from an attempt that failed.
-	conclude               // End the request without a run.
+	admit   intent = iota // Take the request in.
+	retry                 // Move on from an attempt that failed.
+	abandon               // End the request without a run.
 )
 
 // Entry carries one request of a key at an entry instance. It is a value; Step
 // returns the next one.
 type Entry struct {
-	given       bool // The caller chose the key, so others may use it too.
-	fingerprint string
-	intent      intent
-	arrival     uint64 // Epoch at which the request was taken in.
-	epoch       uint64 // Epoch of the latest attempt.
-	attempts    int
-	rounds      int
-	unreachable int
-	pending     bool // An attempt of the epoch may be under way.
-	writing     Row  // Cancelled row that is being written.
-	asking      Execution
-	inactive    Execution
-	forgotten   Execution
-	refusal     result.Code // Why the latest attempt did not run.
+	callerKey      bool // The caller chose the key, so others may use it too.
+	fingerprint    string
+	intent         intent
+	admittedEpoch  uint64 // Epoch at which the request was taken in.
+	epoch          uint64 // Epoch of the latest attempt.
+	attempts       int
+	reads          int
+	unreachable    int
+	inFlight       bool // An attempt of the epoch may be under way.
+	writing        Row  // Cancelled row that is being written.
+	queried        Execution
+	knownInactive  Execution
+	agentRestarted Execution
+	refusal        result.Code // Why the latest attempt did not run.
 }
 
 // NewEntry takes a request in. given tells that the caller chose the key; a
 // generated key is known to no one else, so that its row is not read.
-func NewEntry(given bool, fingerprint string) (Entry, reduce.Effect) {
-	e := Entry{given: given, fingerprint: fingerprint, refusal: result.Cancelled}
-	if given {
+func NewEntry(callerKey bool, fingerprint string) (Entry, reduce.Effect) {
+	e := Entry{callerKey: callerKey, fingerprint: fingerprint, refusal: result.Cancelled}
+	if callerKey {
 		return e.read()
 	}
 	return e.send(0)
@@ -64,10 +64,10 @@
 		}
 		return e.giveUp()
 	case Superseded:
-		e.intent = proceed
+		e.intent = retry
 		return e.read()
 	case NoReply:
-		e.pending = true
+		e.inFlight = true
 		e.intent = e.next()
 		return e.read()
 	case WriteSucceeded:
@@ -75,33 +75,33 @@
 	case WriteConflict, WriteUnknown:
 		return e.read()
 	case ProgressReported:
-		return e.asked(event.Progress)
+		return e.progressReported(event.Progress)
 	case Expired:
-		e.pending = e.pending || e.attempts > 0
+		e.inFlight = e.inFlight || e.attempts > 0
 	}
-	return e.unknown() // ReadFailed, WriteSkipped, Expired.
+	return e.endUnknown() // ReadFailed, WriteSkipped, Expired.
 }
 
 // next returns what to do once no attempt is under way.
 func (e Entry) next() intent {
 	if e.attempts < maxAttempts {
-		return proceed
+		return retry
 	}
-	return conclude
+	return abandon
 }
 
 func (e Entry) send(epoch uint64) (Entry, reduce.Effect) {
 	e.epoch = epoch
-	e.pending = false
-	e.intent = proceed
+	e.inFlight = false
+	e.intent = retry
 	e.attempts++
 	return e, SendAttempt{Epoch: epoch}
 }
 
 func (e Entry) read() (Entry, reduce.Effect) {
-	e.rounds++
-	if e.rounds > maxRounds {
-		return e.unknown()
+	e.reads++
+	if e.reads > maxReads {
+		return e.endUnknown()
 	}
 	return e, ReadRow{}
 }
@@ -119,16 +119,16 @@
 // others may use the key, the promise that the work was not run needs a final
 // cancellation.
 func (e Entry) giveUp() (Entry, reduce.Effect) {
-	if !e.given {
+	if !e.callerKey {
 		return e, Refuse{Code: e.refusal, NotRunBefore: MaxEpoch}
 	}
-	e.intent = conclude
+	e.intent = abandon
 	return e.read()
 }
 
-// unknown ends the request without a promise.
-func (e Entry) unknown() (Entry, reduce.Effect) {
-	if e.pending {
+// endUnknown ends the request without a promise.
+func (e Entry) endUnknown() (Entry, reduce.Effect) {
+	if e.inFlight {
 		return e, Refuse{Code: result.OutcomeUnknown}
 	}
 	return e, Refuse{Code: result.KeyStateUnknown}
@@ -136,12 +136,12 @@
 
 func (e Entry) resolve(row Row, version uint64) (Entry, reduce.Effect) {
 	switch {
-	case row.foreign(e.fingerprint):
+	case row.belongsToOther(e.fingerprint):
 		return e, Refuse{Code: result.KeyReused}
 	case row.State == Done:
 		return e, Finish{Answer: row.Answer}
-	case e.intent == begin:
-		e.arrival = row.Epoch
+	case e.intent == admit:
+		e.admittedEpoch = row.Epoch
 	}
 	if row.State == Started {
 		return e.resolveStarted(row, version)
@@ -150,78 +150,78 @@
 }
 
 func (e Entry) resolveStarted(row Row, version uint64) (Entry, reduce.Effect) {
-	e.pending = true
+	e.inFlight = true
 	switch row.Execution {
-	case e.forgotten:
+	case e.agentRestarted:
 		return e, Refuse{Code: result.OutcomeUnknown}
-	case e.inactive:
+	case e.knownInactive:
 		return e.cancel(row, version)
 	}
-	e.asking = row.Execution
+	e.queried = row.Execution
 	return e, QueryProgress{Execution: row.Execution}
 }
 
 func (e Entry) resolveOpen(row Row, version uint64) (Entry, reduce.Effect) {
 	switch {
-	case row.Ended > e.arrival && row.ended():
+	case row.Ended > e.admittedEpoch && row.finallyCancelled():
 		return e, Refuse{Code: e.refusal, NotRunBefore: row.Ended}
-	case row.Ended > e.arrival:
-		e.pending = false
-		return e.unknown()
-	case e.intent == begin:
+	case row.Ended > e.admittedEpoch:
+		e.inFlight = false
+		return e.endUnknown()
+	case e.intent == admit:
 		return e.send(row.Epoch)
-	case e.intent == proceed && !e.attemptPending(row):
+	case e.intent == retry && !e.attemptInFlight(row):
 		return e.sendOrGiveUp(row, version)
 	}
 	return e.cancel(row, version)
 }
 
-// attemptPending reports whether an attempt of this entry may still start from
+// attemptInFlight reports whether an attempt of this entry may still start from
 // the row.
-func (e Entry) attemptPending(row Row) bool {
-	return e.pending && row.Epoch == e.epoch
+func (e Entry) attemptInFlight(row Row) bool {
+	return e.inFlight && row.Epoch == e.epoch
 }
 
 func (e Entry) sendOrGiveUp(row Row, version uint64) (Entry, reduce.Effect) {
 	if e.attempts < maxAttempts {
 		return e.send(row.Epoch)
 	}
-	e.intent = conclude
+	e.intent = abandon
 	return e.cancel(row, version)
 }
 
 // cancel moves the row to the next epoch: finally where the request ends here.
 func (e Entry) cancel(row Row, version uint64) (Entry, reduce.Effect) {
-	if row.Ended > e.arrival {
-		return e.unknown()
+	if row.Ended > e.admittedEpoch {
+		return e.endUnknown()
 	}
-	final := e.next() == conclude || e.intent == conclude
+	final := e.next() == abandon || e.intent == abandon
 	e.writing = row.cancel(e.fingerprint, final)
 	return e, WriteRow{Version: version, Row: e.writing, Budgeted: final}
 }
 
 func (e Entry) cancelled() (Entry, reduce.Effect) {
-	if e.writing.ended() {
+	if e.writing.finallyCancelled() {
 		return e, Refuse{Code: e.refusal, NotRunBefore: e.writing.Ended}
 	}
 	return e.send(e.writing.Epoch)
 }
 
-// asked goes on with what the agent of a started execution tells.
-func (e Entry) asked(progress Progress) (Entry, reduce.Effect) {
+// progressReported goes on with what the agent of a started execution tells.
+func (e Entry) progressReported(progress Progress) (Entry, reduce.Effect) {
 	switch progress {
 	case Running:
-		return e, QueryProgress{Execution: e.asking}
+		return e, QueryProgress{Execution: e.queried}
 	case Inactive:
-		e.inactive = e.asking
+		e.knownInactive = e.queried
 		return e.read()
 	case AgentRestarted:
-		e.forgotten = e.asking
+		e.agentRestarted = e.queried
 		return e.read()
 	}
 	e.unreachable++
 	if e.unreachable >= maxUnreachable {
-		return e.unknown()
+		return e.endUnknown()
 	}
 	return e, ReadRow{Delayed: true}
 }
--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -12,25 +12,25 @@
 
 // explorer visits every reachable world once.
 type explorer struct {
-	t       testing.TB
-	setting setting
-	seed    [2]maphash.Seed
-	visited map[[2]uint64]struct{}
-	trace   []string
-	failed  bool
-	ends    map[string]int
+	t        testing.TB
+	scenario scenario
+	seed     [2]maphash.Seed
+	visited  map[[2]uint64]struct{}
+	trace    []string
+	failed   bool
+	outcomes map[string]int
 }
 
-func explore(t testing.TB, s setting) *explorer {
+func explore(t testing.TB, s scenario) *explorer {
 	x := &explorer{
-		t: t, setting: s, visited: map[[2]uint64]struct{}{}, ends: map[string]int{},
+		t: t, scenario: s, visited: map[[2]uint64]struct{}{}, outcomes: map[string]int{},
 		seed: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()},
 	}
-	x.visit("", world{left: s.faults})
+	x.visit("", modelState{faultsLeft: s.faults})
 	return x
 }
 
-func (x *explorer) visit(step string, w world) {
+func (x *explorer) visit(step string, w modelState) {
 	if x.failed {
 		return
 	}
@@ -41,8 +41,8 @@
 	x.visited[key] = struct{}{}
 	x.trace = append(x.trace, step)
 	defer func() { x.trace = x.trace[:len(x.trace)-1] }()
-	if problem := w.problem(); problem != "" {
-		x.fail(problem)
+	if violation := w.violation(); violation != "" {
+		x.reportViolation(violation)
 		return
 	}
 	x.stepRequests(w)
@@ -51,48 +51,48 @@
 	x.stepFaults(w)
 }
 
-func (x *explorer) fail(problem string) {
+func (x *explorer) reportViolation(violation string) {
 	x.failed = true
-	x.t.Errorf("%s: %s after%s", x.setting.name, problem, strings.Join(x.trace, "\n  "))
+	x.t.Errorf("%s: %s after%s", x.scenario.name, violation, strings.Join(x.trace, "\n  "))
 }
 
-func (x *explorer) stepRequests(w world) {
-	for i := range x.setting.bodies {
+func (x *explorer) stepRequests(w modelState) {
+	for i := range x.scenario.bodies {
 		r := w.requests[i]
 		name := fmt.Sprintf("request %d: ", i)
 		switch {
 		case !r.arrived:
-			if i > 0 && !w.requests[i-1].arrived && x.setting.bodies[i] == x.setting.bodies[i-1] {
+			if i > 0 && !w.requests[i-1].arrived && x.scenario.bodies[i] == x.scenario.bodies[i-1] {
 				continue // Equal requests are interchangeable.
 			}
 			next := w
 			request := &next.requests[i]
 			request.arrived = true
-			request.machine, request.effect = NewEntry(x.setting.given, x.setting.bodies[i])
+			request.machine, request.effect = NewEntry(x.scenario.given, x.scenario.bodies[i])
 			x.visit(name+"arrives", next)
-		case !r.over && r.awaiting > 0:
-			if w.left.Timeout > 0 {
+		case !r.finished && r.awaiting > 0:
+			if w.faultsLeft.Timeout > 0 {
 				next := w
-				next.left.Timeout--
+				next.faultsLeft.Timeout--
 				x.feedRequest(name+"silent", next, i, NoReply{})
 				x.feedRequest(name+"expires", next, i, Expired{})
 			}
-		case !r.over:
+		case !r.finished:
 			x.stepRequest(name, w, i)
 		}
 	}
 }
 
-func (x *explorer) stepRequest(name string, w world, i int) {
-	feed := func(step string, next world, event reduce.Event) { x.feedRequest(name+step, next, i, event) }
+func (x *explorer) stepRequest(name string, w modelState, i int) {
+	feed := func(step string, next modelState, event reduce.Event) { x.feedRequest(name+step, next, i, event) }
 	switch effect := w.requests[i].effect.(type) {
 	case ReadRow:
 		x.read(w, feed)
 	case WriteRow:
 		x.write(w, effect, feed)
-		if effect.Budgeted && w.left.StoreDown > 0 {
+		if effect.Budgeted && w.faultsLeft.StoreDown > 0 {
 			next := w
-			next.left.StoreDown--
+			next.faultsLeft.StoreDown--
 			feed("write skipped", next, WriteSkipped{})
 		}
 	case SendAttempt:
@@ -102,29 +102,29 @@
 	}
 }
 
-func (x *explorer) read(w world, feed func(string, world, reduce.Event)) {
+func (x *explorer) read(w modelState, feed func(string, modelState, reduce.Event)) {
 	feed("reads", w, RowRead{Row: w.row, Version: w.version})
-	if w.left.StoreDown > 0 {
+	if w.faultsLeft.StoreDown > 0 {
 		next := w
-		next.left.StoreDown--
+		next.faultsLeft.StoreDown--
 		feed("read fails", next, ReadFailed{})
 	}
 }
 
-func (x *explorer) write(w world, write WriteRow, feed func(string, world, reduce.Event)) {
+func (x *explorer) write(w modelState, write WriteRow, feed func(string, modelState, reduce.Event)) {
 	next, won := w.apply(write)
 	if !won {
 		feed("write conflicts", w, WriteConflict{})
 	} else {
 		feed("writes "+string(write.Row.State), next, WriteSucceeded{})
 	}
-	if w.left.LostAnswer > 0 {
-		next.left.LostAnswer--
+	if w.faultsLeft.LostAnswer > 0 {
+		next.faultsLeft.LostAnswer--
 		feed("writes "+string(write.Row.State)+", answer lost", next, WriteUnknown{})
 	}
-	if w.left.LateWrite > 0 {
+	if w.faultsLeft.LateWrite > 0 {
 		next := w
-		next.left.LateWrite--
+		next.faultsLeft.LateWrite--
 		for i := range next.late {
 			if !next.late[i].used {
 				next.late[i] = lateWrite{used: true, write: write}
@@ -135,21 +135,21 @@
 	}
 }
 
-func (x *explorer) send(name string, w world, i int, effect SendAttempt) {
-	if i < x.setting.refused {
+func (x *explorer) send(name string, w modelState, i int, effect SendAttempt) {
+	if i < x.scenario.refused {
 		x.feedRequest(name+"no target", w, i, NoTarget{Code: result.Overloaded})
 		return
 	}
-	if w.left.Refusal > 0 {
+	if w.faultsLeft.Refusal > 0 {
 		next := w
-		next.left.Refusal--
+		next.faultsLeft.Refusal--
 		x.feedRequest(name+"no target", next, i, NoTarget{Code: result.Overloaded})
 	}
 	number := 0
-	for number < x.setting.attempts && w.sent[number].used {
+	for number < x.scenario.attempts && w.sent[number].used {
 		number++
 	}
-	if number == x.setting.attempts {
+	if number == x.scenario.attempts {
 		return
 	}
 	for agent := range uint8(agents) {
@@ -159,42 +159,42 @@
 		next := w
 		next.sent[number] = sentMessage{
 			used: true, request: uint8(i), agent: agent,
-			epoch: effect.Epoch, arrival: w.requests[i].machine.arrival,
+			epoch: effect.Epoch, admittedEpoch: w.requests[i].machine.admittedEpoch,
 		}
 		next.requests[i].awaiting = uint8(number + 1)
 		x.visit(fmt.Sprintf("%ssends message %d of epoch %d to agent %d", name, number, effect.Epoch, agent), next)
 	}
 }
 
-func (x *explorer) ask(w world, effect QueryProgress, feed func(string, world, reduce.Event)) {
+func (x *explorer) ask(w modelState, effect QueryProgress, feed func(string, modelState, reduce.Event)) {
 	feed("asks", w, ProgressReported{Progress: w.progress(effect.Execution)})
-	if w.left.Timeout > 0 {
+	if w.faultsLeft.Timeout > 0 {
 		next := w
-		next.left.Timeout--
+		next.faultsLeft.Timeout--
 		feed("asks in vain", next, ProgressReported{Progress: Unreachable})
 	}
 }
 
-func (x *explorer) feedRequest(step string, w world, i int, event reduce.Event) {
+func (x *explorer) feedRequest(step string, w modelState, i int, event reduce.Event) {
 	r := &w.requests[i]
 	r.awaiting = 0
 	r.machine, r.effect = r.machine.Step(event)
 	switch effect := r.effect.(type) {
 	case Finish:
-		x.ends["answered"]++
+		x.outcomes["answered"]++
 		if w.runs != 1 || effect.Answer.Body != w.runNonce {
 			x.trace = append(x.trace, step)
-			x.fail(fmt.Sprintf("answer %q is not that of the run %q", effect.Answer.Body, w.runNonce))
+			x.reportViolation(fmt.Sprintf("answer %q is not that of the run %q", effect.Answer.Body, w.runNonce))
 			return
 		}
-		if x.setting.bodies[w.runRequest] != x.setting.bodies[i] {
+		if x.scenario.bodies[w.runRequest] != x.scenario.bodies[i] {
 			x.trace = append(x.trace, step)
-			x.fail("the answer belongs to another body")
+			x.reportViolation("the answer belongs to another body")
 			return
 		}
 		w.end(r)
 	case Refuse:
-		x.ends[effect.Code.String()]++
+		x.outcomes[effect.Code.String()]++
 		w.notRun = max(w.notRun, effect.NotRunBefore)
 		w.notRunBy[i] = effect.NotRunBefore > 0 || effect.Code == result.KeyStateUnknown
 		w.end(r)
@@ -202,26 +202,26 @@
 	x.visit(step, w)
 }
 
-func (x *explorer) stepMessages(w world) {
+func (x *explorer) stepMessages(w modelState) {
 	for number, message := range w.sent {
-		if !message.used || (message.delivered && w.left.Duplicate == 0) {
+		if !message.used || (message.delivered && w.faultsLeft.Duplicate == 0) {
 			continue
 		}
 		next := w
 		if message.delivered {
-			next.left.Duplicate--
+			next.faultsLeft.Duplicate--
 		}
 		next.sent[number].delivered = true
 		name := fmt.Sprintf("message %d arrives", number)
 		x.admit(name, next, number)
-		if next.left.Refusal > 0 {
-			next.left.Refusal--
+		if next.faultsLeft.Refusal > 0 {
+			next.faultsLeft.Refusal--
 			x.reply(name+" and is refused", next, number, Refused{Code: result.Overloaded})
 		}
 	}
 }
 
-func (x *explorer) admit(step string, w world, number int) {
+func (x *explorer) admit(step string, w modelState, number int) {
 	message := w.sent[number]
 	for i := range w.execs {
 		if w.execs[i].used {
@@ -232,7 +232,7 @@
 		}
 		exec := &w.execs[i]
 		exec.used, exec.active, exec.message = true, true, uint8(number)
-		body := x.setting.bodies[message.request]
+		body := x.scenario.bodies[message.request]
 		exec.machine, exec.effect = NewAgent(message.epoch, body, execution)
 		x.visit(fmt.Sprintf("%s: execution %d", step, i), w)
 		return
@@ -240,16 +240,16 @@
 }
 
 // reply feeds the event to the request if it still awaits the message's reply.
-func (x *explorer) reply(step string, w world, number int, event reduce.Event) {
+func (x *explorer) reply(step string, w modelState, number int, event reduce.Event) {
 	i := int(w.sent[number].request)
-	if w.requests[i].over || w.requests[i].awaiting != uint8(number+1) {
+	if w.requests[i].finished || w.requests[i].awaiting != uint8(number+1) {
 		x.visit(step, w)
 		return
 	}
 	x.feedRequest(step, w, i, event)
 }
 
-func (x *explorer) stepExecs(w world) {
+func (x *explorer) stepExecs(w modelState) {
 	for i, exec := range w.execs {
 		if exec.active {
 			x.stepExec(w, i)
@@ -257,16 +257,16 @@
 	}
 }
 
-func (x *explorer) stepExec(w world, i int) {
+func (x *explorer) stepExec(w modelState, i int) {
 	name := fmt.Sprintf("execution %d: ", i)
-	feed := func(step string, next world, event reduce.Event) { x.feedExec(name+step, next, i, event) }
+	feed := func(step string, next modelState, event reduce.Event) { x.feedExec(name+step, next, i, event) }
 	switch effect := w.execs[i].effect.(type) {
 	case ReadRow:
 		x.read(w, feed)
 	case WriteRow:
 		x.write(w, effect, feed)
-		if next, won := w.apply(effect); won && next.left.LateStart > 0 && effect.Row.State == Started {
-			next.left.LateStart--
+		if next, won := w.apply(effect); won && next.faultsLeft.LateStart > 0 && effect.Row.State == Started {
+			next.faultsLeft.LateStart--
 			feed("starts too late", next, WriteSucceeded{Late: true})
 		}
 	case CallBackend:
@@ -274,20 +274,20 @@
 	}
 }
 
-func (x *explorer) call(w world, i int, feed func(string, world, reduce.Event)) {
-	if w.left.BackendNotCalled > 0 {
+func (x *explorer) call(w modelState, i int, feed func(string, modelState, reduce.Event)) {
+	if w.faultsLeft.BackendNotCalled > 0 {
 		next := w
-		next.left.BackendNotCalled--
+		next.faultsLeft.BackendNotCalled--
 		feed("backend server unreached", next, BackendNotCalled{})
 	}
 	w.runs++
-	w.runArrival = w.sent[w.execs[i].message].arrival
+	w.runAdmittedEpoch = w.sent[w.execs[i].message].admittedEpoch
 	w.runRequest = w.sent[w.execs[i].message].request
 	w.runNonce = w.execs[i].machine.execution.Nonce
 	feed("runs", w, Answered{Answer: Answer{Body: w.runNonce}})
 }
 
-func (x *explorer) feedExec(step string, w world, i int, event reduce.Event) {
+func (x *explorer) feedExec(step string, w modelState, i int, event reduce.Event) {
 	exec := &w.execs[i]
 	exec.machine, exec.effect = exec.machine.Step(event)
 	switch effect := exec.effect.(type) {
@@ -306,7 +306,7 @@
 	}
 }
 
-func (x *explorer) stepFaults(w world) {
+func (x *explorer) stepFaults(w modelState) {
 	for i, late := range w.late {
 		if late.used {
 			next, won := w.apply(late.write)
@@ -314,17 +314,17 @@
 			x.visit(fmt.Sprintf("delayed write of %s lands: %v", late.write.Row.State, won), next)
 		}
 	}
-	if w.left.EntryCrash > 0 {
+	if w.faultsLeft.EntryCrash > 0 {
 		for i, r := range w.requests {
-			if r.arrived && !r.over {
+			if r.arrived && !r.finished {
 				next := w
-				next.left.EntryCrash--
+				next.faultsLeft.EntryCrash--
 				next.end(&next.requests[i])
 				x.visit(fmt.Sprintf("entry of request %d dies", i), next)
 			}
 		}
 	}
-	if w.left.AgentCrash > 0 {
+	if w.faultsLeft.AgentCrash > 0 {
 		for agent := range agents {
 			x.visit(fmt.Sprintf("agent %d restarts", agent), w.restart(agent))
 		}
--- a/policy/once/row.go
+++ b/policy/once/row.go
@@ -64,16 +64,16 @@
 // open reports whether no execution holds the row.
 func (r Row) open() bool { return r.State == Absent || r.State == Cancelled }
 
-// ended reports whether the row's last cancellation was final.
-func (r Row) ended() bool { return r.State == Cancelled && r.Ended == r.Epoch }
+// finallyCancelled reports whether the row's last cancellation was final.
+func (r Row) finallyCancelled() bool { return r.State == Cancelled && r.Ended == r.Epoch }
 
 // heldBy reports whether the execution has started and has not ended.
 func (r Row) heldBy(execution Execution) bool {
 	return r.State == Started && r.Execution == execution
 }
 
-// foreign reports whether the row belongs to another request.
-func (r Row) foreign(fingerprint string) bool {
+// belongsToOther reports whether the row belongs to another request.
+func (r Row) belongsToOther(fingerprint string) bool {
 	return r.State != Absent && r.Fingerprint != fingerprint
 }
 
--- a/policy/once/world_test.go
+++ b/policy/once/world_test.go
@@ -14,32 +14,32 @@
 	agents      = 2
 )
 
-// budget bounds the faults of one enumeration; each is spent at any moment.
-type budget struct {
+// faultBudget bounds the faults of one enumeration; each is spent at any moment.
+type faultBudget struct {
 	StoreDown, LostAnswer, LateWrite, Duplicate, Timeout, EntryCrash, AgentCrash, Refusal, BackendNotCalled, LateStart int
 }
 
-// setting is one enumeration.
-type setting struct {
+// scenario is one enumeration.
+type scenario struct {
 	name     string
 	bodies   []string // One for each request; they share the key.
 	given    bool
-	faults   budget
+	faults   faultBudget
 	attempts int // Most attempts that are sent.
 	refused  int // The first requests, which find no backend server.
 }
 
 type requestState struct {
-	arrived, over bool
-	machine       Entry
-	effect        reduce.Effect
-	awaiting      uint8 // Message whose reply is awaited, counted from 1.
+	arrived, finished bool
+	machine           Entry
+	effect            reduce.Effect
+	awaiting          uint8 // Message whose reply is awaited, counted from 1.
 }
 
 type sentMessage struct {
-	used, delivered bool
-	request, agent  uint8
-	epoch, arrival  uint64
+	used, delivered      bool
+	request, agent       uint8
+	epoch, admittedEpoch uint64
 }
 
 type execState struct {
@@ -54,38 +54,38 @@
 	write WriteRow
 }
 
-// world is the whole state; it is comparable.
-type world struct {
-	row      Row
-	version  uint64
-	requests [maxRequests]requestState
-	sent     [maxSent]sentMessage
-	execs    [maxExecs]execState
-	late     [maxLate]lateWrite
-	boots    [agents]uint8
-	left     budget
-
-	runs       uint8
-	runArrival uint64 // Epoch at which the request that ran was taken in.
-	runNonce   string
-	runRequest uint8
-	notRun     uint64            // Highest epoch below which "not run" was said.
-	notRunBy   [maxRequests]bool // Requests that were told that their own attempts did not run.
+// modelState is the whole state; it is comparable.
+type modelState struct {
+	row        Row
+	version    uint64
+	requests   [maxRequests]requestState
+	sent       [maxSent]sentMessage
+	execs      [maxExecs]execState
+	late       [maxLate]lateWrite
+	boots      [agents]uint8
+	faultsLeft faultBudget
+
+	runs             uint8
+	runAdmittedEpoch uint64 // Epoch at which the request that ran was taken in.
+	runNonce         string
+	runRequest       uint8
+	notRun           uint64            // Highest epoch below which "not run" was said.
+	notRunBy         [maxRequests]bool // Requests that were told that their own attempts did not run.
 }
 
-func (w world) problem() string {
+func (w modelState) violation() string {
 	switch {
 	case w.runs > 1:
 		return "the work ran twice"
-	case w.runs == 1 && w.runArrival < w.notRun:
-		return fmt.Sprintf("the work of a request taken in at epoch %d ran although \"not run\" was said below epoch %d", w.runArrival, w.notRun)
+	case w.runs == 1 && w.runAdmittedEpoch < w.notRun:
+		return fmt.Sprintf("the work of a request taken in at epoch %d ran although \"not run\" was said below epoch %d", w.runAdmittedEpoch, w.notRun)
 	case w.runs == 1 && w.notRunBy[w.runRequest]:
 		return fmt.Sprintf("request %d ran although its attempts were said not to run", w.runRequest)
 	}
 	return ""
 }
 
-func (w world) apply(write WriteRow) (world, bool) {
+func (w modelState) apply(write WriteRow) (modelState, bool) {
 	if write.Version != w.version {
 		return w, false
 	}
@@ -94,7 +94,7 @@
 	return w, true
 }
 
-func (w world) progress(execution Execution) Progress {
+func (w modelState) progress(execution Execution) Progress {
 	agent := execution.Agent[0] - '0'
 	if execution.Boot != fmt.Sprint(w.boots[agent]) {
 		return AgentRestarted
@@ -108,15 +108,15 @@
 }
 
 // end forgets the state of a request that has ended.
-func (w *world) end(r *requestState) { *r = requestState{arrived: true, over: true} }
+func (w *modelState) end(r *requestState) { *r = requestState{arrived: true, finished: true} }
 
 // stop makes an execution inactive.
-func (w *world) stop(exec *execState) {
+func (w *modelState) stop(exec *execState) {
 	*exec = execState{used: true, message: exec.message}
 }
 
-func (w world) restart(agent int) world {
-	w.left.AgentCrash--
+func (w modelState) restart(agent int) modelState {
+	w.faultsLeft.AgentCrash--
 	w.boots[agent]++
 	for i := range w.execs {
 		exec := &w.execs[i]
