--- a/policy/config/config_test.go
+++ b/policy/config/config_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestBuildNamesEachFault(t *testing.T) {
+func TestBuildReportsEachProblem(t *testing.T) {
 	cases := []struct{ file, old, new, want string }{
 		{FileBackendServers, `"dc-1"`, `"dc-9"`, `backend_servers:2:33: backend server "e1" names data centre "dc-9", which does not exist`},
 		{FileBackendServers, `"model": "m"`, `"model": "n"`, `names model "n", which does not exist`},
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestDiffIsFieldByField(t *testing.T) {
+func TestDiffListsChangedFields(t *testing.T) {
 	Convey("Only fields that differ are listed, whatever the order and comments", t, func() {
 		old, updated := validFiles(), validFiles()
 		updated[FileDataCentres] = []byte(`{"data_centres": [ // Turned around.
--- a/policy/jsonfile/jsonfile_test.go
+++ b/policy/jsonfile/jsonfile_test.go
@@ -18,7 +18,7 @@
 	Items []item `json:"items"`
 }
 
-func TestDecodeNamesThePlaceAndWhatWouldBeRight(t *testing.T) {
+func TestDecodeReportsPositionAndHint(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"unknown field", "{\n  \"items\": [{\"nam\": \"a\"}]}", `f:2:14: field "nam" is unknown; did you mean "name"?`},
 		{"other case", `{"Items": []}`, `f:1:2: field "Items" is unknown; did you mean "items"?`},
--- a/policy/once/entry.go
+++ b/policy/once/entry.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	maxAttempts    = 3
-	maxReads       = 6 // Reads of the row to settle one request.
-	maxUnreachable = 5 // Unanswered questions about one execution.
+	maxAttempts           = 3
+	maxReads              = 6 // Reads of the row to settle one request.
+	maxUnreachableReplies = 5 // Unanswered questions about one execution.
 )
 
 // intent is what an entry wants with the row that it reads.
@@ -23,20 +23,20 @@
 // Entry carries one request of a key at an entry instance. It is a value; Step
 // returns the next one.
 type Entry struct {
-	callerKey      bool // The caller chose the key, so others may use it too.
-	fingerprint    string
-	intent         intent
-	admittedEpoch  uint64 // Epoch at which the request was taken in.
-	epoch          uint64 // Epoch of the latest attempt.
-	attempts       int
-	reads          int
-	unreachable    int
-	inFlight       bool // An attempt of the epoch may be under way.
-	writing        Row  // Cancelled row that is being written.
-	queried        Execution
-	knownInactive  Execution
-	agentRestarted Execution
-	refusal        result.Code // Why the latest attempt did not run.
+	callerKey          bool // The caller chose the key, so others may use it too.
+	fingerprint        string
+	intent             intent
+	admittedEpoch      uint64 // Epoch at which the request was taken in.
+	epoch              uint64 // Epoch of the latest attempt.
+	attempts           int
+	reads              int
+	unreachableReplies int
+	inFlight           bool // An attempt of the epoch may be under way.
+	pendingWrite       Row  // Cancelled row that is being written.
+	queried            Execution
+	knownInactive      Execution
+	agentRestarted     Execution
+	refusal            result.Code // Why the latest attempt did not run.
 }
 
 // NewEntry takes a request in. given tells that the caller chose the key; a
@@ -196,15 +196,15 @@
 		return e.endUnknown()
 	}
 	final := e.next() == abandon || e.intent == abandon
-	e.writing = row.cancel(e.fingerprint, final)
-	return e, WriteRow{Version: version, Row: e.writing, Budgeted: final}
+	e.pendingWrite = row.cancel(e.fingerprint, final)
+	return e, WriteRow{Version: version, Row: e.pendingWrite, Budgeted: final}
 }
 
 func (e Entry) cancelled() (Entry, reduce.Effect) {
-	if e.writing.finallyCancelled() {
-		return e, Refuse{Code: e.refusal, NotRunBefore: e.writing.Ended}
+	if e.pendingWrite.finallyCancelled() {
+		return e, Refuse{Code: e.refusal, NotRunBefore: e.pendingWrite.Ended}
 	}
-	return e.send(e.writing.Epoch)
+	return e.send(e.pendingWrite.Epoch)
 }
 
 // progressReported goes on with what the agent of a started execution tells.
@@ -219,8 +219,8 @@
 		e.agentRestarted = e.queried
 		return e.read()
 	}
-	e.unreachable++
-	if e.unreachable >= maxUnreachable {
+	e.unreachableReplies++
+	if e.unreachableReplies >= maxUnreachableReplies {
 		return e.endUnknown()
 	}
 	return e, ReadRow{Delayed: true}
--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -98,7 +98,7 @@
 	case SendAttempt:
 		x.send(name, w, i, effect)
 	case QueryProgress:
-		x.ask(w, effect, feed)
+		x.queryProgress(w, effect, feed)
 	}
 }
 
@@ -122,12 +122,12 @@
 		next.faultsLeft.LostAnswer--
 		feed("writes "+string(write.Row.State)+", answer lost", next, WriteUnknown{})
 	}
-	if w.faultsLeft.LateWrite > 0 {
+	if w.faultsLeft.DelayedWrite > 0 {
 		next := w
-		next.faultsLeft.LateWrite--
-		for i := range next.late {
-			if !next.late[i].used {
-				next.late[i] = lateWrite{used: true, write: write}
+		next.faultsLeft.DelayedWrite--
+		for i := range next.delayed {
+			if !next.delayed[i].used {
+				next.delayed[i] = delayedWrite{used: true, write: write}
 				feed("write of "+string(write.Row.State)+" delayed", next, WriteUnknown{})
 				break
 			}
@@ -166,7 +166,7 @@
 	}
 }
 
-func (x *explorer) ask(w modelState, effect QueryProgress, feed func(string, modelState, reduce.Event)) {
+func (x *explorer) queryProgress(w modelState, effect QueryProgress, feed func(string, modelState, reduce.Event)) {
 	feed("asks", w, ProgressReported{Progress: w.progress(effect.Execution)})
 	if w.faultsLeft.Timeout > 0 {
 		next := w
@@ -195,8 +195,8 @@
 		w.end(r)
 	case Refuse:
 		x.outcomes[effect.Code.String()]++
-		w.notRun = max(w.notRun, effect.NotRunBefore)
-		w.notRunBy[i] = effect.NotRunBefore > 0 || effect.Code == result.KeyStateUnknown
+		w.notRunBefore = max(w.notRunBefore, effect.NotRunBefore)
+		w.toldNotRun[i] = effect.NotRunBefore > 0 || effect.Code == result.KeyStateUnknown
 		w.end(r)
 	}
 	x.visit(step, w)
@@ -307,11 +307,11 @@
 }
 
 func (x *explorer) stepFaults(w modelState) {
-	for i, late := range w.late {
-		if late.used {
-			next, won := w.apply(late.write)
-			next.late[i] = lateWrite{}
-			x.visit(fmt.Sprintf("delayed write of %s lands: %v", late.write.Row.State, won), next)
+	for i, delayed := range w.delayed {
+		if delayed.used {
+			next, won := w.apply(delayed.write)
+			next.delayed[i] = delayedWrite{}
+			x.visit(fmt.Sprintf("delayed write of %s lands: %v", delayed.write.Row.State, won), next)
 		}
 	}
 	if w.faultsLeft.EntryCrash > 0 {
--- a/policy/once/machine_test.go
+++ b/policy/once/machine_test.go
@@ -10,8 +10,8 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// drive feeds the events to the agent's machine and returns all its effects.
-func drive(events ...reduce.Event) []reduce.Effect {
+// runAgent feeds the events to the agent's machine and returns all its effects.
+func runAgent(events ...reduce.Event) []reduce.Effect {
 	machine, effect := NewAgent(0, "body", Execution{Nonce: "1"})
 	effects := []reduce.Effect{effect}
 	for _, event := range events {
@@ -21,7 +21,7 @@
 	return effects
 }
 
-func TestLateStartIsUndone(t *testing.T) {
+func TestStartAfterDeadlineIsReleased(t *testing.T) {
 	started := Row{State: Started, Fingerprint: "body", Execution: Execution{Nonce: "1"}}
 	freed := WriteRow{Version: 1, Row: Row{State: Cancelled, Epoch: 1, Fingerprint: "body"}}
 	Convey("Given an execution whose start is known after the deadline", t, func() {
@@ -29,7 +29,7 @@
 			{WriteSucceeded{Late: true}, RowRead{Row: started, Version: 1}, WriteSucceeded{}},
 			{WriteUnknown{}, RowRead{Row: started, Version: 1, Late: true}, RowRead{Row: started, Version: 1}, WriteSucceeded{}},
 		} {
-			effects := drive(events...)
+			effects := runAgent(events...)
 			So(effects, ShouldNotContain, CallBackend{})
 			So(effects, ShouldContain, freed)
 			So(effects[len(effects)-1], ShouldResemble, Refuse{Code: result.Cancelled})
@@ -37,15 +37,15 @@
 	})
 }
 
-func TestBudgetBoundsAllEntriesTogether(t *testing.T) {
+func TestBudgetBoundsAllEntriesCombined(t *testing.T) {
 	Convey("Given any number of entries that refuse all the time for 20 s", t, func() {
-		const seconds, triesPerSecond = 20, 200
+		const seconds, attemptsPerSecond = 20, 200
 		for _, entries := range []int{1, 3, 330} {
 			budgets := make([]Budget, entries)
 			taken := 0
 			now := time.Unix(0, 0)
-			for range seconds * triesPerSecond {
-				now = now.Add(time.Second / triesPerSecond)
+			for range seconds * attemptsPerSecond {
+				now = now.Add(time.Second / attemptsPerSecond)
 				for index := range budgets {
 					var allowed bool
 					budgets[index], allowed = budgets[index].Take(now, entries)
@@ -54,9 +54,9 @@
 					}
 				}
 			}
-			most := cancelsPerSecond*seconds + cancelBurst*entries
-			So(taken, ShouldBeLessThanOrEqualTo, most)
-			So(taken, ShouldBeGreaterThan, most*9/10)
+			maxTaken := finalCancelsPerSecond*seconds + finalCancelBurst*entries
+			So(taken, ShouldBeLessThanOrEqualTo, maxTaken)
+			So(taken, ShouldBeGreaterThan, maxTaken*9/10)
 		}
 	})
 }
--- a/policy/once/world_test.go
+++ b/policy/once/world_test.go
@@ -10,13 +10,13 @@
 	maxRequests = 3
 	maxSent     = 4
 	maxExecs    = 5
-	maxLate     = 3
+	maxDelayed  = 3
 	agents      = 2
 )
 
 // faultBudget bounds the faults of one enumeration; each is spent at any moment.
 type faultBudget struct {
-	StoreDown, LostAnswer, LateWrite, Duplicate, Timeout, EntryCrash, AgentCrash, Refusal, BackendNotCalled, LateStart int
+	StoreDown, LostAnswer, DelayedWrite, Duplicate, Timeout, EntryCrash, AgentCrash, Refusal, BackendNotCalled, LateStart int
 }
 
 // scenario is one enumeration.
@@ -49,7 +49,7 @@
 	effect       reduce.Effect
 }
 
-type lateWrite struct {
+type delayedWrite struct {
 	used  bool
 	write WriteRow
 }
@@ -61,7 +61,7 @@
 	requests   [maxRequests]requestState
 	sent       [maxSent]sentMessage
 	execs      [maxExecs]execState
-	late       [maxLate]lateWrite
+	delayed    [maxDelayed]delayedWrite
 	boots      [agents]uint8
 	faultsLeft faultBudget
 
@@ -69,17 +69,17 @@
 	runAdmittedEpoch uint64 // Epoch at which the request that ran was taken in.
 	runNonce         string
 	runRequest       uint8
-	notRun           uint64            // Highest epoch below which "not run" was said.
-	notRunBy         [maxRequests]bool // Requests that were told that their own attempts did not run.
+	notRunBefore     uint64            // Highest epoch below which "not run" was said.
+	toldNotRun       [maxRequests]bool // Requests that were told that their own attempts did not run.
 }
 
 func (w modelState) violation() string {
 	switch {
 	case w.runs > 1:
 		return "the work ran twice"
-	case w.runs == 1 && w.runAdmittedEpoch < w.notRun:
-		return fmt.Sprintf("the work of a request taken in at epoch %d ran although \"not run\" was said below epoch %d", w.runAdmittedEpoch, w.notRun)
-	case w.runs == 1 && w.notRunBy[w.runRequest]:
+	case w.runs == 1 && w.runAdmittedEpoch < w.notRunBefore:
+		return fmt.Sprintf("the work of a request taken in at epoch %d ran although \"not run\" was said below epoch %d", w.runAdmittedEpoch, w.notRunBefore)
+	case w.runs == 1 && w.toldNotRun[w.runRequest]:
 		return fmt.Sprintf("request %d ran although its attempts were said not to run", w.runRequest)
 	}
 	return ""
