--- a/policy/once/agent.go
+++ b/policy/once/agent.go
@@ -5,27 +5,27 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// maxResolveAttempts is the number of reads and cancellations by which an agent tries to
-// learn what became of its write before it gives the execution up.
+// maxResolveAttempts is the number of reads and cancellations that an agent
+// makes to determine the outcome of its write before it gives up the execution.
 const maxResolveAttempts = 4
 
-// phase is where an agent's execution stands.
+// phase is the phase of an execution at its agent.
 type phase uint8
 
 const (
-	reading    phase = iota // Learns the version of a cancelled row.
-	starting                // The write of the started row is under way.
-	resolving               // Learns what became of that write.
-	cancelling              // Shuts the write out if it has not landed.
-	calling                 // The backend server works.
-	releasing               // Frees the row: the work will not run.
-	storing                 // Writes the answer.
+	reading    phase = iota // Reading the version of a cancelled row.
+	starting                // Writing the started row.
+	resolving               // Determining the outcome of that write.
+	cancelling              // Cancelling the row so that a delayed write cannot take effect.
+	calling                 // Waiting for the backend server.
+	releasing               // Releasing the row: the work will not run.
+	storing                 // Writing the answer.
 	finished
 )
 
-// Agent carries one execution of a key's work at an agent. It is a value; Step
-// returns the next one. Once Step has returned Finish or Refuse, the execution
-// is inactive for good.
+// Agent is the state machine of one execution of a key's work at an agent. It
+// is a value; Step returns its successor. Once Step has returned Finish or Refuse, the execution
+// is inactive permanently.
 type Agent struct {
 	phase           phase
 	epoch           uint64
@@ -36,7 +36,8 @@
 	refusal         result.Code
 }
 
-// NewAgent begins an execution of the epoch for admitted work.
+// NewAgent starts an execution in the epoch for work that the agent has
+// admitted.
 func NewAgent(epoch uint64, fingerprint string, execution Execution) (Agent, reduce.Effect) {
 	a := Agent{epoch: epoch, fingerprint: fingerprint, execution: execution, refusal: result.StoreUnavailable}
 	if epoch > 0 {
@@ -45,10 +46,11 @@
 	return a.write(Row{}, 0)
 }
 
-// Storing reports whether the backend server has answered, and its answer.
+// Storing returns the backend server's answer and whether it has answered and
+// the answer is being stored.
 func (a Agent) Storing() (Answer, bool) { return a.answer, a.phase == storing }
 
-// Step reduces one event.
+// Step processes one event.
 func (a Agent) Step(event reduce.Event) (Agent, reduce.Effect) {
 	switch a.phase {
 	case reading:
@@ -96,8 +98,8 @@
 	return a.resolveWrite()
 }
 
-// started calls the backend server, unless nobody waits for the answer any
-// more.
+// started calls the backend server. A start that became known only after the
+// deadline is released instead, because no caller waits for the answer.
 func (a Agent) started(late bool) (Agent, reduce.Effect) {
 	if late {
 		a.refusal = result.Cancelled
@@ -112,9 +114,9 @@
 	return a, ReadRow{}
 }
 
-// resolveWrite learns what became of the write. Where the store doesn't tell in
-// time, the execution is given up: the write may still land, but the work won't
-// run.
+// resolveWrite determines the outcome of the write. If the table service does
+// not answer in time, the agent gives up the execution: the write may still take
+// effect, but the work does not run.
 func (a Agent) resolveWrite() (Agent, reduce.Effect) {
 	a.phase = resolving
 	a.resolveAttempts++
@@ -155,8 +157,9 @@
 	return a.store(false)
 }
 
-// stepReleasing frees the row if that takes no more than one try: the execution
-// is inactive anyhow, which this agent tells whoever asks.
+// stepReleasing makes at most one attempt to release the row. That is enough
+// because the execution is inactive in any case, and this agent reports so when
+// it is queried.
 func (a Agent) stepReleasing(event reduce.Event) (Agent, reduce.Effect) {
 	read, ok := event.(RowRead)
 	if !ok || !read.Row.heldBy(a.execution) {
@@ -170,7 +173,7 @@
 	return a, ReadRow{Delayed: delayed}
 }
 
-// stepStoring writes the answer until it is known to be there.
+// stepStoring retries the write until the answer is known to be stored.
 func (a Agent) stepStoring(event reduce.Event) (Agent, reduce.Effect) {
 	switch event := event.(type) {
 	case RowRead:
--- a/policy/once/budget.go
+++ b/policy/once/budget.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Budget bounds the final cancellations that one entry writes, so that a wave
-// of refusals does not drown the table service.
+// Budget is the token bucket for the final cancellations that one entry writes,
+// so that a burst of refusals does not overload the table service.
 type Budget struct {
 	tokens     float64
 	refilledAt time.Time
 }
 
 const (
-	finalCancelsPerSecond = 50 // Of all entries together.
-	finalCancelBurst      = 5  // Of one entry.
+	finalCancelsPerSecond = 50 // All entries combined.
+	finalCancelBurst      = 5  // Per entry.
 )
 
-// Take spends one write where the budget allows it. entries is the number of
-// live entries, which share the rate.
+// Take takes a token for one write and reports whether one was available.
+// entries is the number of live entries, which share the rate.
 func (b Budget) Take(now time.Time, entries int) (Budget, bool) {
 	rate := finalCancelsPerSecond / float64(max(entries, 1))
 	if b.refilledAt.IsZero() {
--- a/policy/once/entry.go
+++ b/policy/once/entry.go
@@ -7,40 +7,40 @@
 
 const (
 	maxAttempts           = 3
-	maxReads              = 6 // Reads of the row to settle one request.
-	maxUnreachableReplies = 5 // Unanswered questions about one execution.
+	maxReads              = 6 // Reads of the row for one request.
+	maxUnreachableReplies = 5 // Progress queries without a reply, for one request.
 )
 
-// intent is what an entry wants with the row that it reads.
+// intent is what an entry does next with the row that it reads.
 type intent uint8
 
 const (
-	admit   intent = iota // Take the request in.
-	retry                 // Move on from an attempt that failed.
-	abandon               // End the request without a run.
+	admit   intent = iota // Admit the request.
+	retry                 // Send another attempt after a failed one.
+	abandon               // End the request without running the work.
 )
 
-// Entry carries one request of a key at an entry instance. It is a value; Step
-// returns the next one.
+// Entry is the state machine of one request with a key at an entry instance. It
+// is a value; Step returns its successor.
 type Entry struct {
-	callerKey          bool // The caller chose the key, so others may use it too.
+	callerKey          bool // The caller chose the key, so other requests may use it too.
 	fingerprint        string
 	intent             intent
-	admittedEpoch      uint64 // Epoch at which the request was taken in.
+	admittedEpoch      uint64 // Epoch at which the request was admitted.
 	epoch              uint64 // Epoch of the latest attempt.
 	attempts           int
 	reads              int
 	unreachableReplies int
-	inFlight           bool // An attempt of the epoch may be under way.
+	inFlight           bool // An attempt of the epoch may be in flight.
 	pendingWrite       Row  // Cancelled row that is being written.
 	queried            Execution
 	knownInactive      Execution
 	agentRestarted     Execution
-	refusal            result.Code // Why the latest attempt did not run.
+	refusal            result.Code // Reason why the latest attempt did not run.
 }
 
-// NewEntry takes a request in. given tells that the caller chose the key; a
-// generated key is known to no one else, so that its row is not read.
+// NewEntry admits a request. callerKey reports whether the caller chose the key.
+// No other request knows a generated key, so its row is not read.
 func NewEntry(callerKey bool, fingerprint string) (Entry, reduce.Effect) {
 	e := Entry{callerKey: callerKey, fingerprint: fingerprint, refusal: result.Cancelled}
 	if callerKey {
@@ -49,7 +49,7 @@
 	return e.send(0)
 }
 
-// Step reduces one event.
+// Step processes one event.
 func (e Entry) Step(event reduce.Event) (Entry, reduce.Effect) {
 	switch event := event.(type) {
 	case RowRead:
@@ -82,7 +82,7 @@
 	return e.endUnknown() // ReadFailed, WriteSkipped, Expired.
 }
 
-// next returns what to do once no attempt is under way.
+// next returns the intent for when no attempt is in flight.
 func (e Entry) next() intent {
 	if e.attempts < maxAttempts {
 		return retry
@@ -106,7 +106,7 @@
 	return e, ReadRow{}
 }
 
-// refused goes on after an attempt that did not run and never will.
+// refused continues after an attempt that did not run and never will.
 func (e Entry) refused(code result.Code) (Entry, reduce.Effect) {
 	e.refusal = code
 	if e.attempts < maxAttempts && code != result.StoreUnavailable {
@@ -115,9 +115,9 @@
 	return e.giveUp()
 }
 
-// giveUp refuses the request while no attempt of its own is under way. Where
-// others may use the key, the promise that the work was not run needs a final
-// cancellation.
+// giveUp refuses the request while none of its attempts is in flight. If other
+// requests may use the key, only a final cancellation guarantees that the work
+// did not run.
 func (e Entry) giveUp() (Entry, reduce.Effect) {
 	if !e.callerKey {
 		return e, Refuse{Code: e.refusal, NotRunBefore: MaxEpoch}
@@ -126,7 +126,7 @@
 	return e.read()
 }
 
-// endUnknown ends the request without a promise.
+// endUnknown ends the request without a guarantee that the work did not run.
 func (e Entry) endUnknown() (Entry, reduce.Effect) {
 	if e.inFlight {
 		return e, Refuse{Code: result.OutcomeUnknown}
@@ -190,7 +190,8 @@
 	return e.cancel(row, version)
 }
 
-// cancel moves the row to the next epoch: finally where the request ends here.
+// cancel moves the row to the next epoch. The cancellation is final if the
+// request ends with it.
 func (e Entry) cancel(row Row, version uint64) (Entry, reduce.Effect) {
 	if row.Ended > e.admittedEpoch {
 		return e.endUnknown()
@@ -207,7 +208,8 @@
 	return e.send(e.pendingWrite.Epoch)
 }
 
-// progressReported goes on with what the agent of a started execution tells.
+// progressReported handles the progress of a started execution as its agent
+// reports it.
 func (e Entry) progressReported(progress Progress) (Entry, reduce.Effect) {
 	switch progress {
 	case Running:
--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -10,7 +10,9 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// explorer visits every reachable world once.
+// explorer is a model checker: it visits every reachable state of the model once
+// and checks the invariants in each. A visited state is remembered by two
+// independent hashes.
 type explorer struct {
 	t        testing.TB
 	scenario scenario
@@ -74,7 +76,7 @@
 			if w.faultsLeft.Timeout > 0 {
 				next := w
 				next.faultsLeft.Timeout--
-				x.feedRequest(name+"silent", next, i, NoReply{})
+				x.feedRequest(name+"no reply", next, i, NoReply{})
 				x.feedRequest(name+"expires", next, i, Expired{})
 			}
 		case !r.finished:
@@ -154,7 +156,7 @@
 	}
 	for agent := range uint8(agents) {
 		if number == 0 && agent > 0 {
-			continue // So are the agents before the first message.
+			continue // Before the first message the agents are interchangeable, too.
 		}
 		next := w
 		next.sent[number] = sentMessage{
@@ -167,11 +169,11 @@
 }
 
 func (x *explorer) queryProgress(w modelState, effect QueryProgress, feed func(string, modelState, reduce.Event)) {
-	feed("asks", w, ProgressReported{Progress: w.progress(effect.Execution)})
+	feed("queries progress", w, ProgressReported{Progress: w.progress(effect.Execution)})
 	if w.faultsLeft.Timeout > 0 {
 		next := w
 		next.faultsLeft.Timeout--
-		feed("asks in vain", next, ProgressReported{Progress: Unreachable})
+		feed("query gets no reply", next, ProgressReported{Progress: Unreachable})
 	}
 }
 
@@ -189,7 +191,7 @@
 		}
 		if x.scenario.bodies[w.runRequest] != x.scenario.bodies[i] {
 			x.trace = append(x.trace, step)
-			x.reportViolation("the answer belongs to another body")
+			x.reportViolation("the answer belongs to a request with another body")
 			return
 		}
 		w.end(r)
@@ -239,7 +241,8 @@
 	}
 }
 
-// reply feeds the event to the request if it still awaits the message's reply.
+// reply delivers the event to the request if it still awaits the message's
+// reply.
 func (x *explorer) reply(step string, w modelState, number int, event reduce.Event) {
 	i := int(w.sent[number].request)
 	if w.requests[i].finished || w.requests[i].awaiting != uint8(number+1) {
@@ -267,7 +270,7 @@
 		x.write(w, effect, feed)
 		if next, won := w.apply(effect); won && next.faultsLeft.LateStart > 0 && effect.Row.State == Started {
 			next.faultsLeft.LateStart--
-			feed("starts too late", next, WriteSucceeded{Late: true})
+			feed("starts after the deadline", next, WriteSucceeded{Late: true})
 		}
 	case CallBackend:
 		x.call(w, i, feed)
@@ -278,7 +281,7 @@
 	if w.faultsLeft.BackendNotCalled > 0 {
 		next := w
 		next.faultsLeft.BackendNotCalled--
-		feed("backend server unreached", next, BackendNotCalled{})
+		feed("backend server not called", next, BackendNotCalled{})
 	}
 	w.runs++
 	w.runAdmittedEpoch = w.sent[w.execs[i].message].admittedEpoch
@@ -311,7 +314,7 @@
 		if delayed.used {
 			next, won := w.apply(delayed.write)
 			next.delayed[i] = delayedWrite{}
-			x.visit(fmt.Sprintf("delayed write of %s lands: %v", delayed.write.Row.State, won), next)
+			x.visit(fmt.Sprintf("delayed write of %s arrives, applied: %v", delayed.write.Row.State, won), next)
 		}
 	}
 	if w.faultsLeft.EntryCrash > 0 {
@@ -320,7 +323,7 @@
 				next := w
 				next.faultsLeft.EntryCrash--
 				next.end(&next.requests[i])
-				x.visit(fmt.Sprintf("entry of request %d dies", i), next)
+				x.visit(fmt.Sprintf("entry of request %d crashes", i), next)
 			}
 		}
 	}
--- a/policy/once/machine_test.go
+++ b/policy/once/machine_test.go
@@ -10,7 +10,8 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// runAgent feeds the events to the agent's machine and returns all its effects.
+// runAgent feeds the events to an agent's state machine and returns all its
+// effects.
 func runAgent(events ...reduce.Event) []reduce.Effect {
 	machine, effect := NewAgent(0, "body", Execution{Nonce: "1"})
 	effects := []reduce.Effect{effect}
@@ -24,7 +25,7 @@
 func TestStartAfterDeadlineIsReleased(t *testing.T) {
 	started := Row{State: Started, Fingerprint: "body", Execution: Execution{Nonce: "1"}}
 	freed := WriteRow{Version: 1, Row: Row{State: Cancelled, Epoch: 1, Fingerprint: "body"}}
-	Convey("Given an execution whose start is known after the deadline", t, func() {
+	Convey("Given an execution whose start becomes known after the deadline", t, func() {
 		for _, events := range [][]reduce.Event{
 			{WriteSucceeded{Late: true}, RowRead{Row: started, Version: 1}, WriteSucceeded{}},
 			{WriteUnknown{}, RowRead{Row: started, Version: 1, Late: true}, RowRead{Row: started, Version: 1}, WriteSucceeded{}},
@@ -38,7 +39,7 @@
 }
 
 func TestBudgetBoundsAllEntriesCombined(t *testing.T) {
-	Convey("Given any number of entries that refuse all the time for 20 s", t, func() {
+	Convey("Given any number of entries that refuse requests continuously for 20 s", t, func() {
 		const seconds, attemptsPerSecond = 20, 200
 		for _, entries := range []int{1, 3, 330} {
 			budgets := make([]Budget, entries)
--- a/policy/once/messages.go
+++ b/policy/once/messages.go
@@ -2,158 +2,123 @@
 
 import "persimmonwind.dev/policy/result"
 
-// ReadRow asks for the key's row; the answer is RowRead or ReadFailed.
-type ReadRow struct{ Delayed bool } // Delayed asks for a pause before.
+// ReadRow requests a read of the key's row; the result is RowRead or ReadFailed.
+type ReadRow struct{ Delayed bool } // Delayed requests a pause before the read.
 
-// WriteRow asks to write the row if it still has the version; the answer is
-// WriteWon, WriteLost, WriteUnknown or, for an entry's bounded write, WriteSkipped.
+// WriteRow requests a compare-and-set of the row against the version; the result
+// is WriteSucceeded, WriteConflict, WriteUnknown or, for a budgeted write of an
+// entry, WriteSkipped.
 type WriteRow struct {
 	Version  uint64
 	Row      Row
-	Budgeted bool // Counts against the budget of final cancellations.
+	Budgeted bool // Takes a token from the budget of final cancellations.
 }
 
-// SendAttempt asks an entry to choose a backend server and to send it an attempt of
-// the epoch; the answer is Answered, Refused, Superseded, Silent or NoTarget.
+// SendAttempt requests that an entry choose a backend server and send it an
+// attempt of the epoch; the result is Answered, Refused, Superseded, NoReply or
+// NoTarget.
 type SendAttempt struct{ Epoch uint64 }
 
-// QueryProgress asks the execution's agent about it; the answer is Asked.
+// QueryProgress requests the execution's progress from its agent; the result is
+// ProgressReported.
 type QueryProgress struct{ Execution Execution }
 
-// CallBackend asks an agent to call the backend server; the answer is Answered or
-// Unreached.
+// CallBackend requests that an agent call the backend server; the result is
+// Answered or BackendNotCalled.
 type CallBackend struct{}
 
 // Finish ends the state machine with an answer.
 type Finish struct{ Answer Answer }
 
-// Refuse ends the state machine with a refusal. NotRunBefore is the epoch below
-// which no request that was taken in has run or will run the work; 0 where the
-// code does not promise it, EveryEpoch where no such request exists.
+// Refuse ends the state machine with a refusal. No request that was admitted at
+// an epoch below NotRunBefore has run or will run the work. NotRunBefore is 0 if
+// the code gives no such guarantee, and MaxEpoch if no other request can have
+// the key.
 type Refuse struct {
 	Code         result.Code
 	NotRunBefore uint64
 }
 
-// MaxEpoch is above all epochs.
+// MaxEpoch is greater than the epoch of any row.
 const MaxEpoch = ^uint64(0)
 
-// EffectName implements reduce.Effect.
-func (ReadRow) EffectName() string { return "once.read_row" }
-
-// EffectName implements reduce.Effect.
-func (WriteRow) EffectName() string { return "once.write_row" }
-
-// EffectName implements reduce.Effect.
-func (SendAttempt) EffectName() string { return "once.send" }
-
-// EffectName implements reduce.Effect.
+func (ReadRow) EffectName() string       { return "once.read_row" }
+func (WriteRow) EffectName() string      { return "once.write_row" }
+func (SendAttempt) EffectName() string   { return "once.send" }
 func (QueryProgress) EffectName() string { return "once.ask" }
+func (CallBackend) EffectName() string   { return "once.call" }
+func (Finish) EffectName() string        { return "once.finish" }
+func (Refuse) EffectName() string        { return "once.refuse" }
 
-// EffectName implements reduce.Effect.
-func (CallBackend) EffectName() string { return "once.call" }
-
-// EffectName implements reduce.Effect.
-func (Finish) EffectName() string { return "once.finish" }
-
-// EffectName implements reduce.Effect.
-func (Refuse) EffectName() string { return "once.refuse" }
-
-// RowRead brings the row and its version, 0 where it does not exist.
+// RowRead carries the row and its version, 0 if the row does not exist.
 type RowRead struct {
 	Row     Row
 	Version uint64
-	Late    bool // Tells an agent that the deadline has passed.
+	Late    bool // For agents: the deadline has passed.
 }
 
-// ReadFailed tells that the row could not be read.
+// ReadFailed reports that the row could not be read.
 type ReadFailed struct{}
 
-// WriteSucceeded tells that the row was written.
-type WriteSucceeded struct{ Late bool } // Late tells an agent that the deadline has passed.
+// WriteSucceeded reports that the row was written.
+type WriteSucceeded struct{ Late bool } // Late is for agents: the deadline has passed.
 
-// WriteConflict tells that the row had another version.
+// WriteConflict reports that the row had another version.
 type WriteConflict struct{}
 
-// WriteUnknown tells that the write may have taken effect or may still do so.
+// WriteUnknown reports that the write may have taken effect or may still do so.
 type WriteUnknown struct{}
 
-// WriteSkipped tells that the budget of final cancellations is spent.
+// WriteSkipped reports that the budget of final cancellations is exhausted.
 type WriteSkipped struct{}
 
-// Answered brings the backend server's answer.
+// Answered carries the backend server's answer.
 type Answered struct{ Answer Answer }
 
-// Refused tells that the attempt did not run and never will.
+// Refused reports that the attempt did not run and never will.
 type Refused struct{ Code result.Code }
 
-// NoTarget tells that there is no backend server to send an attempt to.
+// NoTarget reports that no backend server is available for an attempt.
 type NoTarget struct{ Code result.Code }
 
-// Superseded tells that the row did not allow the attempt.
+// Superseded reports that the row did not allow the attempt.
 type Superseded struct{}
 
-// NoReply tells that the attempt may be under way.
+// NoReply reports that the attempt got no reply and may be in flight.
 type NoReply struct{}
 
-// BackendNotCalled tells that the backend server was not called.
+// BackendNotCalled reports that the backend server was not called.
 type BackendNotCalled struct{}
 
-// Expired tells that the request's deadline has passed or its caller has left.
+// Expired reports that the request's deadline has passed or its caller has
+// disconnected.
 type Expired struct{}
 
-// Progress is what an agent knows of an execution.
+// Progress is the progress of an execution as its agent reports it.
 type Progress int
 
 // Progress of an execution.
 const (
-	Unreachable    Progress = iota // The agent did not answer.
-	Running                        // It may start, runs, or its answer is not yet stored.
-	Inactive                       // It is given up for good, or its answer is stored.
-	AgentRestarted                 // The agent has restarted since.
+	Unreachable    Progress = iota // The agent did not reply.
+	Running                        // It may still start, is running, or its answer is not yet stored.
+	Inactive                       // It was given up permanently, or its answer is stored.
+	AgentRestarted                 // The agent has restarted since; the outcome is unknown.
 )
 
-// ProgressReported brings the answer to Ask.
+// ProgressReported carries the result of QueryProgress.
 type ProgressReported struct{ Progress Progress }
 
-// EventName implements reduce.Event.
-func (RowRead) EventName() string { return "once.row_read" }
-
-// EventName implements reduce.Event.
-func (ReadFailed) EventName() string { return "once.read_failed" }
-
-// EventName implements reduce.Event.
-func (WriteSucceeded) EventName() string { return "once.write_won" }
-
-// EventName implements reduce.Event.
-func (WriteConflict) EventName() string { return "once.write_lost" }
-
-// EventName implements reduce.Event.
-func (WriteUnknown) EventName() string { return "once.write_unknown" }
-
-// EventName implements reduce.Event.
-func (WriteSkipped) EventName() string { return "once.write_skipped" }
-
-// EventName implements reduce.Event.
-func (Answered) EventName() string { return "once.answered" }
-
-// EventName implements reduce.Event.
-func (Refused) EventName() string { return "once.refused" }
-
-// EventName implements reduce.Event.
-func (NoTarget) EventName() string { return "once.no_target" }
-
-// EventName implements reduce.Event.
-func (Superseded) EventName() string { return "once.superseded" }
-
-// EventName implements reduce.Event.
-func (NoReply) EventName() string { return "once.silent" }
-
-// EventName implements reduce.Event.
+func (RowRead) EventName() string          { return "once.row_read" }
+func (ReadFailed) EventName() string       { return "once.read_failed" }
+func (WriteSucceeded) EventName() string   { return "once.write_won" }
+func (WriteConflict) EventName() string    { return "once.write_lost" }
+func (WriteUnknown) EventName() string     { return "once.write_unknown" }
+func (WriteSkipped) EventName() string     { return "once.write_skipped" }
+func (Answered) EventName() string         { return "once.answered" }
+func (Refused) EventName() string          { return "once.refused" }
+func (NoTarget) EventName() string         { return "once.no_target" }
+func (Superseded) EventName() string       { return "once.superseded" }
+func (NoReply) EventName() string          { return "once.silent" }
 func (BackendNotCalled) EventName() string { return "once.unreached" }
-
-// EventName implements reduce.Event.
-func (Expired) EventName() string { return "once.expired" }
-
-// EventName implements reduce.Event.
+func (Expired) EventName() string          { return "once.expired" }
 func (ProgressReported) EventName() string { return "once.asked" }
--- a/policy/once/row.go
+++ b/policy/once/row.go
@@ -1,14 +1,15 @@
-// Package once decides how non-idempotent work runs at most once. One row of
-// the table service for each idempotency key arbitrates between attempts; an
-// entry and an agent each run a small state machine over it.
+// Package once contains the state machines that run non-idempotent work at most
+// once. One row of the table service for each idempotency key arbitrates between
+// attempts; an entry and an agent each run a state machine that reads and writes
+// the row.
 //
 // Invariants:
-//   - a row becomes started only from an epoch that nobody has cancelled, and
-//     the work runs only under the nonce that the row names;
-//   - a started row is cancelled only where its agent says that the nonce is
-//     given up, which is final;
-//   - once a row was ended at an epoch, no request that was taken in at a lower
-//     epoch starts the work.
+//   - a row becomes started only from an epoch that has not been cancelled, and
+//     the work runs only under the nonce in the row;
+//   - a started row is cancelled only after its agent has given up the nonce,
+//     which is final;
+//   - after a final cancellation has led to an epoch, no request that was
+//     admitted at a lower epoch starts the work.
 package once
 
 import (
@@ -29,61 +30,63 @@
 	Cancelled State = "cancelled"
 )
 
-// Execution names one execution of the work; no two executions are equal.
+// Execution identifies one execution of the work; no two executions are equal.
 type Execution struct {
 	Agent string `json:"agent"` // Instance ID.
 	Boot  string `json:"boot"`  // Changes when the agent restarts.
 	Nonce string `json:"nonce"`
 }
 
-// Answer is what an execution ended with.
+// Answer is the result of an execution.
 type Answer struct {
-	Code        int // A result.Code; 0 where the backend server answered.
+	Code        int // A result.Code; 0 if the backend server answered.
 	Status      int
 	ContentType string
 	Body        string
-	Object      string // Name of the object that holds the body; empty where Body does.
+	Object      string // Name of the object that holds the body; empty if Body holds it.
 }
 
-// Row is the value of a key's row. The zero value is the row that does not
+// Row is the value of a key's row. The zero value stands for a row that does not
 // exist.
 type Row struct {
 	State       State
-	Epoch       uint64 // Grows with every cancellation.
+	Epoch       uint64 // Incremented by every cancellation.
 	Ended       uint64 // Epoch that the last final cancellation led to, 0 for none.
-	Fingerprint string // Of the request that the key belongs to.
+	Fingerprint string // Fingerprint of the request that the key belongs to.
 	Execution   Execution
-	Answer      Answer // Of a done row.
+	Answer      Answer // Set in a done row only.
 }
 
-// Startable reports whether an attempt of the epoch may start.
+// Startable reports whether an attempt of the epoch may start from the row.
 func (r Row) Startable(epoch uint64) bool {
 	return r.open() && r.Epoch == epoch
 }
 
-// open reports whether no execution holds the row.
+// open reports whether the row is neither started nor done.
 func (r Row) open() bool { return r.State == Absent || r.State == Cancelled }
 
-// finallyCancelled reports whether the row's last cancellation was final.
+// finallyCancelled reports whether the row is cancelled and the last
+// cancellation was final.
 func (r Row) finallyCancelled() bool { return r.State == Cancelled && r.Ended == r.Epoch }
 
-// heldBy reports whether the execution has started and has not ended.
+// heldBy reports whether the row is started and names the execution.
 func (r Row) heldBy(execution Execution) bool {
 	return r.State == Started && r.Execution == execution
 }
 
-// belongsToOther reports whether the row belongs to another request.
+// belongsToOther reports whether the row belongs to a request with another
+// fingerprint.
 func (r Row) belongsToOther(fingerprint string) bool {
 	return r.State != Absent && r.Fingerprint != fingerprint
 }
 
-// start returns the row that the execution holds.
+// start returns the row as started by the execution.
 func (r Row) start(fingerprint string, execution Execution) Row {
 	return Row{State: Started, Epoch: r.Epoch, Ended: r.Ended, Fingerprint: fingerprint, Execution: execution}
 }
 
-// cancel returns the row at the next epoch. A final cancellation shuts out
-// every request that was taken in before.
+// cancel returns the row cancelled, at the next epoch. After a final
+// cancellation, no request that was admitted before it can start the work.
 func (r Row) cancel(fingerprint string, final bool) Row {
 	next := Row{State: Cancelled, Epoch: r.Epoch + 1, Ended: r.Ended, Fingerprint: fingerprint}
 	if final {
@@ -92,20 +95,20 @@
 	return next
 }
 
-// finish returns the row with the execution's answer.
+// finish returns the row as done, with the execution's answer.
 func (r Row) finish(answer Answer) Row {
 	r.State = Done
 	r.Answer = answer
 	return r
 }
 
-// RowKey returns the table service's key of the row of an organisation's
+// RowKey returns the key in the table service of the row for an organisation's
 // idempotency key.
 func RowKey(organisation, key string) string {
 	return RowPrefix + digest(organisation, key)
 }
 
-// RowPrefix begins the table service's keys of all rows.
+// RowPrefix is the prefix of the keys of all rows in the table service.
 const RowPrefix = "once/"
 
 // Fingerprint identifies the request that a key is used for.
@@ -113,7 +116,8 @@
 	return digest(service, operation, string(body))
 }
 
-// digest returns the hex SHA-256 of the parts, unambiguous in their borders.
+// digest returns the hex SHA-256 of the parts. Each part is hashed with its
+// length, so that different divisions of the same bytes have different digests.
 func digest(parts ...string) string {
 	sum := sha256.New()
 	for _, part := range parts {
--- a/policy/once/world_test.go
+++ b/policy/once/world_test.go
@@ -14,26 +14,27 @@
 	agents      = 2
 )
 
-// faultBudget bounds the faults of one enumeration; each is spent at any moment.
+// faultBudget bounds the number of faults in one enumeration; each fault may
+// occur at any point.
 type faultBudget struct {
 	StoreDown, LostAnswer, DelayedWrite, Duplicate, Timeout, EntryCrash, AgentCrash, Refusal, BackendNotCalled, LateStart int
 }
 
-// scenario is one enumeration.
+// scenario is the configuration of one enumeration.
 type scenario struct {
 	name     string
-	bodies   []string // One for each request; they share the key.
+	bodies   []string // One for each request; all requests share the key.
 	given    bool
 	faults   faultBudget
-	attempts int // Most attempts that are sent.
-	refused  int // The first requests, which find no backend server.
+	attempts int // Maximum number of attempts that are sent.
+	refused  int // Number of requests, from the first, that find no backend server.
 }
 
 type requestState struct {
 	arrived, finished bool
 	machine           Entry
 	effect            reduce.Effect
-	awaiting          uint8 // Message whose reply is awaited, counted from 1.
+	awaiting          uint8 // Message whose reply is awaited, counted from 1; 0 for none.
 }
 
 type sentMessage struct {
@@ -54,7 +55,7 @@
 	write WriteRow
 }
 
-// modelState is the whole state; it is comparable.
+// modelState is the whole state of the model; it is comparable.
 type modelState struct {
 	row        Row
 	version    uint64
@@ -66,11 +67,11 @@
 	faultsLeft faultBudget
 
 	runs             uint8
-	runAdmittedEpoch uint64 // Epoch at which the request that ran was taken in.
+	runAdmittedEpoch uint64 // Epoch at which the request that ran was admitted.
 	runNonce         string
 	runRequest       uint8
-	notRunBefore     uint64            // Highest epoch below which "not run" was said.
-	toldNotRun       [maxRequests]bool // Requests that were told that their own attempts did not run.
+	notRunBefore     uint64            // Highest NotRunBefore that a refusal carried.
+	toldNotRun       [maxRequests]bool // Requests whose refusal says that their own attempts did not run.
 }
 
 func (w modelState) violation() string {
@@ -78,9 +79,9 @@
 	case w.runs > 1:
 		return "the work ran twice"
 	case w.runs == 1 && w.runAdmittedEpoch < w.notRunBefore:
-		return fmt.Sprintf("the work of a request taken in at epoch %d ran although \"not run\" was said below epoch %d", w.runAdmittedEpoch, w.notRunBefore)
+		return fmt.Sprintf("the work of a request admitted at epoch %d ran although a refusal said \"not run\" below epoch %d", w.runAdmittedEpoch, w.notRunBefore)
 	case w.runs == 1 && w.toldNotRun[w.runRequest]:
-		return fmt.Sprintf("request %d ran although its attempts were said not to run", w.runRequest)
+		return fmt.Sprintf("request %d ran although its refusal said that its attempts did not run", w.runRequest)
 	}
 	return ""
 }
@@ -107,7 +108,8 @@
 	return Inactive
 }
 
-// end forgets the state of a request that has ended.
+// end drops the state of a request that has ended, so that equal states compare
+// equal.
 func (w *modelState) end(r *requestState) { *r = requestState{arrived: true, finished: true} }
 
 // stop makes an execution inactive.
