--- a/policy/config/config.go
+++ b/policy/config/config.go
@@ -1,6 +1,7 @@
-// Package config holds the declarative configuration as one immutable
-// snapshot: data centres, backend servers, organisations, and the work with
-// its idempotency.
+// Package config parses, validates and compares the declarative configuration.
+// An immutable snapshot holds the data centres, the backend servers, the
+// organisations, and the work: models and plain services with the idempotency of
+// their operations.
 package config
 
 import "time"
@@ -13,27 +14,28 @@
 	FileWork           = "work"
 )
 
-// FileNames lists the configuration files in the order of their references.
+// FileNames lists the configuration files so that each file refers only to files
+// before it.
 var FileNames = []string{FileDataCentres, FileWork, FileBackendServers, FileOrganisations}
 
-// Snapshot is the whole configuration at one revision. It is never modified
-// after it was built and may be shared between goroutines.
+// Snapshot is the whole configuration at one revision. It is immutable and may be
+// shared between goroutines.
 type Snapshot struct {
 	Revision       uint64
 	Versions       map[string]FileVersion // By file name.
-	Files          Files                  // The texts that the snapshot was built from.
+	Files          Files                  // Source texts.
 	DataCentres    map[string]DataCentre
 	BackendServers map[string]BackendServer
 	Organisations  map[string]Organisation
 	Models         map[string]Model
 	Services       map[string]Service
 
-	organisationByKey map[string]string // Hex SHA-256 of a key to the organisation's name.
+	organisationByKey map[string]string // Organisation names by hex SHA-256 of the key.
 }
 
-// FileVersion names one accepted version of a file.
+// FileVersion identifies one accepted version of a file.
 type FileVersion struct {
-	Revision uint64 `json:"revision"` // Revision that brought this text.
+	Revision uint64 `json:"revision"` // Revision that introduced this text.
 	Digest   string `json:"digest"`   // Hex SHA-256 of the text.
 }
 
@@ -41,10 +43,10 @@
 type DataCentre struct {
 	Name     string `json:"name"`
 	Region   string `json:"region"`
-	TakenOut bool   `json:"taken_out"` // Gets no new work.
+	TakenOut bool   `json:"taken_out"` // Receives no new work.
 }
 
-// BackendServer is a model engine or a plain service with its agent beside it.
+// BackendServer is a model engine or a plain service, with an agent alongside.
 // Exactly one of Model and Service is set.
 type BackendServer struct {
 	Name       string `json:"name"`
@@ -53,29 +55,29 @@
 	Service    string `json:"service"`
 	Group      string `json:"group"`      // Expert-parallel group, empty for none.
 	Rank       int    `json:"rank"`       // Rank within Group.
-	FullLimit  int    `json:"full_limit"` // Requests at a time when warm.
-	ColdLimit  int    `json:"cold_limit"` // Requests at a time in cold start.
-	TakenOut   bool   `json:"taken_out"`  // Gets no new work.
+	FullLimit  int    `json:"full_limit"` // Maximum concurrent requests when warm.
+	ColdLimit  int    `json:"cold_limit"` // Maximum concurrent requests during cold start.
+	TakenOut   bool   `json:"taken_out"`  // Receives no new work.
 }
 
 // Organisation is one customer.
 type Organisation struct {
 	Name              string   `json:"name"`
-	KeySHA256         []string `json:"key_sha256"` // Hex digests of accepted keys.
+	KeySHA256         []string `json:"key_sha256"` // Hex SHA-256 digests of the accepted keys.
 	Weight            float64  `json:"weight"`
 	RequestsPerSecond float64  `json:"requests_per_second"`
 	Concurrency       int      `json:"concurrency"`
 	Priority          int      `json:"priority"` // 0 is the highest.
 }
 
-// Model is one model that backend servers carry.
+// Model is one model that backend servers serve.
 type Model struct {
 	Name     string   `json:"name"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// Service is one plain service.
+// Service is one plain service: a backend that is not a model engine.
 type Service struct {
 	Name       string      `json:"name"`
 	Operations []Operation `json:"operations"`
@@ -88,12 +90,12 @@
 	TimeoutMS  int    `json:"timeout_ms"`
 }
 
-// Timeout returns the longest time that the operation may take.
+// Timeout returns the maximum duration of the operation.
 func (o Operation) Timeout() time.Duration {
 	return time.Duration(o.TimeoutMS) * time.Millisecond
 }
 
-// Operation returns the named operation of the service.
+// Operation returns the operation with the name, and whether the service has it.
 func (s Service) Operation(name string) (Operation, bool) {
 	for _, operation := range s.Operations {
 		if operation.Name == name {
@@ -113,7 +115,7 @@
 	return s.Organisations[name], true
 }
 
-// AllTakenOut reports whether no data centre may get new work.
+// AllTakenOut reports whether every data centre is taken out of service.
 func (s *Snapshot) AllTakenOut() bool {
 	for _, dataCentre := range s.DataCentres {
 		if !dataCentre.TakenOut {
--- a/policy/config/config_test.go
+++ b/policy/config/config_test.go
@@ -48,7 +48,7 @@
 		So(err, ShouldBeNil)
 		So(snapshot.Versions[FileWork].Revision, ShouldEqual, 3)
 	})
-	Convey("Each fault is named with its place", t, func() {
+	Convey("Each problem is reported with its position", t, func() {
 		for _, c := range cases {
 			files := validFiles()
 			text := string(files[c.file])
@@ -59,23 +59,23 @@
 			So(err.Error(), ShouldContainSubstring, c.want)
 		}
 	})
-	Convey("A file that breaks another's references is refused", t, func() {
+	Convey("A file that breaks the references of another file is rejected", t, func() {
 		files := validFiles()
 		files[FileDataCentres] = []byte(`{"data_centres": [{"name": "dc-1", "region": "r"}]}`)
 		_, err := Build(1, files)
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, `names data centre "dc-2", which does not exist`)
 	})
-	Convey("An unknown file is refused", t, func() {
+	Convey("An unknown file is rejected", t, func() {
 		_, err := Build(1, Files{"fish": []byte("{}")})
 		So(err, ShouldNotBeNil)
 	})
 }
 
 func TestDiffListsChangedFields(t *testing.T) {
-	Convey("Only fields that differ are listed, whatever the order and comments", t, func() {
+	Convey("Only fields that differ are listed, regardless of order and comments", t, func() {
 		old, updated := validFiles(), validFiles()
-		updated[FileDataCentres] = []byte(`{"data_centres": [ // Turned around.
+		updated[FileDataCentres] = []byte(`{"data_centres": [ // In reverse order.
   {"name": "dc-2", "region": "r", "taken_out": true},
   {"name": "dc-1", "region": "r", "taken_out": false}]}`)
 		changes, err := Diff(old, updated)
@@ -92,7 +92,7 @@
 }
 
 // FuzzBuild checks that no set of files makes Build or Diff panic, and that
-// what Build takes Diff takes too.
+// Diff accepts the files that Build accepts.
 func FuzzBuild(f *testing.F) {
 	files := validFiles()
 	f.Add(files[FileDataCentres], files[FileWork], files[FileBackendServers], files[FileOrganisations])
@@ -104,12 +104,12 @@
 			return
 		}
 		if _, err := Diff(files, fuzzed); err != nil {
-			t.Fatalf("valid files can't be compared: %v", err)
+			t.Fatalf("Diff rejected files that Build accepted: %v", err)
 		}
 	})
 }
 
-// BenchmarkBuild builds files of several numbers of organisations.
+// BenchmarkBuild measures Build with several numbers of organisations.
 func BenchmarkBuild(b *testing.B) {
 	for _, count := range []int{1_500, 5_000, 15_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) { benchmarkBuild(b, count) })
--- a/policy/config/diff.go
+++ b/policy/config/diff.go
@@ -12,12 +12,12 @@
 type Change struct {
 	File string `json:"file"`
 	Path string `json:"path"`          // Such as data_centres[dc-1].taken_out.
-	Old  string `json:"old,omitempty"` // JSON; empty where the field is new.
-	New  string `json:"new,omitempty"` // JSON; empty where the field is gone.
+	Old  string `json:"old,omitempty"` // JSON; empty if the field is new.
+	New  string `json:"new,omitempty"` // JSON; empty if the field was removed.
 }
 
-// Diff returns the fields that differ, in order of file and path. A comment or
-// the order of a list's elements makes no difference.
+// Diff returns the fields that differ, ordered by file and path. It ignores
+// comments and the order of list elements.
 func Diff(old, updated Files) ([]Change, error) {
 	var changes []Change
 	for _, file := range FileNames {
@@ -50,7 +50,7 @@
 	return changes
 }
 
-// flatten returns the JSON value of each field of a file by its path.
+// flatten returns the JSON values of a file's fields by path.
 func flatten(file string, text []byte) (map[string]string, error) {
 	fields := map[string]string{}
 	if len(text) == 0 {
@@ -97,8 +97,8 @@
 	return path + "." + name
 }
 
-// elementName returns the element's own name, its value where it is a string,
-// or its index.
+// elementName returns the value of the element's name field, the element itself
+// if it is a string, or its index.
 func elementName(index int, element any) string {
 	switch element := element.(type) {
 	case string:
--- a/policy/config/parse.go
+++ b/policy/config/parse.go
@@ -27,7 +27,7 @@
 	Services []Service `json:"services"`
 }
 
-// decodedFiles holds every decoded file with the documents for positions.
+// decodedFiles holds every decoded file, and the documents that locate problems.
 type decodedFiles struct {
 	documents      map[string]*jsonfile.Document
 	dataCentres    dataCentresFile
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// KnownFile reports whether a configuration file has this name.
+// KnownFile reports whether file is the name of a configuration file.
 func KnownFile(file string) bool { return new(decodedFiles).target(file) != nil }
 
 // Digest returns the hex SHA-256 of a file's text.
@@ -59,8 +59,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Build parses and validates all files into the snapshot of a revision that
-// brought each of them. The error is of type jsonfile.Problems.
+// Build parses and validates all files and returns the snapshot of a revision that
+// introduced every one of them. The error is of type jsonfile.Problems.
 func Build(revision uint64, files Files) (*Snapshot, error) {
 	versions := map[string]FileVersion{}
 	for name, text := range files {
@@ -69,7 +69,7 @@
 	return BuildVersions(revision, versions, files)
 }
 
-// BuildVersions is Build for files that came with earlier revisions.
+// BuildVersions is Build for files that earlier revisions may have introduced.
 func BuildVersions(revision uint64, versions map[string]FileVersion, files Files) (*Snapshot, error) {
 	p, problems := parse(files)
 	if len(problems) == 0 {
--- a/policy/config/splice.go
+++ b/policy/config/splice.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Splice turns one text into another by replacing one stretch of bytes. A
-// splice without a base replaces the whole text.
+// Splice is a delta between two texts that replaces one contiguous range of bytes.
+// A splice without a base replaces the whole text.
 type Splice struct {
-	Base   string // Digest of the text that it applies to; empty for none.
+	Base   string // Digest of the text that the splice applies to; empty for none.
 	Offset int    // Bytes kept from the start.
 	Delete int    // Bytes replaced.
 	Insert []byte
@@ -32,16 +32,16 @@
 	}
 }
 
-// Apply returns the text that the splice makes of old.
+// Apply applies the splice to old and returns the result.
 func (s Splice) Apply(old []byte) ([]byte, error) {
 	if s.Base == "" {
 		return s.Insert, nil
 	}
 	if digest := Digest(old); digest != s.Base {
-		return nil, fmt.Errorf("the splice applies to the text with digest %s, not %s", s.Base, digest)
+		return nil, fmt.Errorf("splice applies to the text with digest %s, not %s", s.Base, digest)
 	}
 	if s.Offset < 0 || s.Delete < 0 || s.Offset > len(old) || s.Delete > len(old)-s.Offset {
-		return nil, fmt.Errorf("the splice replaces %d bytes at %d of a text of %d bytes", s.Delete, s.Offset, len(old))
+		return nil, fmt.Errorf("splice replaces %d bytes at offset %d, outside a text of %d bytes", s.Delete, s.Offset, len(old))
 	}
 	text := make([]byte, 0, len(old)-s.Delete+len(s.Insert))
 	text = append(text, old[:s.Offset]...)
--- a/policy/config/validate.go
+++ b/policy/config/validate.go
@@ -26,7 +26,7 @@
 
 const nameRule = "use up to 128 letters, digits, dots, dashes and underscores, starting with a letter or digit"
 
-// validator checks decoded files within and across each other.
+// validator checks each decoded file and the references between files.
 type validator struct {
 	*decodedFiles
 	problems jsonfile.Problems
@@ -41,12 +41,13 @@
 	return v.problems
 }
 
-// report adds a problem at the value that the JSON pointer names.
+// report adds a problem at the value that the JSON pointer refers to.
 func (v *validator) report(file, pointer, message, hint string) {
 	v.problems = append(v.problems, v.documents[file].Problem(pointer, message, hint))
 }
 
-// name checks one name against the rule and those seen before.
+// name checks the form of one name, and that the names seen before don't contain
+// it.
 func (v *validator) name(file, pointer, kind, name string, seen map[string]bool) {
 	switch {
 	case !namePattern.MatchString(name):
@@ -57,7 +58,7 @@
 	seen[name] = true
 }
 
-// checkRange checks a number against its bounds.
+// checkRange checks that the value is within its bounds, which are inclusive.
 func (v *validator) checkRange(file, pointer string, value, minimum, maximum float64, unit string) {
 	if value >= minimum && value <= maximum {
 		return
@@ -137,11 +138,11 @@
 	for index, digest := range organisation.KeySHA256 {
 		keyPointer := fmt.Sprintf("%s/key_sha256/%d", pointer, index)
 		if !digestPattern.MatchString(digest) {
-			v.report(FileOrganisations, keyPointer, fmt.Sprintf("organisation %q has a key digest of the wrong form", organisation.Name), "write the SHA-256 of the key as 64 lower-case hex digits")
+			v.report(FileOrganisations, keyPointer, fmt.Sprintf("organisation %q has a malformed key digest", organisation.Name), "write the SHA-256 of the key as 64 lower-case hex digits")
 			continue
 		}
 		if owner, ok := owners[digest]; ok {
-			v.report(FileOrganisations, keyPointer, fmt.Sprintf("the key belongs to organisation %q already", owner), "give each organisation its own key")
+			v.report(FileOrganisations, keyPointer, fmt.Sprintf("the key already belongs to organisation %q", owner), "give each organisation its own key")
 		}
 		owners[digest] = organisation.Name
 	}
--- a/policy/config/validate_servers.go
+++ b/policy/config/validate_servers.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// groupRank names one rank of an expert-parallel group.
+// groupRank identifies one rank of an expert-parallel group.
 type groupRank struct {
 	group string
 	rank  int
@@ -24,7 +24,7 @@
 	}
 }
 
-// referenceNames returns what backend servers may refer to.
+// referenceNames returns the names that backend servers may refer to.
 func (v *validator) referenceNames() (dataCentres, models, services map[string]bool) {
 	dataCentres, models, services = map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, dataCentre := range v.dataCentres.DataCentres {
@@ -41,7 +41,7 @@
 
 func (v *validator) validateWorkload(pointer string, server BackendServer) {
 	if (server.Model == "") == (server.Service == "") {
-		message := fmt.Sprintf("backend server %q carries model %q and service %q", server.Name, server.Model, server.Service)
+		message := fmt.Sprintf("backend server %q has model %q and service %q", server.Name, server.Model, server.Service)
 		v.report(FileBackendServers, pointer, message, "set exactly one of model and service")
 	}
 }
@@ -70,12 +70,12 @@
 		return
 	}
 	if server.Model == "" {
-		v.report(FileBackendServers, pointer+"/group", fmt.Sprintf("backend server %q is no model engine but has a group", server.Name), "remove group")
+		v.report(FileBackendServers, pointer+"/group", fmt.Sprintf("backend server %q has a group but is not a model engine", server.Name), "remove group")
 	}
 	v.checkRange(FileBackendServers, pointer+"/rank", float64(server.Rank), 0, maxRank, "")
 	key := groupRank{server.Group, server.Rank}
 	if other, ok := ranks[key]; ok {
-		v.report(FileBackendServers, pointer+"/rank", fmt.Sprintf("backend server %q has rank %d of group %q already", other, server.Rank, server.Group), "give each its own rank")
+		v.report(FileBackendServers, pointer+"/rank", fmt.Sprintf("backend server %q already has rank %d of group %q", other, server.Rank, server.Group), "give each backend server its own rank")
 	}
 	ranks[key] = server.Name
 }
--- a/policy/jsonfile/check.go
+++ b/policy/jsonfile/check.go
@@ -14,10 +14,10 @@
 
 var (
 	unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
-	bytesType       = reflect.TypeFor[[]byte]() // In base64.
+	bytesType       = reflect.TypeFor[[]byte]() // encoding/json writes it as a base64 string.
 )
 
-// checker compares a document with a Go type.
+// checker checks a document against a Go type.
 type checker struct {
 	document *Document
 	problems Problems
@@ -30,7 +30,7 @@
 	}
 }
 
-// check compares value with the type; name is the field that holds the value.
+// check checks the value against the type; name is the field that holds the value.
 func (c *checker) check(value *hujson.Value, t reflect.Type, name string) {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -40,7 +40,7 @@
 		return
 	}
 	if isNull(value) && (t.Kind() == reflect.Slice || t.Kind() == reflect.Map) {
-		return // An empty list or object, as encoding/json writes it.
+		return // encoding/json writes a nil slice or map as null.
 	}
 	if t == bytesType {
 		c.checkScalar(value, reflect.TypeFor[string](), name)
@@ -161,7 +161,7 @@
 
 func (c *checker) reportKind(value *hujson.Value, name, expected string) {
 	if name == "" {
-		c.report(value, "the file holds the wrong kind of value", "write "+expected)
+		c.report(value, "the file holds a value of the wrong type", "write "+expected)
 		return
 	}
 	c.report(value, fmt.Sprintf("field %q holds %s", name, describeValue(value)), "write "+expected)
@@ -183,7 +183,8 @@
 	return text
 }
 
-// typeDescription describes the values of the type; the field's name tells the unit.
+// typeDescription describes the values of the type; the suffix of the field's name
+// gives their unit.
 func typeDescription(t reflect.Type, name string) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -225,7 +226,7 @@
 	return c.fields[t]
 }
 
-// fieldsOf returns the JSON names of the struct's fields with their types.
+// fieldsOf returns the types of the struct's exported fields by JSON name.
 func fieldsOf(t reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for _, field := range reflect.VisibleFields(t) {
@@ -243,7 +244,8 @@
 	return fields
 }
 
-// suggestField names the known fields, the most similar one first where one is.
+// suggestField returns a hint for an unknown field: the first known field with a
+// similar name, or else all known fields.
 func suggestField(key string, fields map[string]reflect.Type) string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
@@ -258,8 +260,8 @@
 	return "known fields: " + strings.Join(names, ", ")
 }
 
-// similar reports whether the names share the most part of their start; case
-// and underscores don't matter.
+// similar reports whether the common prefix of the names covers at least three
+// quarters of the shorter name, ignoring case and underscores.
 func similar(a, b string) bool {
 	a = strings.ReplaceAll(strings.ToLower(a), "_", "")
 	b = strings.ReplaceAll(strings.ToLower(b), "_", "")
--- a/policy/jsonfile/edit.go
+++ b/policy/jsonfile/edit.go
@@ -7,8 +7,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// SetInList returns the text with one field set in the element called name of
-// a list of objects; comments stay. It reports whether the element exists.
+// SetInList sets one field in the element called name of a list of objects and
+// returns the edited text, which keeps its comments. It reports whether the
+// element exists.
 func SetInList(file string, text []byte, list, name, field string, value any) (edited []byte, found bool, err error) {
 	document, err := Parse(file, text)
 	if err != nil {
@@ -31,7 +32,7 @@
 	return root.Pack(), true, nil
 }
 
-// patchOperation is one operation of a JSON patch.
+// patchOperation is one operation of a JSON Patch.
 type patchOperation struct {
 	Op    string `json:"op"`
 	Path  string `json:"path"`
--- a/policy/jsonfile/jsonfile.go
+++ b/policy/jsonfile/jsonfile.go
@@ -1,6 +1,6 @@
 // Package jsonfile decodes JSON with comments strictly: an unknown field, a
-// duplicate name, a wrong type or broken syntax is an error that names the
-// place and what would be right there.
+// duplicate name, a wrong type or a syntax error is reported with its position and
+// a hint how to correct it.
 package jsonfile
 
 import (
@@ -21,7 +21,7 @@
 	MaxDepth = 32
 )
 
-// Document is a parsed file that remembers the place of each value.
+// Document is a parsed file that keeps the position of each value.
 type Document struct {
 	name string
 	text []byte
@@ -43,10 +43,11 @@
 		message := fmt.Sprintf("values are nested more than %d deep", MaxDepth)
 		return nil, Problems{d.problem(offset, message, "no configuration file needs such depth")}
 	}
-	// Decode changes the tree and the bytes that it refers to.
+	// Document.Decode modifies the tree and the bytes that it refers to, so parse a
+	// copy.
 	root, err := hujson.Parse(bytes.Clone(data))
 	if err != nil {
-		// A comment on the last line may lack its line break.
+		// hujson requires a line break after a comment on the last line.
 		withBreak, breakErr := hujson.Parse(append(bytes.Clone(data), '\n'))
 		if breakErr != nil {
 			return nil, Problems{d.syntaxProblem(err)}
@@ -65,7 +66,7 @@
 	if err := c.problems.Err(); err != nil {
 		return err
 	}
-	// Comments become spaces, so that the offsets stay as they are.
+	// Standardize replaces comments by spaces, which preserves the offsets.
 	d.root.Standardize()
 	if err := json.Unmarshal(d.root.Pack(), target); err != nil {
 		return Problems{{File: d.name, Line: 1, Column: 1, Message: err.Error()}}
@@ -82,8 +83,8 @@
 	return document.Decode(target)
 }
 
-// Problem returns a problem at the value that pointer, a JSON pointer, names;
-// where it does not exist, at its nearest existing parent.
+// Problem returns a problem at the value that pointer, a JSON pointer, refers to,
+// or at its nearest existing ancestor if it does not exist.
 func (d *Document) Problem(pointer, message, hint string) Problem {
 	for {
 		if value := d.root.Find(pointer); value != nil {
@@ -116,12 +117,13 @@
 	}
 	hint := "write JSON; comments and trailing commas are allowed"
 	if strings.Contains(text, "EOF") {
-		hint = "the file seems truncated: close every string, object and array"
+		hint = "the file appears to be truncated: close every string, object and array"
 	}
 	return Problem{File: d.name, Line: line, Column: column, Message: text, Hint: hint}
 }
 
-// invalidUTF8Offset returns the offset of the first invalid byte, or -1.
+// invalidUTF8Offset returns the offset of the first byte that is not valid UTF-8,
+// or -1.
 func invalidUTF8Offset(data []byte) int {
 	if utf8.Valid(data) {
 		return -1
@@ -168,8 +170,8 @@
 	return offset
 }
 
-// skipComment returns the offset of the comment's last byte, or offset where
-// no comment begins there.
+// skipComment returns the offset of the comment's last byte, or offset if no
+// comment begins there.
 func skipComment(data []byte, offset int) int {
 	rest := data[offset:]
 	end := -1
--- a/policy/jsonfile/jsonfile_test.go
+++ b/policy/jsonfile/jsonfile_test.go
@@ -38,7 +38,7 @@
 		{"deep nesting in an unknown field", `{"x":` + strings.Repeat(`{"x":`, 100), "values are nested more than 32 deep"},
 		{"too large", strings.Repeat(" ", 50<<20), "f: the file has 52428800 bytes; at most 16777216 bytes are accepted"},
 	}
-	Convey("Each fault is named", t, func() {
+	Convey("Each problem is reported with its position and a hint", t, func() {
 		for _, c := range cases {
 			var target file
 			err := Decode("f", []byte(c.text), &target)
@@ -46,7 +46,7 @@
 			So(c.name+": "+err.Error(), ShouldContainSubstring, c.want)
 		}
 	})
-	Convey("Comments, trailing commas and brackets inside of strings are fine", t, func() {
+	Convey("Comments, trailing commas and brackets inside strings are accepted", t, func() {
 		var target file
 		text := "/* [[[ */ {// [[[\n\"items\": [{\"name\": \"" + strings.Repeat("[", 100) + "\\\"\",},],}"
 		So(Decode("f", []byte(text), &target), ShouldBeNil)
@@ -55,7 +55,7 @@
 }
 
 func TestSetInList(t *testing.T) {
-	Convey("A field is set and the comments stay", t, func() {
+	Convey("A field is set and comments are kept", t, func() {
 		text := "// top\n{\"items\": [\n  {\"name\": \"a\"}, // first\n  {\"name\": \"b\", \"out\": true}, // second\n]}\n"
 		edited, found, err := SetInList("f", []byte(text), "items", "a", "out", true)
 		So(err, ShouldBeNil)
@@ -74,8 +74,8 @@
 	})
 }
 
-// FuzzDecode checks that no text makes the decoder panic, and that an error
-// always names the file.
+// FuzzDecode checks that no text makes Decode or SetInList panic, and that every
+// error names the file.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		"", "{}", `{"items": [{"name": "a", "timeout_ms": 1}]}`, "[[[[", `{"items": [{"name":`, "\xff\xfe", "/* ", "// x", `{"a":"\`,
@@ -88,7 +88,7 @@
 		err := Decode("f", text, &target)
 		problems, ok := err.(Problems)
 		if err != nil && (!ok || len(problems) == 0 || problems[0].File != "f" || problems[0].Message == "") {
-			t.Fatalf("error without its place: %#v", err)
+			t.Fatalf("error without file or message: %#v", err)
 		}
 		_, _, _ = SetInList("f", text, "items", "a", "out", true)
 	})
--- a/policy/jsonfile/problem.go
+++ b/policy/jsonfile/problem.go
@@ -5,19 +5,20 @@
 	"strings"
 )
 
-// maxProblems bounds the problems reported of one file.
+// maxProblems bounds the number of problems that are reported together.
 const maxProblems = 20
 
-// Problem is one fault of a file, with its place and how to mend it.
+// Problem is one error in a file, with its position and a hint how to correct it.
 type Problem struct {
 	File    string `json:"file"`
-	Line    int    `json:"line"`   // From 1; 0 where the fault has no place.
+	Line    int    `json:"line"`   // From 1; 0 if the problem has no position.
 	Column  int    `json:"column"` // From 1, in characters.
 	Message string `json:"what"`   // What is wrong.
-	Hint    string `json:"want"`   // What would be right.
+	Hint    string `json:"want"`   // How to correct it.
 }
 
-// String returns the problem as one line, in the form that editors jump to.
+// String returns the problem as one line that starts with file:line:column, which
+// editors recognise.
 func (p Problem) String() string {
 	place := p.File
 	if p.Line > 0 {
@@ -29,10 +30,9 @@
 	return place + ": " + p.Message + "; " + p.Hint
 }
 
-// Problems is every fault found. It is an error where it is not empty.
+// Problems is a list of problems. It is an error if it is not empty.
 type Problems []Problem
 
-// Error implements error.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for index, problem := range p {
@@ -41,7 +41,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems as an error, nil where there are none.
+// Err returns the first problems, up to maxProblems, as an error, or nil if there
+// are none.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
--- a/policy/once/agent.go
+++ b/policy/once/agent.go
@@ -24,8 +24,8 @@
 )
 
 // Agent is the state machine of one execution of a key's work at an agent. It
-// is a value; Step returns its successor. Once Step has returned Finish or Refuse, the execution
-// is inactive permanently.
+// is a value; Step returns its successor. Once Step has returned Finish or
+// Refuse, the execution is permanently inactive.
 type Agent struct {
 	phase           phase
 	epoch           uint64
--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -76,7 +76,7 @@
 			if w.faultsLeft.Timeout > 0 {
 				next := w
 				next.faultsLeft.Timeout--
-				x.feedRequest(name+"no reply", next, i, NoReply{})
+				x.feedRequest(name+"silent", next, i, NoReply{})
 				x.feedRequest(name+"expires", next, i, Expired{})
 			}
 		case !r.finished:
@@ -169,7 +169,7 @@
 }
 
 func (x *explorer) queryProgress(w modelState, effect QueryProgress, feed func(string, modelState, reduce.Event)) {
-	feed("queries progress", w, ProgressReported{Progress: w.progress(effect.Execution)})
+	feed("asks", w, ProgressReported{Progress: w.progress(effect.Execution)})
 	if w.faultsLeft.Timeout > 0 {
 		next := w
 		next.faultsLeft.Timeout--
--- a/policy/result/result.go
+++ b/policy/result/result.go
@@ -1,5 +1,5 @@
-// Package result defines the numbered result codes that every refusal and
-// failure carries, from an agent through an entry instance to the caller.
+// Package result defines the numeric result codes that every refusal and failure
+// carries, from an agent through an entry instance to the caller.
 package result
 
 import (
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Code is a numbered result. The numbers are stable: callers may store them.
+// Code is a numeric result code. The numbers are stable: callers may store them.
 type Code int
 
-// Result codes. Codes 1xxx are the caller's to mend, 2xxx are refusals before
-// the work was started, 3xxx are failures after it may have been started, and
-// 4xxx concern operators' orders.
+// Result codes. Codes 1xxx are errors of the caller, 2xxx are refusals before the
+// work was started, 3xxx are failures after it may have been started, and 4xxx
+// concern operators' requests.
 const (
 	OK Code = 0
 
@@ -66,12 +66,12 @@
 	MalformedOrder     Code = 4016
 )
 
-// Info describes one code for documentation and for the callers' interface.
+// Info describes one code for documentation and for callers.
 type Info struct {
 	Name       string
 	HTTPStatus int
-	NotRun     bool // The work did not run and will not run because of this attempt.
-	Retryable  bool // Trying again later can help.
+	NotRun     bool // The work did not run, and this attempt will not run it.
+	Retryable  bool // A later retry can succeed.
 	Meaning    string
 }
 
@@ -89,7 +89,7 @@
 	RequestTooSlow:     {"request_too_slow", 408, true, true, "The request body did not arrive in time."},
 	RateLimited:        {"rate_limited", 429, true, true, "The organisation is over its request rate."},
 	Overloaded:         {"overloaded", 503, true, true, "No backend server has room for the request."},
-	ColdStart:          {"cold_start", 503, true, true, "The backend server is in cold start and carries all it can bear."},
+	ColdStart:          {"cold_start", 503, true, true, "The backend server is in cold start and at its limit for cold start."},
 	DataCentreOut:      {"data_centre_out", 503, true, true, "The data centre is taken out of service."},
 	Leaving:            {"leaving", 503, true, true, "The process or its backend server is leaving."},
 	StaleConfiguration: {"stale_configuration", 503, true, true, "The agent has no recent evidence that its configuration is current."},
@@ -98,26 +98,26 @@
 	DeadlineTooShort:   {"deadline_too_short", 503, true, true, "The expected wait exceeds the caller's deadline."},
 	NotReady:           {"not_ready", 503, true, true, "The process does not know the current configuration yet."},
 	KeyStateUnknown:    {"key_state_unknown", 503, false, true, "This attempt was not run; the state of the key is unknown. Repeat with the same key."},
-	ConcurrencyLimited: {"concurrency_limited", 429, true, true, "The organisation has too many requests under way."},
+	ConcurrencyLimited: {"concurrency_limited", 429, true, true, "The organisation has too many requests in flight."},
 	Cancelled:          {"cancelled", 409, true, true, "The request was cancelled before it started."},
-	OutcomeUnknown:     {"outcome_unknown", 504, false, true, "The work may have run. Repeat with the same key to learn."},
-	CutAnswer:          {"cut_answer", 502, false, true, "The answer was cut before its end."},
+	OutcomeUnknown:     {"outcome_unknown", 504, false, true, "The work may have run. Repeat with the same key to learn the outcome."},
+	CutAnswer:          {"cut_answer", 502, false, true, "The answer was truncated."},
 	BackendFailed:      {"backend_failed", 502, false, true, "The backend server failed while it worked on the request."},
 	DeadlineExceeded:   {"deadline_exceeded", 504, false, true, "The deadline passed before the answer was complete."},
 	Internal:           {"internal", 500, false, true, "A fault of the load balancer itself."},
-	Superseded:         {"superseded", 409, false, true, "The idempotency key's row does not allow this attempt; another one has passed it. Agents tell it to entries."},
+	Superseded:         {"superseded", 409, false, true, "The idempotency key's row does not allow this attempt; another attempt has superseded it. Agents return this code to entries."},
 	InvalidFile:        {"invalid_file", 422, true, false, "The configuration file is invalid; nothing was changed."},
 	RevisionConflict:   {"revision_conflict", 409, true, false, "Another change was accepted first; nothing was changed."},
 	ApplyUnknown:       {"apply_unknown", 504, false, true, "The outcome of the apply could not be read back yet."},
 	UnknownFile:        {"unknown_file", 404, true, false, "No configuration file has this name."},
-	UnknownRevision:    {"unknown_revision", 404, true, false, "No such revision is kept."},
+	UnknownRevision:    {"unknown_revision", 404, true, false, "No such revision is stored."},
 	NotInForce:         {"not_in_force", 504, false, true, "The change is accepted but not yet in force everywhere."},
 	GroupWaiting:       {"group_waiting", 503, true, true, "The group of the backend server waits for its expert map."},
-	UnknownGroup:       {"unknown_group", 404, true, false, "No decision about a group of this name is kept."},
+	UnknownGroup:       {"unknown_group", 404, true, false, "No decision about a group of this name is stored."},
 	UnknownOperator:    {"unknown_operator", 401, true, false, "The operator token is missing or unknown."},
 	OperatorForbidden:  {"operator_forbidden", 403, true, false, "The operator's role does not permit this."},
 	RevisionRequired:   {"revision_required", 428, true, false, "The change does not say which revision it was made against."},
-	LastDataCentre:     {"last_data_centre", 422, true, false, "The change would take out the last data centre and does not say that this is meant."},
+	LastDataCentre:     {"last_data_centre", 422, true, false, "The change would take out the last data centre and does not confirm that this is intended."},
 	ChangeFromTakenOut: {"change_from_taken_out", 409, true, false, "The entry's data centre is taken out, so it may take out nothing more."},
 	UnknownApply:       {"unknown_apply", 404, true, false, "No change with this ID was accepted."},
 	UnknownTarget:      {"unknown_target", 404, true, false, "No data centre or backend server has this name."},
@@ -126,7 +126,7 @@
 	MalformedOrder:     {"malformed_order", 400, true, false, "The operator's request is not well formed; nothing was changed."},
 }
 
-// Describe returns the description of code; an unknown code describes Internal.
+// Describe returns the description of code, or that of Internal if code is unknown.
 func Describe(code Code) Info {
 	info, ok := infos[code]
 	if !ok {
@@ -147,18 +147,17 @@
 // String returns the code's name.
 func (c Code) String() string { return Describe(c).Name }
 
-// Error is a failure with its code. It is what processes pass to each other.
+// Error is a failure with its code, in the form that processes send to each other.
 type Error struct {
 	Code       Code
 	Detail     string
-	RetryAfter time.Duration // Zero when coming back does not help or no time is known.
+	RetryAfter time.Duration // Zero if a retry cannot help or no time is known.
 
-	// Unsettled tells that other attempts of the request's idempotency key may be
-	// under way, so that the code's promise "not run" doesn't hold.
+	// Unsettled reports that other attempts with the request's idempotency key may
+	// be in flight, so that the code's guarantee "not run" does not hold.
 	Unsettled bool
 }
 
-// Error implements error.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return fmt.Sprintf("%d %s", int(e.Code), e.Code)
@@ -166,7 +165,7 @@
 	return fmt.Sprintf("%d %s: %s", int(e.Code), e.Code, e.Detail)
 }
 
-// NotRun reports whether the error promises that the work did not run.
+// NotRun reports whether the error guarantees that the work did not run.
 func (e *Error) NotRun() bool { return !e.Unsettled && Describe(e.Code).NotRun }
 
 // Errorf returns an Error with a formatted detail.
@@ -174,7 +173,7 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// From returns the Error inside err, or an Internal one that wraps its text.
+// From returns the Error that err wraps, or an Internal one with err's text.
 func From(err error) *Error {
 	var coded *Error
 	if errors.As(err, &coded) {
