--- a/policy/config/diff.go
+++ b/policy/config/diff.go
@@ -12,12 +12,12 @@
 type Change struct {
 	File string `json:"file"`
 	Path string `json:"path"`          // Such as data_centres[dc-1].taken_out.
-	Old  string `json:"old,omitempty"` // JSON; empty where the field is new.
-	New  string `json:"new,omitempty"` // JSON; empty where the field is gone.
+	Old  string `json:"old,omitempty"` // JSON; empty if the field is new.
+	New  string `json:"new,omitempty"` // JSON; empty if the field was removed.
 }
 
-// Diff returns the fields that differ, in order of file and path. A comment or
-// the order of a list's elements makes no difference.
+// Diff returns the fields that differ, ordered by file and path. It ignores
+// comments and the order of list elements.
 func Diff(old, updated Files) ([]Change, error) {
 	var changes []Change
 	for _, file := range FileNames {
@@ -29,12 +29,12 @@
 		if err != nil {
 			return nil, err
 		}
-		changes = append(changes, compare(file, oldFields, newFields)...)
+		changes = append(changes, compareFields(file, oldFields, newFields)...)
 	}
 	return changes, nil
 }
 
-func compare(file string, old, updated map[string]string) []Change {
+func compareFields(file string, old, updated map[string]string) []Change {
 	var changes []Change
 	for path, value := range old {
 		if updated[path] != value {
@@ -50,13 +50,13 @@
 	return changes
 }
 
-// flatten returns the JSON value of each field of a file by its path.
+// flatten returns the JSON values of a file's fields by path.
 func flatten(file string, text []byte) (map[string]string, error) {
 	fields := map[string]string{}
 	if len(text) == 0 {
 		return fields, nil
 	}
-	p := &parsed{}
+	p := &decodedFiles{}
 	target := p.target(file)
 	if err := jsonfile.Decode(file, text, target); err != nil {
 		return nil, err
@@ -69,19 +69,19 @@
 	if err := json.Unmarshal(standard, &value); err != nil {
 		return nil, fmt.Errorf("decode file %q: %w", file, err)
 	}
-	collect(fields, "", value)
+	flattenValue(fields, "", value)
 	return fields, nil
 }
 
-func collect(fields map[string]string, path string, value any) {
+func flattenValue(fields map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
 		for name, member := range value {
-			collect(fields, join(path, name), member)
+			flattenValue(fields, joinPath(path, name), member)
 		}
 	case []any:
 		for index, element := range value {
-			collect(fields, fmt.Sprintf("%s[%s]", path, elementName(index, element)), element)
+			flattenValue(fields, fmt.Sprintf("%s[%s]", path, elementName(index, element)), element)
 		}
 	case nil:
 	default:
@@ -90,15 +90,15 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// elementName returns the element's own name, its value where it is a string,
-// or its index.
+// elementName returns the value of the element's name field, the element itself
+// if it is a string, or its index.
 func elementName(index int, element any) string {
 	switch element := element.(type) {
 	case string:
--- a/policy/config/parse.go
+++ b/policy/config/parse.go
@@ -27,8 +27,8 @@
 	Services []Service `json:"services"`
 }
 
-// parsed holds every decoded file with the documents for positions.
-type parsed struct {
+// decodedFiles holds every decoded file, and the documents that locate problems.
+type decodedFiles struct {
 	documents      map[string]*jsonfile.Document
 	dataCentres    dataCentresFile
 	backendServers backendServersFile
@@ -36,7 +36,7 @@
 	work           workFile
 }
 
-func (p *parsed) target(file string) any {
+func (p *decodedFiles) target(file string) any {
 	switch file {
 	case FileDataCentres:
 		return &p.dataCentres
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Known reports whether a configuration file has this name.
-func Known(file string) bool { return new(parsed).target(file) != nil }
+// KnownFile reports whether file is the name of a configuration file.
+func KnownFile(file string) bool { return new(decodedFiles).target(file) != nil }
 
 // Digest returns the hex SHA-256 of a file's text.
 func Digest(text []byte) string {
@@ -59,8 +59,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Build parses and validates all files into the snapshot of a revision that
-// brought each of them. The error is of type jsonfile.Problems.
+// Build parses and validates all files and returns the snapshot of a revision that
+// introduced every one of them. The error is of type jsonfile.Problems.
 func Build(revision uint64, files Files) (*Snapshot, error) {
 	versions := map[string]FileVersion{}
 	for name, text := range files {
@@ -69,7 +69,7 @@
 	return BuildVersions(revision, versions, files)
 }
 
-// BuildVersions is Build for files that came with earlier revisions.
+// BuildVersions is Build for files that earlier revisions may have introduced.
 func BuildVersions(revision uint64, versions map[string]FileVersion, files Files) (*Snapshot, error) {
 	p, problems := parse(files)
 	if len(problems) == 0 {
@@ -85,14 +85,14 @@
 	return snapshot, nil
 }
 
-func parse(files Files) (*parsed, jsonfile.Problems) {
-	p := &parsed{documents: map[string]*jsonfile.Document{}}
+func parse(files Files) (*decodedFiles, jsonfile.Problems) {
+	p := &decodedFiles{documents: map[string]*jsonfile.Document{}}
 	var problems jsonfile.Problems
 	for name := range files {
-		if !Known(name) {
+		if !KnownFile(name) {
 			problems = append(problems, jsonfile.Problem{
-				File: name, What: "no configuration file has this name",
-				Want: "use data_centres, work, backend_servers or organisations",
+				File: name, Message: "no configuration file has this name",
+				Hint: "use data_centres, work, backend_servers or organisations",
 			})
 		}
 	}
@@ -108,7 +108,7 @@
 	return p, problems
 }
 
-func (p *parsed) decode(name string, text []byte) jsonfile.Problems {
+func (p *decodedFiles) decode(name string, text []byte) jsonfile.Problems {
 	document, err := jsonfile.Parse(name, text)
 	if err == nil {
 		p.documents[name] = document
@@ -120,7 +120,7 @@
 	return err.(jsonfile.Problems)
 }
 
-func (p *parsed) snapshot() *Snapshot {
+func (p *decodedFiles) snapshot() *Snapshot {
 	snapshot := &Snapshot{
 		DataCentres:       make(map[string]DataCentre, len(p.dataCentres.DataCentres)),
 		BackendServers:    make(map[string]BackendServer, len(p.backendServers.BackendServers)),
--- a/policy/jsonfile/check.go
+++ b/policy/jsonfile/check.go
@@ -14,23 +14,23 @@
 
 var (
 	unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
-	bytesType       = reflect.TypeFor[[]byte]() // In base64.
+	bytesType       = reflect.TypeFor[[]byte]() // encoding/json writes it as a base64 string.
 )
 
-// checker compares a document with a Go type.
+// checker checks a document against a Go type.
 type checker struct {
 	document *Document
 	problems Problems
 	fields   map[reflect.Type]map[string]reflect.Type // By struct type.
 }
 
-func (c *checker) report(value *hujson.Value, what, want string) {
+func (c *checker) report(value *hujson.Value, message, hint string) {
 	if len(c.problems) < maxProblems {
-		c.problems = append(c.problems, c.document.problem(value.StartOffset, what, want))
+		c.problems = append(c.problems, c.document.problem(value.StartOffset, message, hint))
 	}
 }
 
-// check compares value with the type; name is the field that holds the value.
+// check checks the value against the type; name is the field that holds the value.
 func (c *checker) check(value *hujson.Value, t reflect.Type, name string) {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -40,7 +40,7 @@
 		return
 	}
 	if isNull(value) && (t.Kind() == reflect.Slice || t.Kind() == reflect.Map) {
-		return // An empty list or object, as encoding/json writes it.
+		return // encoding/json writes a nil slice or map as null.
 	}
 	if t == bytesType {
 		c.checkScalar(value, reflect.TypeFor[string](), name)
@@ -81,7 +81,7 @@
 		seen[key] = true
 		field, ok := fields[key]
 		if !ok {
-			c.report(&member.Name, fmt.Sprintf("field %q is unknown", key), suggest(key, fields))
+			c.report(&member.Name, fmt.Sprintf("field %q is unknown", key), suggestField(key, fields))
 			continue
 		}
 		c.check(&member.Value, field, key)
@@ -130,7 +130,7 @@
 func (c *checker) checkScalar(value *hujson.Value, t reflect.Type, name string) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok {
-		c.reportKind(value, name, kindName(t, name))
+		c.reportKind(value, name, typeDescription(t, name))
 		return
 	}
 	kind := literal.Kind()
@@ -150,7 +150,7 @@
 		valid = err == nil
 	}
 	if !valid {
-		c.reportKind(value, name, kindName(t, name))
+		c.reportKind(value, name, typeDescription(t, name))
 	}
 }
 
@@ -159,15 +159,15 @@
 	return err == nil && !math.IsInf(number, 0)
 }
 
-func (c *checker) reportKind(value *hujson.Value, name, want string) {
+func (c *checker) reportKind(value *hujson.Value, name, expected string) {
 	if name == "" {
-		c.report(value, "the file holds the wrong kind of value", "write "+want)
+		c.report(value, "the file holds a value of the wrong type", "write "+expected)
 		return
 	}
-	c.report(value, fmt.Sprintf("field %q holds %s", name, describe(value)), "write "+want)
+	c.report(value, fmt.Sprintf("field %q holds %s", name, describeValue(value)), "write "+expected)
 }
 
-func describe(value *hujson.Value) string {
+func describeValue(value *hujson.Value) string {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok && value.Value.Kind() == '{' {
 		return "an object"
@@ -183,21 +183,22 @@
 	return text
 }
 
-// kindName describes the values of the type; the field's name tells the unit.
-func kindName(t reflect.Type, name string) string {
+// typeDescription describes the values of the type; the suffix of the field's name
+// gives their unit.
+func typeDescription(t reflect.Type, name string) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string in quotes"
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Float32, reflect.Float64:
-		return "a number" + unitOf(name)
+		return "a number" + unitSuffix(name)
 	default:
-		return "a whole number" + unitOf(name)
+		return "a whole number" + unitSuffix(name)
 	}
 }
 
-func unitOf(name string) string {
+func unitSuffix(name string) string {
 	switch {
 	case strings.HasSuffix(name, "_ms"):
 		return " of milliseconds, without its unit"
@@ -225,7 +226,7 @@
 	return c.fields[t]
 }
 
-// fieldsOf returns the JSON names of the struct's fields with their types.
+// fieldsOf returns the types of the struct's exported fields by JSON name.
 func fieldsOf(t reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for _, field := range reflect.VisibleFields(t) {
@@ -243,8 +244,9 @@
 	return fields
 }
 
-// suggest names the known fields, the most similar one first where one is.
-func suggest(key string, fields map[string]reflect.Type) string {
+// suggestField returns a hint for an unknown field: the first known field with a
+// similar name, or else all known fields.
+func suggestField(key string, fields map[string]reflect.Type) string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
 		names = append(names, name)
@@ -258,8 +260,8 @@
 	return "known fields: " + strings.Join(names, ", ")
 }
 
-// similar reports whether the names share the most part of their start; case
-// and underscores don't matter.
+// similar reports whether the common prefix of the names covers at least three
+// quarters of the shorter name, ignoring case and underscores.
 func similar(a, b string) bool {
 	a = strings.ReplaceAll(strings.ToLower(a), "_", "")
 	b = strings.ReplaceAll(strings.ToLower(b), "_", "")
--- a/policy/jsonfile/jsonfile.go
+++ b/policy/jsonfile/jsonfile.go
@@ -1,6 +1,6 @@
 // Package jsonfile decodes JSON with comments strictly: an unknown field, a
-// duplicate name, a wrong type or broken syntax is an error that names the
-// place and what would be right there.
+// duplicate name, a wrong type or a syntax error is reported with its position and
+// a hint how to correct it.
 package jsonfile
 
 import (
@@ -21,7 +21,7 @@
 	MaxDepth = 32
 )
 
-// Document is a parsed file that remembers the place of each value.
+// Document is a parsed file that keeps the position of each value.
 type Document struct {
 	name string
 	text []byte
@@ -33,20 +33,21 @@
 func Parse(name string, data []byte) (*Document, error) {
 	d := &Document{name: name, text: data}
 	if len(data) > MaxBytes {
-		what := fmt.Sprintf("the file has %d bytes", len(data))
-		return nil, Problems{{File: name, What: what, Want: fmt.Sprintf("at most %d bytes are accepted", MaxBytes)}}
+		message := fmt.Sprintf("the file has %d bytes", len(data))
+		return nil, Problems{{File: name, Message: message, Hint: fmt.Sprintf("at most %d bytes are accepted", MaxBytes)}}
 	}
-	if offset := invalidUTF8(data); offset >= 0 {
+	if offset := invalidUTF8Offset(data); offset >= 0 {
 		return nil, Problems{d.problem(offset, "the text is not valid UTF-8", "save the file as UTF-8")}
 	}
-	if offset := tooDeep(data); offset >= 0 {
-		what := fmt.Sprintf("values are nested more than %d deep", MaxDepth)
-		return nil, Problems{d.problem(offset, what, "no configuration file needs such depth")}
+	if offset := excessDepthOffset(data); offset >= 0 {
+		message := fmt.Sprintf("values are nested more than %d deep", MaxDepth)
+		return nil, Problems{d.problem(offset, message, "no configuration file needs such depth")}
 	}
-	// Decode changes the tree and the bytes that it refers to.
+	// Document.Decode modifies the tree and the bytes that it refers to, so parse a
+	// copy.
 	root, err := hujson.Parse(bytes.Clone(data))
 	if err != nil {
-		// A comment on the last line may lack its line break.
+		// hujson requires a line break after a comment on the last line.
 		withBreak, breakErr := hujson.Parse(append(bytes.Clone(data), '\n'))
 		if breakErr != nil {
 			return nil, Problems{d.syntaxProblem(err)}
@@ -65,10 +66,10 @@
 	if err := c.problems.Err(); err != nil {
 		return err
 	}
-	// Comments become spaces, so that the offsets stay as they are.
+	// Standardize replaces comments by spaces, which preserves the offsets.
 	d.root.Standardize()
 	if err := json.Unmarshal(d.root.Pack(), target); err != nil {
-		return Problems{{File: d.name, Line: 1, Column: 1, What: err.Error()}}
+		return Problems{{File: d.name, Line: 1, Column: 1, Message: err.Error()}}
 	}
 	return nil
 }
@@ -82,26 +83,26 @@
 	return document.Decode(target)
 }
 
-// Problem returns a problem at the value that pointer, a JSON pointer, names;
-// where it does not exist, at its nearest existing parent.
-func (d *Document) Problem(pointer, what, want string) Problem {
+// Problem returns a problem at the value that pointer, a JSON pointer, refers to,
+// or at its nearest existing ancestor if it does not exist.
+func (d *Document) Problem(pointer, message, hint string) Problem {
 	for {
 		if value := d.root.Find(pointer); value != nil {
-			return d.problem(value.StartOffset, what, want)
+			return d.problem(value.StartOffset, message, hint)
 		}
 		cut := strings.LastIndexByte(pointer, '/')
 		if cut < 0 {
-			return d.problem(0, what, want)
+			return d.problem(0, message, hint)
 		}
 		pointer = pointer[:cut]
 	}
 }
 
-func (d *Document) problem(offset int, what, want string) Problem {
+func (d *Document) problem(offset int, message, hint string) Problem {
 	before := d.text[:min(offset, len(d.text))]
 	lineStart := bytes.LastIndexByte(before, '\n') + 1
 	return Problem{
-		File: d.name, What: what, Want: want,
+		File: d.name, Message: message, Hint: hint,
 		Line:   1 + bytes.Count(before, []byte("\n")),
 		Column: 1 + utf8.RuneCount(before[lineStart:]),
 	}
@@ -114,15 +115,16 @@
 		_, text, _ = strings.Cut(text, ": ")
 		_, text, _ = strings.Cut(text, ": ")
 	}
-	want := "write JSON; comments and trailing commas are allowed"
+	hint := "write JSON; comments and trailing commas are allowed"
 	if strings.Contains(text, "EOF") {
-		want = "the file seems truncated: close every string, object and array"
+		hint = "the file appears to be truncated: close every string, object and array"
 	}
-	return Problem{File: d.name, Line: line, Column: column, What: text, Want: want}
+	return Problem{File: d.name, Line: line, Column: column, Message: text, Hint: hint}
 }
 
-// invalidUTF8 returns the offset of the first invalid byte, or -1.
-func invalidUTF8(data []byte) int {
+// invalidUTF8Offset returns the offset of the first byte that is not valid UTF-8,
+// or -1.
+func invalidUTF8Offset(data []byte) int {
 	if utf8.Valid(data) {
 		return -1
 	}
@@ -136,9 +138,9 @@
 	return -1
 }
 
-// tooDeep returns the offset of the first bracket nested deeper than MaxDepth,
+// excessDepthOffset returns the offset of the first bracket nested deeper than MaxDepth,
 // or -1. Brackets in strings and comments don't count.
-func tooDeep(data []byte) int {
+func excessDepthOffset(data []byte) int {
 	depth := 0
 	for offset := 0; offset < len(data); offset++ {
 		switch data[offset] {
@@ -168,8 +170,8 @@
 	return offset
 }
 
-// skipComment returns the offset of the comment's last byte, or offset where
-// no comment begins there.
+// skipComment returns the offset of the comment's last byte, or offset if no
+// comment begins there.
 func skipComment(data []byte, offset int) int {
 	rest := data[offset:]
 	end := -1
--- a/policy/once/entry.go
+++ b/policy/once/entry.go
@@ -6,50 +6,50 @@
 )
 
 const (
-	maxAttempts    = 3
-	maxRounds      = 6 // Reads of the row to settle one request.
-	maxUnreachable = 5 // Unanswered questions about one execution.
+	maxAttempts           = 3
+	maxReads              = 6 // Reads of the row for one request.
+	maxUnreachableReplies = 5 // Progress queries without a reply, for one request.
 )
 
-// intent is what an entry wants with the row that it reads.
+// intent is what an entry does next with the row that it reads.
 type intent uint8
 
 const (
-	begin    intent = iota // Take the request in.
-	proceed                // Move on from an attempt that failed.
-	conclude               // End the request without a run.
+	admit   intent = iota // Admit the request.
+	retry                 // Send another attempt after a failed one.
+	abandon               // End the request without running the work.
 )
 
-// Entry carries one request of a key at an entry instance. It is a value; Step
-// returns the next one.
+// Entry is the state machine of one request with a key at an entry instance. It
+// is a value; Step returns its successor.
 type Entry struct {
-	given       bool // The caller chose the key, so others may use it too.
-	fingerprint string
-	intent      intent
-	arrival     uint64 // Epoch at which the request was taken in.
-	epoch       uint64 // Epoch of the latest attempt.
-	attempts    int
-	rounds      int
-	unreachable int
-	pending     bool // An attempt of the epoch may be under way.
-	writing     Row  // Cancelled row that is being written.
-	asking      Execution
-	inactive    Execution
-	forgotten   Execution
-	refusal     result.Code // Why the latest attempt did not run.
-}
-
-// NewEntry takes a request in. given tells that the caller chose the key; a
-// generated key is known to no one else, so that its row is not read.
-func NewEntry(given bool, fingerprint string) (Entry, reduce.Effect) {
-	e := Entry{given: given, fingerprint: fingerprint, refusal: result.Cancelled}
-	if given {
+	callerKey          bool // The caller chose the key, so other requests may use it too.
+	fingerprint        string
+	intent             intent
+	admittedEpoch      uint64 // Epoch at which the request was admitted.
+	epoch              uint64 // Epoch of the latest attempt.
+	attempts           int
+	reads              int
+	unreachableReplies int
+	inFlight           bool // An attempt of the epoch may be in flight.
+	pendingWrite       Row  // Cancelled row that is being written.
+	queried            Execution
+	knownInactive      Execution
+	agentRestarted     Execution
+	refusal            result.Code // Reason why the latest attempt did not run.
+}
+
+// NewEntry admits a request. callerKey reports whether the caller chose the key.
+// No other request knows a generated key, so its row is not read.
+func NewEntry(callerKey bool, fingerprint string) (Entry, reduce.Effect) {
+	e := Entry{callerKey: callerKey, fingerprint: fingerprint, refusal: result.Cancelled}
+	if callerKey {
 		return e.read()
 	}
 	return e.send(0)
 }
 
-// Step reduces one event.
+// Step processes one event.
 func (e Entry) Step(event reduce.Event) (Entry, reduce.Effect) {
 	switch event := event.(type) {
 	case RowRead:
@@ -64,49 +64,49 @@
 		}
 		return e.giveUp()
 	case Superseded:
-		e.intent = proceed
+		e.intent = retry
 		return e.read()
-	case Silent:
-		e.pending = true
+	case NoReply:
+		e.inFlight = true
 		e.intent = e.next()
 		return e.read()
-	case WriteWon:
+	case WriteSucceeded:
 		return e.cancelled()
-	case WriteLost, WriteUnknown:
+	case WriteConflict, WriteUnknown:
 		return e.read()
-	case Asked:
-		return e.asked(event.Progress)
+	case ProgressReported:
+		return e.progressReported(event.Progress)
 	case Expired:
-		e.pending = e.pending || e.attempts > 0
+		e.inFlight = e.inFlight || e.attempts > 0
 	}
-	return e.unknown() // ReadFailed, WriteSkipped, Expired.
+	return e.endUnknown() // ReadFailed, WriteSkipped, Expired.
 }
 
-// next returns what to do once no attempt is under way.
+// next returns the intent for when no attempt is in flight.
 func (e Entry) next() intent {
 	if e.attempts < maxAttempts {
-		return proceed
+		return retry
 	}
-	return conclude
+	return abandon
 }
 
 func (e Entry) send(epoch uint64) (Entry, reduce.Effect) {
 	e.epoch = epoch
-	e.pending = false
-	e.intent = proceed
+	e.inFlight = false
+	e.intent = retry
 	e.attempts++
-	return e, Send{Epoch: epoch}
+	return e, SendAttempt{Epoch: epoch}
 }
 
 func (e Entry) read() (Entry, reduce.Effect) {
-	e.rounds++
-	if e.rounds > maxRounds {
-		return e.unknown()
+	e.reads++
+	if e.reads > maxReads {
+		return e.endUnknown()
 	}
 	return e, ReadRow{}
 }
 
-// refused goes on after an attempt that did not run and never will.
+// refused continues after an attempt that did not run and never will.
 func (e Entry) refused(code result.Code) (Entry, reduce.Effect) {
 	e.refusal = code
 	if e.attempts < maxAttempts && code != result.StoreUnavailable {
@@ -115,20 +115,20 @@
 	return e.giveUp()
 }
 
-// giveUp refuses the request while no attempt of its own is under way. Where
-// others may use the key, the promise that the work was not run needs a final
-// cancellation.
+// giveUp refuses the request while none of its attempts is in flight. If other
+// requests may use the key, only a final cancellation guarantees that the work
+// did not run.
 func (e Entry) giveUp() (Entry, reduce.Effect) {
-	if !e.given {
-		return e, Refuse{Code: e.refusal, NotRunBefore: EveryEpoch}
+	if !e.callerKey {
+		return e, Refuse{Code: e.refusal, NotRunBefore: MaxEpoch}
 	}
-	e.intent = conclude
+	e.intent = abandon
 	return e.read()
 }
 
-// unknown ends the request without a promise.
-func (e Entry) unknown() (Entry, reduce.Effect) {
-	if e.pending {
+// endUnknown ends the request without a guarantee that the work did not run.
+func (e Entry) endUnknown() (Entry, reduce.Effect) {
+	if e.inFlight {
 		return e, Refuse{Code: result.OutcomeUnknown}
 	}
 	return e, Refuse{Code: result.KeyStateUnknown}
@@ -136,12 +136,12 @@
 
 func (e Entry) resolve(row Row, version uint64) (Entry, reduce.Effect) {
 	switch {
-	case row.foreign(e.fingerprint):
+	case row.belongsToOther(e.fingerprint):
 		return e, Refuse{Code: result.KeyReused}
 	case row.State == Done:
 		return e, Finish{Answer: row.Answer}
-	case e.intent == begin:
-		e.arrival = row.Epoch
+	case e.intent == admit:
+		e.admittedEpoch = row.Epoch
 	}
 	if row.State == Started {
 		return e.resolveStarted(row, version)
@@ -150,78 +150,80 @@
 }
 
 func (e Entry) resolveStarted(row Row, version uint64) (Entry, reduce.Effect) {
-	e.pending = true
+	e.inFlight = true
 	switch row.Execution {
-	case e.forgotten:
+	case e.agentRestarted:
 		return e, Refuse{Code: result.OutcomeUnknown}
-	case e.inactive:
+	case e.knownInactive:
 		return e.cancel(row, version)
 	}
-	e.asking = row.Execution
-	return e, Ask{Execution: row.Execution}
+	e.queried = row.Execution
+	return e, QueryProgress{Execution: row.Execution}
 }
 
 func (e Entry) resolveOpen(row Row, version uint64) (Entry, reduce.Effect) {
 	switch {
-	case row.Ended > e.arrival && row.ended():
+	case row.Ended > e.admittedEpoch && row.finallyCancelled():
 		return e, Refuse{Code: e.refusal, NotRunBefore: row.Ended}
-	case row.Ended > e.arrival:
-		e.pending = false
-		return e.unknown()
-	case e.intent == begin:
+	case row.Ended > e.admittedEpoch:
+		e.inFlight = false
+		return e.endUnknown()
+	case e.intent == admit:
 		return e.send(row.Epoch)
-	case e.intent == proceed && !e.attemptPending(row):
+	case e.intent == retry && !e.attemptInFlight(row):
 		return e.sendOrGiveUp(row, version)
 	}
 	return e.cancel(row, version)
 }
 
-// attemptPending reports whether an attempt of this entry may still start from
+// attemptInFlight reports whether an attempt of this entry may still start from
 // the row.
-func (e Entry) attemptPending(row Row) bool {
-	return e.pending && row.Epoch == e.epoch
+func (e Entry) attemptInFlight(row Row) bool {
+	return e.inFlight && row.Epoch == e.epoch
 }
 
 func (e Entry) sendOrGiveUp(row Row, version uint64) (Entry, reduce.Effect) {
 	if e.attempts < maxAttempts {
 		return e.send(row.Epoch)
 	}
-	e.intent = conclude
+	e.intent = abandon
 	return e.cancel(row, version)
 }
 
-// cancel moves the row to the next epoch: finally where the request ends here.
+// cancel moves the row to the next epoch. The cancellation is final if the
+// request ends with it.
 func (e Entry) cancel(row Row, version uint64) (Entry, reduce.Effect) {
-	if row.Ended > e.arrival {
-		return e.unknown()
+	if row.Ended > e.admittedEpoch {
+		return e.endUnknown()
 	}
-	final := e.next() == conclude || e.intent == conclude
-	e.writing = row.cancel(e.fingerprint, final)
-	return e, WriteRow{Version: version, Row: e.writing, Bounded: final}
+	final := e.next() == abandon || e.intent == abandon
+	e.pendingWrite = row.cancel(e.fingerprint, final)
+	return e, WriteRow{Version: version, Row: e.pendingWrite, Budgeted: final}
 }
 
 func (e Entry) cancelled() (Entry, reduce.Effect) {
-	if e.writing.ended() {
-		return e, Refuse{Code: e.refusal, NotRunBefore: e.writing.Ended}
+	if e.pendingWrite.finallyCancelled() {
+		return e, Refuse{Code: e.refusal, NotRunBefore: e.pendingWrite.Ended}
 	}
-	return e.send(e.writing.Epoch)
+	return e.send(e.pendingWrite.Epoch)
 }
 
-// asked goes on with what the agent of a started execution tells.
-func (e Entry) asked(progress Progress) (Entry, reduce.Effect) {
+// progressReported handles the progress of a started execution as its agent
+// reports it.
+func (e Entry) progressReported(progress Progress) (Entry, reduce.Effect) {
 	switch progress {
 	case Running:
-		return e, Ask{Execution: e.asking}
+		return e, QueryProgress{Execution: e.queried}
 	case Inactive:
-		e.inactive = e.asking
+		e.knownInactive = e.queried
 		return e.read()
-	case Forgotten:
-		e.forgotten = e.asking
+	case AgentRestarted:
+		e.agentRestarted = e.queried
 		return e.read()
 	}
-	e.unreachable++
-	if e.unreachable >= maxUnreachable {
-		return e.unknown()
+	e.unreachableReplies++
+	if e.unreachableReplies >= maxUnreachableReplies {
+		return e.endUnknown()
 	}
 	return e, ReadRow{Delayed: true}
 }
