--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -138,7 +138,7 @@
 	state := r.node.State()
 	reply.Stamp = r.node.Stamp()
 	reply.Stamp.Revision = state.View.Revision()
-	reply.Started = state.Evidence.Started
+	reply.Started = state.Evidence.StartupConfirmed
 	if !state.View.CurrentAt.IsZero() {
 		reply.Current = true
 		reply.Age = state.View.Age(time.Now())
