--- a/policy/once/agent.go
+++ b/policy/once/agent.go
@@ -92,8 +92,8 @@
 }
 
 func (a Agent) stepStarting(event reduce.Event) (Agent, reduce.Effect) {
-	if won, ok := event.(WriteSucceeded); ok {
-		return a.started(won.Late)
+	if succeeded, ok := event.(WriteSucceeded); ok {
+		return a.started(succeeded.Late)
 	}
 	return a.resolveWrite()
 }
--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -70,7 +70,7 @@
 			next := w
 			request := &next.requests[i]
 			request.arrived = true
-			request.machine, request.effect = NewEntry(x.scenario.given, x.scenario.bodies[i])
+			request.machine, request.effect = NewEntry(x.scenario.callerKey, x.scenario.bodies[i])
 			x.visit(name+"arrives", next)
 		case !r.finished && r.awaiting > 0:
 			if w.faultsLeft.Timeout > 0 {
@@ -114,8 +114,8 @@
 }
 
 func (x *explorer) write(w modelState, write WriteRow, feed func(string, modelState, reduce.Event)) {
-	next, won := w.apply(write)
-	if !won {
+	next, applied := w.apply(write)
+	if !applied {
 		feed("write conflicts", w, WriteConflict{})
 	} else {
 		feed("writes "+string(write.Row.State), next, WriteSucceeded{})
@@ -268,7 +268,7 @@
 		x.read(w, feed)
 	case WriteRow:
 		x.write(w, effect, feed)
-		if next, won := w.apply(effect); won && next.faultsLeft.LateStart > 0 && effect.Row.State == Started {
+		if next, applied := w.apply(effect); applied && next.faultsLeft.LateStart > 0 && effect.Row.State == Started {
 			next.faultsLeft.LateStart--
 			feed("starts after the deadline", next, WriteSucceeded{Late: true})
 		}
@@ -312,9 +312,9 @@
 func (x *explorer) stepFaults(w modelState) {
 	for i, delayed := range w.delayed {
 		if delayed.used {
-			next, won := w.apply(delayed.write)
+			next, applied := w.apply(delayed.write)
 			next.delayed[i] = delayedWrite{}
-			x.visit(fmt.Sprintf("delayed write of %s arrives, applied: %v", delayed.write.Row.State, won), next)
+			x.visit(fmt.Sprintf("delayed write of %s arrives, applied: %v", delayed.write.Row.State, applied), next)
 		}
 	}
 	if w.faultsLeft.EntryCrash > 0 {
--- a/policy/once/model_test.go
+++ b/policy/once/model_test.go
@@ -22,12 +22,12 @@
 
 // scenario is the configuration of one enumeration.
 type scenario struct {
-	name     string
-	bodies   []string // One for each request; all requests share the key.
-	given    bool
-	faults   faultBudget
-	attempts int // Maximum number of attempts that are sent.
-	refused  int // Number of requests, from the first, that find no backend server.
+	name      string
+	bodies    []string // One for each request; all requests share the key.
+	callerKey bool
+	faults    faultBudget
+	attempts  int // Maximum number of attempts that are sent.
+	refused   int // Number of requests, from the first, that find no backend server.
 }
 
 type requestState struct {
