--- a/policy/config/validate.go
+++ b/policy/config/validate.go
@@ -46,8 +46,7 @@
 	v.problems = append(v.problems, v.documents[file].Problem(pointer, message, hint))
 }
 
-// name checks the form of one name, and that the names seen before don't contain
-// it.
+// name checks the form of one name and that it is not in seen.
 func (v *validator) name(file, pointer, kind, name string, seen map[string]bool) {
 	switch {
 	case !namePattern.MatchString(name):
--- a/policy/result/result.go
+++ b/policy/result/result.go
@@ -126,7 +126,8 @@
 	MalformedOrder:     {"malformed_order", 400, true, false, "The operator's request is not well formed; nothing was changed."},
 }
 
-// Describe returns the description of code, or that of Internal if code is unknown.
+// Describe returns the description of code, or that of Internal if code is not
+// defined.
 func Describe(code Code) Info {
 	info, ok := infos[code]
 	if !ok {
