--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -1,12 +1,13 @@
-// Package lease reduces a lease with a fencing number that is held in one row
-// of the table service through compare-and-set.
+// Package lease is the state machine of a lease with a fencing number, held in
+// one row of the table service through compare-and-set.
 //
-// Invariant: every holder has its own fencing number, and later ones have
-// higher numbers. The lease does not promise a single holder at a time: a
-// paused one may wake, so whoever obeys holders must refuse old numbers.
+// Invariant: every holder has its own fencing number, and later holders have
+// higher numbers. The lease does not guarantee a single holder at a time: a
+// paused holder may resume, so whoever accepts orders from holders must reject
+// old numbers.
 //
-// No clocks are compared between machines: a candidate takes the lease after
-// its row has not changed for a while on the candidate's own clock.
+// Clocks of different machines are never compared: a candidate acquires the
+// lease once its row has not changed for some time on the candidate's own clock.
 package lease
 
 import (
@@ -17,7 +18,7 @@
 
 const (
 	renewInterval = 2 * time.Second
-	leaseTimeout  = 6 * time.Second // A row unchanged for so long is free.
+	leaseTimeout  = 6 * time.Second // A lease whose row has not changed for this long is free.
 	retryInterval = time.Second
 )
 
@@ -25,79 +26,72 @@
 type Row struct {
 	Holder string `json:"holder"`
 	Fence  uint64 `json:"fence"`
-	Nonce  uint64 `json:"nonce"` // Differs for every write.
+	Nonce  uint64 `json:"nonce"` // Different for every write.
 }
 
-// State is what a candidate knows of the lease.
+// State is what a candidate knows about the lease.
 type State struct {
 	Self          string
-	TakeoverDelay time.Duration // Added to the lapse, so that candidates don't race.
+	TakeoverDelay time.Duration // Added to the lease timeout, so that candidates do not race.
 
 	Held     bool
-	Fence    uint64 // Highest fencing number seen; the own one while Held.
-	Version  uint64 // Of the row as last seen.
-	Nonce    uint64 // Of the own write under way.
-	Row      Row    // As last seen.
+	Fence    uint64 // Highest fencing number seen; the candidate's own one while Held.
+	Version  uint64 // Version of the row when last read.
+	Nonce    uint64 // Nonce of this candidate's last write.
+	Row      Row    // The row when last read.
 	SeenAt   time.Time
-	InFlight bool // A read or write is under way.
+	InFlight bool // A read or write is in flight.
 	NextAt   time.Time
 }
 
-// Read brings the row; Version 0 means that it does not exist.
+// Read carries the row. Version 0 means that the row does not exist.
 type Read struct {
 	Row     Row
 	Version uint64
 }
 
-// EventName implements reduce.Event.
 func (Read) EventName() string { return "lease.read" }
 
-// Failed tells that a read brought nothing, or that a write has an unknown
-// outcome.
+// Failed reports that a read failed or that the outcome of a write is unknown.
 type Failed struct{}
 
-// EventName implements reduce.Event.
 func (Failed) EventName() string { return "lease.failed" }
 
-// Written tells that a write was applied.
+// Written reports that a write was applied.
 type Written struct {
 	Row     Row
 	Version uint64
 }
 
-// EventName implements reduce.Event.
 func (Written) EventName() string { return "lease.written" }
 
-// Conflict tells that the row had another version; nothing was written.
+// Conflict reports that the row had another version, so that nothing was
+// written.
 type Conflict struct{}
 
-// EventName implements reduce.Event.
 func (Conflict) EventName() string { return "lease.conflict" }
 
-// HolderHeard tells that an order of the holder with the number arrived, so
-// the candidate need not read the row.
+// HolderHeard reports that an order from the holder with the fencing number has
+// arrived, so that the candidate need not read the row yet.
 type HolderHeard struct{ Fence uint64 }
 
-// EventName implements reduce.Event.
 func (HolderHeard) EventName() string { return "lease.holder_heard" }
 
-// ReadRow asks for the row; answered by Read or Failed.
+// ReadRow is the effect that reads the row; the reply is Read or Failed.
 type ReadRow struct{}
 
-// EffectName implements reduce.Effect.
 func (ReadRow) EffectName() string { return "lease.read_row" }
 
-// WriteRow writes the row if it has the version; answered by Written, Conflict
-// or Failed.
+// WriteRow is the effect that writes the row if it still has the version; the
+// reply is Written, Conflict or Failed.
 type WriteRow struct {
 	Row       Row
 	IfVersion uint64
 }
 
-// EffectName implements reduce.Effect.
 func (WriteRow) EffectName() string { return "lease.write_row" }
 
-// Step reduces one input.
+// Step applies one input to the state.
 func Step(s State, input reduce.Input) (State, []reduce.Effect) {
 	switch event := input.Event.(type) {
 	case reduce.Tick:
@@ -138,7 +132,8 @@
 	return s
 }
 
-// read renews the own lease or takes one that has lapsed.
+// read renews the lease if this candidate holds it, or acquires it if it has
+// expired.
 func (s State) read(event Read, input reduce.Input) (State, []reduce.Effect) {
 	s = s.observe(event.Row, event.Version, input.Now)
 	free := event.Version == 0 || input.Now.Sub(s.SeenAt) >= leaseTimeout+s.TakeoverDelay
@@ -154,8 +149,8 @@
 	return s, []reduce.Effect{WriteRow{Row: row, IfVersion: event.Version}}
 }
 
-// observe takes in the row. A write of this process with a lost answer is known by
-// its nonce.
+// observe records the row. If the reply to a write was lost, the nonce shows
+// that the write was applied.
 func (s State) observe(row Row, version uint64, now time.Time) State {
 	if version != s.Version {
 		s.SeenAt = now
--- a/policy/lease/lease_test.go
+++ b/policy/lease/lease_test.go
@@ -20,13 +20,13 @@
 	os.Exit(m.Run())
 }
 
-// tableRow is the table service's tableRow.
+// tableRow models the row in the table service.
 type tableRow struct {
 	lease.Row
 	version uint64
 }
 
-// write applies the write; it returns the event for the candidate.
+// write applies the write and returns the event for the candidate.
 func (r *tableRow) write(effect lease.WriteRow) reduce.Event {
 	if r.version != effect.IfVersion {
 		return lease.Conflict{}
@@ -35,8 +35,8 @@
 	return lease.Written{Row: r.Row, Version: r.version}
 }
 
-// stepCandidate runs one stepCandidate's step and carries out its effects; an answer
-// is lost with the probability 1/4.
+// stepCandidate applies the input to the candidate's state and executes the
+// effects; each reply is lost with a probability of 1/4.
 func stepCandidate(t *rapid.T, table *tableRow, state lease.State, input reduce.Input) lease.State {
 	state, effects := lease.Step(state, input)
 	for _, effect := range effects {
@@ -69,7 +69,7 @@
 				continue
 			}
 			if before, ok := holders[state.Fence]; ok && before != state.Self {
-				t.Fatalf("number %d is held by %q and %q", state.Fence, before, state.Self)
+				t.Fatalf("fencing number %d is held by %q and %q", state.Fence, before, state.Self)
 			}
 			holders[state.Fence] = state.Self
 		}
--- a/policy/mapswitch/change.go
+++ b/policy/mapswitch/change.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Change is what differs between two maps, by rank. Agents that know the map in
-// force get it instead of the whole next map, which in a large group is a
-// hundred times as long.
+// Change is the difference between two maps for one rank in one set. Agents that
+// know the map in force receive changes instead of the whole next map, which in
+// a large group is a hundred times as long.
 type Change struct {
 	Set, Rank int
-	Experts   []int // All that the rank holds in the set from now on.
+	Experts   []int // All experts that the rank holds in the set after the change.
 }
 
-// Changes returns what turns one map into the other.
+// Changes returns the changes that turn the map from into the map to.
 func Changes(from, to Map) []Change {
 	var changes []Change
 	for set := range to {
@@ -23,8 +23,8 @@
 	return changes
 }
 
-// Apply returns the map that the changes make of from, which is not changed. Not
-// ok means that they don't belong to it.
+// Apply returns a copy of from with the changes applied. ok is false if a change
+// names a set or a rank that from does not have.
 func Apply(from Map, changes []Change) (to Map, ok bool) {
 	to = make(Map, len(from))
 	for set := range from {
@@ -39,11 +39,11 @@
 	return to, true
 }
 
-// Shape is the size of a group's map.
+// Shape is the number of sets, experts and ranks of a group's map.
 type Shape struct{ Sets, Experts, Ranks int }
 
-// InTurn returns the map with which a group begins: experts are dealt to the
-// ranks in turn.
+// InTurn returns the map that a new group starts with: the experts of each set
+// are assigned to the ranks round-robin.
 func InTurn(shape Shape) Map {
 	dealt := make(Map, shape.Sets)
 	for set := range dealt {
@@ -56,7 +56,8 @@
 	return dealt
 }
 
-// DealtInTurn returns the shape of a map that InTurn makes; not ok for others.
+// DealtInTurn returns the shape of a map that InTurn produced. ok is false for
+// any other map.
 func DealtInTurn(m Map) (Shape, bool) {
 	if len(m) == 0 {
 		return Shape{}, false
--- a/policy/mapswitch/change_test.go
+++ b/policy/mapswitch/change_test.go
@@ -29,6 +29,6 @@
 	other := InTurn(shape)
 	other[1][2] = []int{0}
 	if got, ok := DealtInTurn(other); ok || got != (Shape{}) {
-		t.Errorf("a map with another placement is taken for the first one: %v", got)
+		t.Errorf("a map with another placement is recognised as a round-robin map: %v", got)
 	}
 }
--- a/policy/mapswitch/group_test.go
+++ b/policy/mapswitch/group_test.go
@@ -8,20 +8,20 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// modelRank behaves like an engine's rank: it keeps one prepared version, one
-// armed switch and one hold, and refuses what does not fit.
+// modelRank models a rank of an engine: it keeps one prepared version, one armed
+// switch and one hold, and rejects orders that do not match its state.
 type modelRank struct {
-	highest   int64 // Of all versions that the rank has had.
+	highest   int64 // The highest version that the rank has had.
 	prepared  int64
-	content   map[int64]string // Of the versions that the rank has had.
-	maps      map[int64]Map    // The same, as the agent beside it remembers them.
+	content   map[int64]string // By version, all that the rank has had.
+	maps      map[int64]Map    // The same maps, as the rank's agent remembers them.
 	version   int64
 	armed     int64
 	armedPass int64
 	held      int64
 }
 
-// modelGroup is a group of ranks that run passes in lock-step.
+// modelGroup models a group of ranks that run passes in lock-step.
 type modelGroup struct {
 	epoch int64
 	pass  int64
@@ -42,7 +42,7 @@
 	}
 }
 
-// apply carries an order out, if it fits.
+// apply executes an order, or ignores it if it does not match the rank's state.
 func (g *modelGroup) apply(rank int, order topology.Order) {
 	r := g.ranks[rank]
 	if order.Epoch != g.epoch {
@@ -73,8 +73,8 @@
 	}
 }
 
-// expand returns the order as the agent beside the rank passes it on: a map that
-// builds on one that the agent knows is made of that one's and the changes.
+// expand returns the order as the rank's agent passes it on. If the agent knows
+// the base map, it builds the next map from its own copy and the changes.
 func (g *modelGroup) expand(send SendOrder) topology.Order {
 	base, known := g.ranks[send.Rank].maps[send.BaseVersion]
 	if send.Order.Kind != topology.Prepare || send.BaseMap == nil || !known {
@@ -86,8 +86,8 @@
 	return send.Order
 }
 
-// beginPass begins the next pass unless it is held; it fails where two ranks have
-// different maps then.
+// beginPass begins the next pass unless it is held. It fails if two ranks then
+// have different maps.
 func (g *modelGroup) beginPass() error {
 	for _, r := range g.ranks {
 		if r.held == g.pass+1 {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// report is what the rank says of itself.
+// report returns the rank's own report.
 func (g *modelGroup) report(rank int) RankRead {
 	r := g.ranks[rank]
 	return RankRead{
@@ -121,13 +121,13 @@
 	}
 }
 
-// lossyNetwork carries orders and reports: it loses them, and keeps orders to carry
-// them out late.
+// lossyNetwork carries orders and reports. It loses some of them, and keeps some
+// orders to deliver them late.
 type lossyNetwork struct {
 	group        *modelGroup
 	delayed      []delayedOrder
-	fences       map[int]uint64 // The highest that each rank's agent has seen.
-	staleReports []RankRead     // What the engines say to callers from afar.
+	fences       map[int]uint64 // Highest fencing number that each rank's agent has seen.
+	staleReports []RankRead     // What the engines report to callers on other machines.
 }
 
 type delayedOrder struct {
@@ -135,17 +135,17 @@
 	order topology.Order
 }
 
-// modelCoordinator is a coordinator that may die, sleep or be succeeded.
+// modelCoordinator is a coordinator that may crash, pause or be superseded.
 type modelCoordinator struct {
 	state          State
 	pending        []reduce.Effect
-	delayedReports []RankRead // Reports on their way.
+	delayedReports []RankRead // Reports still in flight.
 	plans          int
 }
 
 func newModelCoordinator(fence uint64, rank int) *modelCoordinator {
 	c := &modelCoordinator{state: New(fence, rank)}
-	c.state.readAgeLimitOverride = time.Hour // Reads come seldom in the model.
+	c.state.readAgeLimitOverride = time.Hour // Reads are rare in the model.
 	return c
 }
 
@@ -155,7 +155,7 @@
 	c.pending = append(c.pending, effects...)
 }
 
-// plan offers the map in use with one rank's experts of a set changed.
+// plan submits the map in use with one rank's experts of one set changed.
 func (c *modelCoordinator) plan(now time.Time) {
 	if c.state.Phase != Idle {
 		return
@@ -166,12 +166,12 @@
 		Set: set, Rank: rank, Experts: []int{rank, int(c.state.Fence)*1000 + c.plans},
 	}})
 	if !ok {
-		panic("the map in use has the set and the rank")
+		panic("the map in use lacks the set or the rank")
 	}
 	c.handle(Planned{Epoch: c.state.Epoch, Map: next}, now)
 }
 
-// String shows the ranks, for a failure's message.
+// String describes the ranks for failure messages.
 func (g *modelGroup) String() string {
 	text := ""
 	for i, r := range g.ranks {
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// holdTimeout is how long a hold stands at most before ranks are armed for it:
-	// several calls between small machines.
+	// holdTimeout is how long a hold may stand before ranks are armed for it. It
+	// leaves time for several calls between small machines.
 	holdTimeout = 100*time.Millisecond + holdSettleTime
-	// holdSettleTime is how long after the answer to an order to hold its giver is looked
-	// at again. A machine that stops because of the order, or with its answer, has
-	// done so by then: the call itself takes about 5 ms.
+	// holdSettleTime is the delay between the reply to an order to hold and the
+	// second check of its sender. A machine that stops because of the order, or
+	// while it replies, has stopped by then: the call itself takes about 5 ms.
 	holdSettleTime = 20 * time.Millisecond
-	// readAgeLimitBase and heardPerRank bound the age of the latest read of every rank
-	// before a hold: ranks are read every 24 ms, and every 2 ms a rank in large
-	// groups; two reads may be lost.
+	// readAgeLimitBase and readAgeLimitPerRank bound the age of the latest read of
+	// every rank before a hold. Ranks are read every 24 ms, in large groups every
+	// 2 ms times the number of ranks; two reads may be lost.
 	readAgeLimitBase    = 60 * time.Millisecond
 	readAgeLimitPerRank = 4 * time.Millisecond
 )
 
-// Hold is the hold of the change under way.
+// Hold describes the hold of the change in progress.
 type Hold struct {
-	Rank int // At which it is put.
+	Rank int // The rank that holds the pass.
 	Pass int64
 
-	firstOrderedAt time.Time // When it was first ordered, at whatever rank.
-	sender         int       // The rank whose agent gives the order.
-	answeredAt     time.Time // When its call returned; zero before.
-	recheckedAt    time.Time // When the giver was looked at again; zero before.
+	firstOrderedAt time.Time // When the hold was first ordered, at any rank.
+	sender         int       // The rank whose agent sends the order.
+	answeredAt     time.Time // When the call to the sender returned; zero before.
+	recheckedAt    time.Time // When the second check of the sender was requested; zero before.
 }
 
-// putHold puts the putHold. Ranks are armed only when it is in place and the machine
-// that gave the order still answers: one that stopped just then could not be armed.
+// putHold sets the hold. Ranks are armed only after the hold is in place and the
+// machine that sent the order still answers: a machine that stopped just then
+// could not be armed.
 func (s State) putHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	holder := s.Ranks[s.Hold.Rank]
 	held := holder.State.HeldPass
@@ -43,17 +44,17 @@
 		s, moved := s.enterPhase(Arming, "hold is in place", now)
 		return s, moved, nil
 	case held == s.Hold.Pass && now.Sub(s.Since) > holdTimeout:
-		// No rank has been armed for the pass, so the group may go on.
+		// No rank has been armed for the pass, so the group may continue.
 		s, orders := s.releaseHolds(held, now)
 		s.senderFailedAt = now
-		s, moved := s.enterPhase(Preparing, "the machine that gave the order to hold does not answer", now)
+		s, moved := s.enterPhase(Preparing, "the sender of the hold does not answer", now)
 		return s, moved, orders
 	case held == s.Hold.Pass:
 		s, look := s.recheckSender(now)
 		return s, nil, look
 	case held != 0:
-		// An earlier hold took effect late; all ranks have prepared a later version than
-		// any that was to be armed for it.
+		// An earlier hold took effect late. All ranks have since prepared a later
+		// version than any that was to be armed for it.
 		s, orders := s.releaseHolds(held, now)
 		return s, nil, orders
 	case s.lastPass() >= s.Hold.Pass || s.needsNewHoldRanks():
@@ -66,8 +67,9 @@
 	return s, nil, s.order(now, topology.Order{Kind: topology.Hold, Pass: s.Hold.Pass}, s.isRank(s.Hold.Rank))
 }
 
-// selectHoldRanks takes the next rank for the hold: the hold before was refused or came
-// too late, or an agent is away.
+// selectHoldRanks selects the next rank and sender for the hold, because the
+// previous hold was rejected or came too late, or because an agent is
+// unreachable.
 func (s State) selectHoldRanks() State {
 	s.Hold.Rank, s.Hold.sender = s.nextHoldRanks()
 	s.Hold.answeredAt, s.Hold.recheckedAt = time.Time{}, time.Time{}
@@ -77,8 +79,9 @@
 	return s
 }
 
-// recheckSender asks to look at the giver of the order to hold some time after its
-// answer: a machine that stops with the order may still have answered it.
+// recheckSender requests a read of the sender some time after its reply to the
+// order to hold: a machine that stops because of the order may still have
+// replied to it.
 func (s State) recheckSender(now time.Time) (State, []reduce.Effect) {
 	if s.Hold.answeredAt.IsZero() || !s.Hold.recheckedAt.IsZero() || now.Sub(s.Hold.answeredAt) < holdSettleTime {
 		return s, nil
@@ -87,22 +90,22 @@
 	return s, []reduce.Effect{ReadRank{Rank: s.Hold.sender}}
 }
 
-// senderAnswersAgain reports whether the agent that gave the order to hold has answered a
-// call that was made some time after that.
+// senderAnswersAgain reports whether the agent that sent the order to hold has
+// answered a call made at least holdSettleTime after its reply.
 func (s State) senderAnswersAgain() bool {
 	sender := s.Ranks[s.Hold.sender]
 	return !s.Hold.answeredAt.IsZero() && !sender.Direct && sender.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
 }
 
-// needsNewHoldRanks reports whether another rank, or another agent to give the order, is
-// to be taken.
+// needsNewHoldRanks reports whether the hold needs another rank or another
+// sender, because an agent is unreachable and there is a replacement.
 func (s State) needsNewHoldRanks() bool {
 	holder, sender := s.nextHoldRanks()
 	return (s.Ranks[s.Hold.Rank].Direct || s.Ranks[s.Hold.sender].Direct) && (holder != s.Hold.Rank || sender != s.Hold.sender)
 }
 
-// nextHoldPass returns the pass to hold; not ok while the group has not got far
-// enough.
+// nextHoldPass returns the pass to hold. ok is false while the lowest pass that
+// may be held is more than maxPassLead passes ahead.
 func (s State) nextHoldPass() (pass int64, ok bool) {
 	lead := s.passTiming.lead(s.Size)
 	if s.ordersLost {
@@ -112,10 +115,10 @@
 	return pass, pass <= s.lastPass()+maxPassLead
 }
 
-// nextHoldRanks returns the rank at which to put a hold, and the one whose agent gives
-// the order. Both are on other machines than the coordinator where there are enough
-// whose agents can be called: whichever of the three machines stops just then, the
-// hold can be released.
+// nextHoldRanks returns the rank that holds the pass and the rank whose agent
+// sends the order. If enough agents are reachable, both are on other machines
+// than the coordinator, so that the hold can be released whichever of the three
+// machines stops at that moment.
 func (s State) nextHoldRanks() (holder, sender int) {
 	var callable []int
 	for i := range s.Size {
@@ -133,9 +136,9 @@
 	}
 }
 
-// allReadRecently reports whether every rank has been read a moment ago, and since a giver
-// was last silent. A rank whose machine stands still can't be armed, and the group
-// would rest until that machine moves again.
+// allReadRecently reports whether every rank has been read recently, and since
+// the sender of a hold last failed to answer. A rank on a stopped machine cannot
+// be armed, and the group would stall until that machine runs again.
 func (s State) allReadRecently(now time.Time) bool {
 	return s.allRanks(func(r Rank) bool {
 		return now.Sub(r.ReportRequestedAt) < s.readAgeLimit() && r.ReportRequestedAt.After(s.senderFailedAt)
--- a/policy/mapswitch/hold_test.go
+++ b/policy/mapswitch/hold_test.go
@@ -21,12 +21,12 @@
 			}
 			So(runRounds(g, c, &now, 1, nil), ShouldBeNil)
 		}
-		So(runRounds(g, c, &now, 1, nil), ShouldBeNil) // The hold is put.
+		So(runRounds(g, c, &now, 1, nil), ShouldBeNil) // The hold is in place.
 		now = now.Add(50 * time.Millisecond)
 		readRanks(g, c, now)
 		So(c.state.Phase, ShouldEqual, Arming)
 
-		Convey("a hold that a predecessor has put at an earlier pass does not stop the group", func() {
+		Convey("a hold that a predecessor sets on an earlier pass does not stop the group", func() {
 			So(c.state.Hold.Pass, ShouldBeGreaterThan, g.pass)
 			g.apply(3, topology.Order{Kind: topology.Hold, Epoch: g.epoch, Pass: g.pass + 1})
 			before := g.pass
@@ -35,7 +35,7 @@
 			So(c.state.Phase, ShouldEqual, Idle)
 		})
 
-		Convey("nor does one at a later pass", func() {
+		Convey("a hold that a predecessor sets on a later pass does not stop the group", func() {
 			g.apply(3, topology.Order{Kind: topology.Hold, Epoch: g.epoch, Pass: c.state.Hold.Pass + 1})
 			before := g.pass
 			So(runRounds(g, c, &now, 30, nil), ShouldBeNil)
@@ -45,7 +45,7 @@
 }
 
 func TestDelayedReleaseOfHeldPass(t *testing.T) {
-	Convey("Given a group at rest whose hold was released by an order that is still on its way too", t, func() {
+	Convey("Given a stalled group whose hold was released, and a duplicate of the release order still in flight", t, func() {
 		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
 		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
 		held := g.pass + 1
@@ -89,7 +89,8 @@
 					c.pending = nil
 				}
 				So(c.plans, ShouldEqual, 1)
-				// Its hold is left behind and released, so that the next one finds none.
+				// The coordinator's hold is left in place; release it so that the next
+				// coordinator finds none.
 				for _, r := range g.ranks {
 					r.held = 0
 				}
@@ -99,7 +100,7 @@
 }
 
 func TestMachineThatStopsWithTheHold(t *testing.T) {
-	Convey("Given a change whose hold is ordered", t, func() {
+	Convey("Given a change whose hold has been ordered", t, func() {
 		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
 		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
 		c.plan(now)
@@ -120,15 +121,15 @@
 		order := c.pending[len(c.pending)-1].(SendOrder)
 		So(order.Order.Kind, ShouldEqual, topology.Hold)
 
-		Convey("the order goes through a third machine", func() {
+		Convey("the order is sent through a third machine", func() {
 			So(order.Through, ShouldNotEqual, order.Rank)
 			So(order.Through, ShouldNotEqual, 0)
 			So(order.Rank, ShouldNotEqual, 0)
 		})
 
-		stops := func() {
+		checkGroupContinues := func() {
 			c.pending = nil
-			others := func() {
+			readOthers := func() {
 				for rank := range g.ranks {
 					if rank != order.Through {
 						read := g.report(rank)
@@ -139,7 +140,7 @@
 			}
 			for range 50 {
 				now = now.Add(20 * time.Millisecond)
-				others()
+				readOthers()
 				for _, effect := range c.pending {
 					if send, ok := effect.(SendOrder); ok {
 						So(send.Order.Kind, ShouldBeIn, topology.Hold, topology.Release)
@@ -156,20 +157,20 @@
 			So(runRounds(g, c, &now, 40, nil), ShouldBeNil)
 			So(g.ranks[0].version, ShouldBeGreaterThan, 0)
 		}
-		Convey("where that machine answers the call and stops then, the group goes on, and there is no hold before it is heard again", func() {
+		Convey("if that machine replies and then stops, the group continues, and there is no new hold until the machine answers again", func() {
 			g.apply(order.Rank, order.Order)
 			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
-			stops()
+			checkGroupContinues()
 		})
-		Convey("the same holds where it stops just after it has been looked at", func() {
+		Convey("the same applies if it stops just after it has been read", func() {
 			g.apply(order.Rank, order.Order)
 			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			now = now.Add(time.Millisecond)
 			readRanks(g, c, now)
 			So(c.state.Phase, ShouldEqual, Holding)
-			stops()
+			checkGroupContinues()
 		})
-		Convey("a machine that goes on is looked at again, and the ranks are armed", func() {
+		Convey("a machine that keeps running is read again, and the ranks are armed", func() {
 			g.apply(order.Rank, order.Order)
 			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			c.pending = nil
@@ -183,7 +184,7 @@
 			So(c.state.Phase, ShouldEqual, Arming)
 		})
 	})
-	Convey("Given a rank that is not heard while others copy", t, func() {
+	Convey("Given a rank that cannot be read while others copy", t, func() {
 		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
 		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
 		c.state.readAgeLimitOverride = 200 * time.Millisecond
@@ -199,7 +200,7 @@
 		read := g.report(3)
 		read.State.Prepared, read.RequestedAt = c.state.Version, now.Add(-time.Second)
 		c.handle(read, now)
-		Convey("no hold is put", func() { So(c.state.Phase, ShouldEqual, Preparing) })
+		Convey("no hold is set", func() { So(c.state.Phase, ShouldEqual, Preparing) })
 	})
 }
 
@@ -213,7 +214,7 @@
 		So(g.ranks[0].version, ShouldBeGreaterThan, 0)
 		So(c.state.Hold.Pass-before, ShouldBeLessThanOrEqualTo, 4)
 
-		Convey("that of a successor holds none that its predecessor may have released", func() {
+		Convey("the first change of a successor holds no pass that its predecessor may have released", func() {
 			second := newModelCoordinator(2, 1)
 			So(runRounds(g, second, &now, 4, nil), ShouldBeNil)
 			read := g.pass
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -1,21 +1,23 @@
-// Package mapswitch reduces the coordination of one group's expert map: every
-// rank copies the next version, a hold keeps the group from beginning a pass
-// until all ranks are armed for it, and the group switches as one.
+// Package mapswitch is the state machine that coordinates changes of one group's
+// expert map. Every rank copies the next version, a hold keeps the group from
+// beginning a pass until all ranks are armed for it, and then all ranks switch
+// in the same pass.
 //
 // Invariant: no pass begins while two ranks have different maps. Orders may be
-// lost, or be carried out seconds later, after newer ones; nothing is concluded
-// from silence, only from ranks' own reports.
+// lost, or take effect seconds later and after newer ones. A missing reply
+// proves nothing; decisions are based only on the ranks' own reports.
 //
 //   - The hold is released only when every rank of the epoch has reported that
 //     it is armed for the same version and pass, or when no rank is armed and no
 //     order to arm for that pass can still take effect.
-//   - A rank is disarmed only where another rank can no longer be armed for the
-//     version, so that no coordinator ever sees all of them armed. Else a report of
-//     any age that shows a rank armed holds until the pass begins.
-//   - No pass is held for which an order to release may still be on its way.
-//   - A version holds the number of the lease that made it, so that no version
-//     ever has two contents. A coordinator that a rank shows a later lease's version
-//     ends.
+//   - A rank is disarmed only if another rank can no longer be armed for the
+//     version, so that no coordinator ever sees all of them armed. Otherwise a
+//     report of any age that shows a rank armed stays valid until the pass
+//     begins.
+//   - A pass is never held while an order to release it may still be in flight.
+//   - A version number contains the fencing number of the lease that created it,
+//     so that no version ever has two contents. A coordinator stops when a rank
+//     reports a version of a later lease.
 package mapswitch
 
 import (
@@ -26,157 +28,156 @@
 )
 
 const (
-	// passLead is how many passes ahead of the last known one the hold is put at
-	// least. A hold that comes too late for its pass is refused, and the answer tells
-	// which pass is the next.
+	// passLead is the minimum number of passes by which the held pass is ahead of
+	// the last known one. A rank rejects a hold that arrives too late for its pass,
+	// and its reply tells which pass is next.
 	passLead = 1
-	// lostOrderPassLead holds where orders of the same change were lost: the group
-	// then has a pass to run while lost orders to arm are repeated.
+	// lostOrderPassLead replaces passLead if orders of the same change were lost:
+	// the group then has one more pass to run while lost orders to arm are resent.
 	lostOrderPassLead = 2
-	// maxPassLead is how many passes ahead of the last known one a hold is put at
-	// most. A successor's holds are beyond all passes that it finds within it, so
-	// that a predecessor's release which takes effect late never meets them.
+	// maxPassLead is the maximum number of passes by which the held pass is ahead of
+	// the last known one. A successor only holds passes more than maxPassLead after the
+	// last one that it finds, so that a delayed release order of its predecessor
+	// never matches one of its holds.
 	maxPassLead = 4
-	// armTimePerRank is what holding, arming and releasing take for each rank where
-	// no change has shown it yet: calls and reports of a small machine.
+	// armTimePerRank is the estimated time per rank to hold, arm and release until a
+	// change has been measured. It covers the calls and reports of a small machine.
 	armTimePerRank = time.Millisecond
-	// resendAfter is how long an order that shows no effect is waited for;
-	// engines on the same machine answer within a few ms.
+	// resendAfter is how long to wait for an order to take effect before it is
+	// resent; engines on the same machine answer within a few ms.
 	resendAfter = 12 * time.Millisecond
-	// copyResendAfter is the same for an order to copy, whose effect shows only
-	// when the copy is complete; a rank that copies says that it is busy.
+	// copyResendAfter is the same for an order to copy, which takes effect only when
+	// the copy is complete; a rank that is copying reports that it is busy.
 	copyResendAfter = 40 * time.Millisecond
-	// pendingLimit is how long the return of an order's call is waited for; calls
-	// have shorter limits of their own.
+	// pendingLimit is how long to wait for the call of an order to return; the calls
+	// themselves have shorter timeouts.
 	pendingLimit = time.Second
-	// prepareLimit is how long ranks may copy before the version is given up; a
-	// change brings each rank a few experts of about 0.1 s each.
+	// prepareLimit is how long ranks may copy before the version is abandoned. A
+	// change brings each rank a few experts, and copying one takes about 0.1 s.
 	prepareLimit = 4 * time.Second
-	// versionsPerFence is the number of versions that one lease can make.
+	// versionsPerFence is the number of versions that one lease can create.
 	versionsPerFence = 1 << 20
 )
 
-// Phase is where a change of the map stands.
+// Phase is the phase of a map change.
 type Phase int
 
-// The phases.
+// The phases of a map change.
 const (
 	Survey    Phase = iota // Not all ranks have been read in this epoch.
-	Idle                   // No change is under way.
+	Idle                   // No change is in progress.
 	Preparing              // Ranks copy the next version.
-	Holding                // The hold is being put.
-	Arming                 // Ranks are being armed; the group may rest.
+	Holding                // The hold is being set.
+	Arming                 // Ranks are being armed; the group may stall meanwhile.
 	Releasing              // The hold is being released.
-	Settling               // The group has not begun the pass yet.
-	Fencing                // A predecessor's hold is made harmless before its release.
+	Settling               // The group has not yet begun the held pass.
+	Fencing                // A predecessor's orders are invalidated before its hold is released.
 )
 
-// String returns the phase's name for logs.
+// String returns the phase's name for logs and metrics.
 func (p Phase) String() string {
 	return [...]string{"survey", "idle", "preparing", "holding", "arming", "releasing", "settling", "fencing"}[p]
 }
 
-// Map places experts: by set and rank.
+// Map lists the experts of each rank, by set and rank.
 type Map = [][][]int
 
-// State is what a coordinator knows of its group.
+// State is the coordinator's view of its group.
 type State struct {
-	Fence uint64 // Number of the lease.
+	Fence uint64 // Fencing number of the lease.
 	Epoch int64
-	Size  int // Ranks of the group in this epoch.
+	Size  int // Number of ranks in this epoch.
 	Ranks map[int]Rank
 
 	Phase          Phase
-	Since          time.Time // Of the phase.
-	Version        int64     // Being put in force, or in force.
-	Next           Map       // Content of Version while it is put in force.
-	Current        Map       // In use; nil while unknown.
+	Since          time.Time // When the phase began.
+	Version        int64     // The version in force, or being put in force.
+	Next           Map       // Content of Version while it is put in force; nil for a predecessor's change.
+	Current        Map       // The map in use; nil while unknown.
 	CurrentVersion int64     // The version of Current.
 	Hold           Hold
 
-	senderFailedAt       time.Time     // When a giver of a hold did not answer; zero for never.
-	readAgeLimitOverride time.Duration // Overrides the hearing limit; 0 for the usual one.
-	ownRank              int           // The rank beside the coordinator.
-	minHoldPass          int64         // Passes below it are not held: a release may be on its way.
+	senderFailedAt       time.Time     // When the sender of a hold last failed to answer; zero if never.
+	readAgeLimitOverride time.Duration // Replaces the computed read age limit if not 0.
+	ownRank              int           // The rank on the coordinator's machine.
+	minHoldPass          int64         // Lower passes are not held: an order to release one may be in flight.
 
-	superseded bool // A rank has shown a version of a later lease; nothing is done any more.
+	superseded bool // A rank has reported a version of a later lease; all input is ignored from then on.
 
-	versionsMade int64 // Versions made under this lease.
-	ordersLost   bool  // An order to copy had to be repeated in this change.
+	versionsMade int64 // Number of versions created under this lease.
+	ordersLost   bool  // An order to copy had to be resent in this change.
 	passTiming   passTiming
-	// releasablePasses are passes whose hold may be released at once: those that this lease
-	// has held, and those whose orders to arm were made void.
+	// releasablePasses are the passes whose hold may be released at once: those that
+	// this lease has held, and those whose orders to arm have been invalidated.
 	releasablePasses map[int64]bool
 }
 
-// Rank is a rank as last reported.
+// Rank is the last reported state of a rank.
 type Rank struct {
 	State             topology.RankState
-	Lists             topology.RankLists // Of State.MapVersion where the versions agree.
-	ReportRequestedAt time.Time          // When the report was asked for.
-	Direct            bool               // Its agent is away: the report came from the engine itself.
-	OrderedAt         time.Time          // When the last order was given.
+	Lists             topology.RankLists // Lists for State.MapVersion, if the versions match.
+	ReportRequestedAt time.Time          // When the report was requested.
+	Direct            bool               // The agent is unreachable; the engine itself was read.
+	OrderedAt         time.Time          // When the last order was sent.
 	OrderPending      bool               // The call of the last order has not returned.
 }
 
-// New returns the state of a coordinator that has just taken the lease, on the
-// machine of a rank.
+// New returns the state of a coordinator that has just acquired the lease and
+// runs on the machine of the rank ownRank.
 func New(fence uint64, ownRank int) State {
 	return State{Fence: fence, ownRank: ownRank, Ranks: map[int]Rank{}, releasablePasses: map[int64]bool{}}
 }
 
-// RankRead brings a rank's own report, and its lists where they were read.
+// RankRead carries a rank's own report, and its lists if they were read.
 type RankRead struct {
 	State topology.RankState
 	Lists topology.RankLists
-	// RequestedAt is when the report was asked for; an older one that arrives late is
-	// ignored.
+	// RequestedAt is when the report was requested. A report that was requested
+	// before the latest known one is ignored.
 	RequestedAt time.Time
-	// Direct tells that the engine itself was read, because its agent is away.
+	// Direct means that the engine itself was read because its agent is unreachable.
 	Direct bool
 }
 
-// EventName implements reduce.Event.
 func (RankRead) EventName() string { return "mapswitch.rank_read" }
 
-// OrderReturned tells that the call of an order has returned, whatever came of the order.
+// OrderReturned reports that the call of an order has returned, whether or not
+// the order succeeded.
 type OrderReturned struct {
 	Rank     int
 	Kind     topology.OrderKind
 	Answered bool // By an agent, or by the engine itself.
 }
 
-// EventName implements reduce.Event.
 func (OrderReturned) EventName() string { return "mapswitch.given" }
 
-// Planned brings the next map.
+// Planned carries the next map.
 type Planned struct {
 	Epoch int64
 	Map   Map
 }
 
-// EventName implements reduce.Event.
 func (Planned) EventName() string { return "mapswitch.planned" }
 
-// SendOrder asks to give the order to the rank; the rank is read after it.
+// SendOrder is the effect that sends the order to the rank; the rank is read
+// after it.
 type SendOrder struct {
 	Rank  int
 	Order topology.Order
-	// BaseMap and FromVersion are the map in use where an order to copy builds on it;
-	// nil for others. A rank's own report may lag behind that version.
+	// BaseMap and BaseVersion are the map in use, on which an order to copy builds;
+	// nil and 0 for other orders. A rank's own report may lag behind that version.
 	BaseMap     Map
 	BaseVersion int64
-	// Through is the rank whose agent gives the order: the rank itself, but for holds.
+	// Through is the rank whose agent sends the order. It is the rank itself, except
+	// for holds.
 	Through int
 }
 
-// EffectName implements reduce.Effect.
 func (SendOrder) EffectName() string { return "mapswitch.give" }
 
-// ReadRank asks to read a rank at once.
+// ReadRank is the effect that reads a rank immediately.
 type ReadRank struct{ Rank int }
 
-// EffectName implements reduce.Effect.
 func (ReadRank) EffectName() string { return "mapswitch.look" }
 
 // PhaseChanged reports a change of phase, for the log.
@@ -185,21 +186,20 @@
 	Epoch       int64
 	Version     int64
 	Pass        int64
-	TimeInPhase time.Duration // In the phase before.
+	TimeInPhase time.Duration // Time spent in the previous phase.
 	Reason      string
 }
 
-// EffectName implements reduce.Effect.
 func (PhaseChanged) EffectName() string { return "mapswitch.moved" }
 
-// Superseded reports that a later lease has made the version, so that this
-// coordinator must end.
+// Superseded reports that a later lease has created the version, so that this
+// coordinator must stop.
 type Superseded struct{ Version int64 }
 
-// EffectName implements reduce.Effect.
 func (Superseded) EffectName() string { return "mapswitch.resigned" }
 
-// Step reduces one input. The maps inside the state are its own.
+// Step applies one input to the state. It modifies the maps inside the state, so
+// the caller must not share them.
 func Step(s State, input reduce.Input) (State, []reduce.Effect) {
 	if s.superseded {
 		return s, nil
@@ -231,7 +231,8 @@
 	return s, append(effects, more...)
 }
 
-// applyReport takes in a report. A new epoch makes all that is known of ranks void.
+// applyReport stores a report. A new epoch invalidates everything known of the
+// ranks.
 func (s State) applyReport(event RankRead, now time.Time) (State, []reduce.Effect) {
 	state := event.State
 	var effects []reduce.Effect
@@ -263,8 +264,8 @@
 	return s, effects
 }
 
-// advance moves through the phases as far as the reports allow and gives the
-// orders that the phase asks for.
+// advance goes through the phases as far as the reports allow and sends the
+// orders of the phases on the way.
 func (s State) advance(now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for {
@@ -283,15 +284,15 @@
 		return s, nil, nil
 	}
 	if (s.Phase == Idle || s.Phase == Preparing) && s.hasForeignHold() {
-		s, moved = s.enterPhase(Survey, "a predecessor has put a hold", now)
+		s, moved = s.enterPhase(Survey, "a predecessor has set a hold", now)
 		return s, moved, nil
 	}
 	switch s.Phase {
 	case Survey:
 		s, moved = s.survey(now)
 	case Idle:
-		// A hold of this lease whose order took effect late; nothing is armed for
-		// its pass, since that pass was given up or is over.
+		// Releases a hold of this lease that took effect late. No rank is armed for its
+		// pass, which has been abandoned or is over.
 		s, orders = s.releaseLateHolds(now)
 	case Preparing:
 		s, moved, orders = s.prepare(now)
@@ -305,7 +306,7 @@
 	case Releasing:
 		s, moved, orders = s.release(now)
 	case Settling:
-		// A hold that took effect late is released again: all ranks are armed.
+		// Releases a hold that took effect late: all ranks are armed.
 		s, orders = s.releaseLateHolds(now)
 		s, moved = s.settle(now)
 	case Fencing:
@@ -320,7 +321,8 @@
 // NeedsLists reports whether the ranks' lists must be read.
 func (s State) NeedsLists() bool { return s.Phase == Survey }
 
-// Slowness returns each rank's, 1 for a usual or unread one.
+// Slowness returns the slowness factor of each rank: 1 for a rank of normal
+// speed or one that has not been read.
 func (s State) Slowness() []float64 {
 	slowness := make([]float64, s.Size)
 	for id := range slowness {
@@ -338,7 +340,8 @@
 	return total
 }
 
-// enterPhase enters a phase; orders of the phase before don't delay its own.
+// enterPhase switches to a phase. It clears the record of earlier orders, so
+// that they do not delay those of the new phase.
 func (s State) enterPhase(to Phase, reason string, now time.Time) (State, []reduce.Effect) {
 	effect := PhaseChanged{From: s.Phase, To: to, Epoch: s.Epoch, Version: s.Version, Pass: s.Hold.Pass, Reason: reason}
 	if !s.Since.IsZero() {
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// runRounds lets one coordinator work on a calm group for a number of rounds.
+// runRounds runs one coordinator for a number of rounds on a group without
+// faults.
 func runRounds(g *modelGroup, c *modelCoordinator, now *time.Time, rounds int, each func(int)) error {
 	for round := range rounds {
 		*now = now.Add(50 * time.Millisecond)
@@ -44,12 +45,12 @@
 }
 
 func TestMapChange(t *testing.T) {
-	Convey("Given a calm group and one coordinator", t, func() {
+	Convey("Given a group without faults and one coordinator", t, func() {
 		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
 		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
 		So(c.state.Phase, ShouldEqual, Idle)
 
-		Convey("a planned map comes in force at all ranks in one pass", func() {
+		Convey("a planned map takes effect at all ranks in one pass", func() {
 			c.plan(now)
 			So(runRounds(g, c, &now, 20, nil), ShouldBeNil)
 			So(c.state.Phase, ShouldEqual, Idle)
@@ -75,7 +76,7 @@
 			So(g.pass, ShouldBeGreaterThan, before+10)
 		})
 
-		Convey("a new epoch in the middle of a change starts over", func() {
+		Convey("a new epoch during a change restarts the survey", func() {
 			c.plan(now)
 			So(runRounds(g, c, &now, 2, nil), ShouldBeNil)
 			g.startEpoch()
@@ -87,15 +88,15 @@
 }
 
 func TestCoordinatorDiesDuringChange(t *testing.T) {
-	// The predecessor dies after each possible number of rounds of a change.
+	// The predecessor crashes after each possible number of rounds of a change.
 	for rounds := range 12 {
-		Convey("Given a coordinator that died in the middle of a change", t, func() {
+		Convey("Given a coordinator that crashed during a change", t, func() {
 			g, first, now := newModelGroup(4), newModelCoordinator(1, 0), start
 			So(runRounds(g, first, &now, 4, nil), ShouldBeNil)
 			first.plan(now)
 			So(runRounds(g, first, &now, rounds, nil), ShouldBeNil)
 
-			Convey("its successor finishes or gives up the change, and the group goes on", func() {
+			Convey("its successor completes or abandons the change, and the group continues", func() {
 				second := newModelCoordinator(2, 1)
 				So(runRounds(g, second, &now, 20, nil), ShouldBeNil)
 				So(second.state.Phase, ShouldEqual, Idle)
@@ -109,10 +110,11 @@
 	}
 }
 
-// A predecessor whose calls to agents fail, but which still reaches the engines,
-// reads its successor's versions.
+// A superseded coordinator whose calls to agents fail, but which still reaches
+// the engines, reads its successor's versions there. It must stop without
+// creating a version with a number of its successor.
 func TestSupersededCoordinatorReadsEnginesDirectly(t *testing.T) {
-	Convey("Given a coordinator that has been succeeded without having heard of it", t, func() {
+	Convey("Given a superseded coordinator that does not know of its successor", t, func() {
 		g, first, now := newModelGroup(4), newModelCoordinator(1, 0), start
 		So(runRounds(g, first, &now, 4, nil), ShouldBeNil)
 		second := newModelCoordinator(2, 1)
@@ -121,7 +123,7 @@
 		So(runRounds(g, second, &now, 20, nil), ShouldBeNil)
 		So(g.ranks[0].version, ShouldBeGreaterThan, 2*versionsPerFence)
 
-		Convey("it makes no version of its successor's when it reads the engines", func() {
+		Convey("it creates no version with its successor's number when it reads the engines", func() {
 			for rank := range g.ranks {
 				read := g.report(rank)
 				read.RequestedAt = now
@@ -139,7 +141,7 @@
 	})
 }
 
-// readRanks lets the coordinator read all ranks.
+// readRanks passes the current reports of all ranks to the coordinator.
 func readRanks(g *modelGroup, c *modelCoordinator, now time.Time) {
 	for rank := range g.ranks {
 		read := g.report(rank)
@@ -163,7 +165,7 @@
 		readRanks(g, second, now)
 		So(second.state.Phase, ShouldEqual, Fencing)
 
-		Convey("a rank that its predecessor arms meanwhile does not keep the group from running", func() {
+		Convey("a rank that its predecessor arms meanwhile does not stop the group", func() {
 			arm := topology.Order{Kind: topology.Arm, Epoch: g.epoch, Version: prepare.Version, Pass: held}
 			g.apply(2, arm)
 			So(runRounds(g, second, &now, 20, nil), ShouldBeNil)
@@ -176,7 +178,7 @@
 			})
 		})
 
-		Convey("nor does one that it arms after others have the fencing version", func() {
+		Convey("a rank that its predecessor arms after others have prepared the fencing version does not stop the group", func() {
 			for _, effect := range second.pending {
 				if send, ok := effect.(SendOrder); ok && send.Rank != 2 {
 					g.apply(send.Rank, send.Order)
@@ -188,7 +190,7 @@
 			So(g.pass, ShouldBeGreaterThan, held+5)
 			So(second.state.Phase, ShouldEqual, Idle)
 
-			Convey("also for a third coordinator", func() {
+			Convey("a third coordinator becomes idle as well", func() {
 				third := newModelCoordinator(3, 3)
 				So(runRounds(g, third, &now, 30, nil), ShouldBeNil)
 				So(third.state.Phase, ShouldEqual, Idle)
@@ -208,7 +210,7 @@
 		}
 		first := int64(versionsPerFence + 1)
 
-		Convey("a report from afar that shows the map before does not change what the next one builds on", func() {
+		Convey("a stale report of the previous map does not change the base of the next change", func() {
 			lagging := g.report(2)
 			lagging.State.MapVersion, lagging.Direct, lagging.RequestedAt = first, true, now
 			c.handle(lagging, now)
@@ -221,10 +223,10 @@
 	})
 }
 
-// TestOneMapInEveryPass drives coordinators that sleep, die and succeed each
-// other over a wire that loses reports and orders and carries orders out late. A
-// last coordinator then finds the group in whatever state it is and must get it
-// to run.
+// TestOneMapInEveryPass runs coordinators that pause, crash and supersede each
+// other over a network that loses reports and orders and delivers orders late. A
+// last coordinator then finds the group in an arbitrary state and must get it
+// running again.
 func TestOneMapInEveryPass(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newModelGroup(rapid.IntRange(2, 4).Draw(t, "ranks"))
@@ -233,7 +235,7 @@
 		coordinators := []*modelCoordinator{newModelCoordinator(1, 0)}
 		now := start
 		active := func() *modelCoordinator {
-			// A predecessor that wakes acts on what it knew.
+			// A paused predecessor may resume and act on its old state.
 			return coordinators[rapid.IntRange(max(0, len(coordinators)-3), len(coordinators)-1).Draw(t, "coordinator")]
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -273,7 +275,8 @@
 				}
 			},
 			"restart an agent": func(t *rapid.T) {
-				// It forgets which coordinators it has heard of; one beside it dies too.
+				// The restarted agent forgets which fencing numbers it has seen. A superseded
+				// coordinator on the same machine stops as well.
 				if rapid.IntRange(0, 3).Draw(t, "restarts") == 0 {
 					rank := rapid.IntRange(0, len(g.ranks)-1).Draw(t, "rank")
 					delete(w.fences, rank)
@@ -300,12 +303,12 @@
 			t.Fatal(err)
 		}
 		if g.pass != before+10 {
-			t.Fatalf("the group rests before pass %d under a coordinator in phase %v: %s", g.pass+1, last.state.Phase, g)
+			t.Fatalf("the group stalls before pass %d under a coordinator in phase %v: %s", g.pass+1, last.state.Phase, g)
 		}
 	})
 }
 
-// refreshStaleReports lets the reports that are read from afar catch up.
+// refreshStaleReports updates the reports that callers on other machines read.
 func (w *lossyNetwork) refreshStaleReports() {
 	w.staleReports = w.staleReports[:0]
 	for rank := range w.group.ranks {
@@ -313,8 +316,8 @@
 	}
 }
 
-// read asks all ranks through their agents, which refuse a succeeded caller, or
-// the engine itself where an agent is away.
+// read reads all ranks through their agents, which reject a superseded caller,
+// or from the engine itself if the agent is unreachable.
 func (w *lossyNetwork) read(t *rapid.T, c *modelCoordinator, now time.Time) {
 	for rank := range w.group.ranks {
 		away := rapid.IntRange(0, 4).Draw(t, "agent away") == 0
@@ -326,7 +329,7 @@
 		}
 		read := w.group.report(rank)
 		if away {
-			// The engine itself is read, which tells what was true a while ago.
+			// A read of the engine itself returns an older state.
 			read, read.Direct = w.staleReports[rank], true
 		} else {
 			w.fences[rank] = c.state.Fence
@@ -340,7 +343,7 @@
 	}
 }
 
-// send passes one pending order on, loses it, or carries it out late.
+// send delivers the pending orders, loses them, or keeps them for late delivery.
 func (w *lossyNetwork) send(t *rapid.T, c *modelCoordinator, now time.Time) {
 	effects := c.pending
 	c.pending = nil
@@ -352,7 +355,7 @@
 		fenced := c.state.Fence < w.fences[send.Through]
 		away := rapid.IntRange(0, 4).Draw(t, "agent away") == 0
 		if (fenced || away) && (send.Order.Kind == topology.Hold || send.Order.Kind == topology.Release) {
-			continue // All other orders may go past an agent that is away.
+			continue // All other orders may bypass an unreachable agent.
 		}
 		switch rapid.IntRange(0, 4).Draw(t, "way") {
 		case 0:
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -7,8 +7,8 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// order gives the order to all ranks that need it and have not been given one
-// a moment ago.
+// order sends the order to all ranks that need it and have not been sent one
+// recently.
 func (s State) order(now time.Time, order topology.Order, needs func(Rank) bool) []reduce.Effect {
 	order.Epoch, order.Fence = s.Epoch, s.Fence
 	resendDelay := resendAfter
@@ -49,7 +49,7 @@
 	return true
 }
 
-// releaseHolds releases the holds of passes up to the last one.
+// releaseHolds releases all holds of passes up to and including last.
 func (s State) releaseHolds(last int64, now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for id := range s.Size {
@@ -71,15 +71,16 @@
 	return last
 }
 
-// nextVersion returns a version that no other lease makes, above all versions of
-// the leases before.
+// nextVersion returns a version that no other lease creates and that is higher
+// than all versions of earlier leases.
 func (s *State) nextVersion() int64 {
 	s.versionsMade++
 	return int64(s.Fence)*versionsPerFence + s.versionsMade
 }
 
-// cannotComplete reports whether no coordinator can ever see all ranks armed for the
-// version: a rank that is not has had a later one.
+// cannotComplete reports whether no coordinator can ever see all ranks armed for
+// the version, because a rank that is not armed for it has already prepared a
+// later one.
 func (s State) cannotComplete(version int64) bool {
 	for _, rank := range s.Ranks {
 		if rank.State.Prepared > version && rank.State.Armed != version && rank.State.MapVersion != version {
@@ -89,7 +90,7 @@
 	return false
 }
 
-// armedRank returns a rank that is armedRank; not ok where none is.
+// armedRank returns a rank that is armed. ok is false if there is none.
 func (s State) armedRank() (rank Rank, ok bool) {
 	for id := range s.Size {
 		if s.Ranks[id].State.Armed != 0 {
@@ -99,7 +100,8 @@
 	return Rank{}, false
 }
 
-// hasSuccessorVersion reports whether the rank shows a version of a later lease.
+// hasSuccessorVersion reports whether the rank reports a version of a later
+// lease.
 func (s State) hasSuccessorVersion(rank topology.RankState) bool {
 	latest := max(rank.MapVersion, rank.Prepared, rank.Armed)
 	return latest >= int64(s.Fence+1)*versionsPerFence
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -8,8 +8,8 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// survey finds out where a predecessor, or an earlier epoch, has left the
-// group.
+// survey determines the state in which a predecessor or an earlier epoch has
+// left the group.
 func (s State) survey(now time.Time) (State, []reduce.Effect) {
 	armedRank, isArmed := s.armedRank()
 	if isArmed && !s.cannotComplete(armedRank.State.Armed) {
@@ -28,7 +28,7 @@
 	if isArmed || held != 0 {
 		s.Hold.Pass = held
 		s.Version, s.Next = s.nextVersion(), current
-		return s.enterPhase(Fencing, "a predecessor has left its orders", now)
+		return s.enterPhase(Fencing, "a predecessor has left orders behind", now)
 	}
 	s.Current, s.CurrentVersion = current, s.Ranks[0].Lists.MapVersion
 	if !s.noHoldInEpoch() {
@@ -37,16 +37,17 @@
 	return s.enterPhase(Idle, "all ranks read", now)
 }
 
-// noHoldInEpoch reports whether no coordinator has got as far as a hold in this epoch:
-// before that all ranks have prepared a version. Demand has usually jumped when a
-// group forms, so the first change must not wait for passes that nobody has held.
+// noHoldInEpoch reports whether no coordinator can have set a hold in this
+// epoch, which requires that all ranks have prepared a version. Demand has
+// usually jumped when a group forms, so the first change must not wait for
+// passes that nobody has held.
 func (s State) noHoldInEpoch() bool {
 	return s.allRanks(func(r Rank) bool {
 		return !r.Direct && r.State.MapVersion == 0 && r.State.Prepared == 0 && r.State.Armed == 0
 	})
 }
 
-// currentMap puts the map in use together from the ranks' currentMap.
+// currentMap assembles the map in use from the ranks' lists.
 func (s State) currentMap() (Map, bool) {
 	var current Map
 	for id := range s.Size {
@@ -113,7 +114,8 @@
 	return s, nil, orders
 }
 
-// settle waits until the group has begun the pass; an idle group has none.
+// settle waits until the group has begun the held pass; an idle group runs no
+// passes.
 func (s State) settle(now time.Time) (State, []reduce.Effect) {
 	if !s.allRanks(func(r Rank) bool { return r.State.MapVersion == s.Version && r.State.Armed == 0 }) {
 		return s, nil
@@ -125,8 +127,8 @@
 	return s.enterPhase(Idle, "in force", now)
 }
 
-// fencePredecessor prepares a new version at all ranks: a predecessor's order to arm then
-// names a version that is no longer prepared.
+// fencePredecessor prepares a new version at all ranks, so that a predecessor's
+// order to arm names a version that is no longer prepared.
 func (s State) fencePredecessor(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	armedRank, isArmed := s.armedRank()
 	if isArmed && !s.cannotComplete(armedRank.State.Armed) {
@@ -139,7 +141,7 @@
 			s.releasablePasses[rank.State.HeldPass] = true
 		}
 		s.minHoldPass = max(s.minHoldPass, s.lastPass()+maxPassLead+1)
-		s, moved := s.enterPhase(Idle, "predecessor's orders are void", now) // Holds are released there.
+		s, moved := s.enterPhase(Idle, "predecessor's orders are invalidated", now) // The holds are released in that phase.
 		return s, moved, nil
 	}
 	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.Next},
@@ -157,9 +159,9 @@
 	return s.releaseHolds(math.MaxInt64, now)
 }
 
-// hasForeignHold reports whether a rank is held by another lease's order: a
-// predecessor that woke may have put it after the survey, and its orders to arm
-// for that pass may still take effect.
+// hasForeignHold reports whether a rank is held by an order of another lease. A
+// predecessor that resumed may have set the hold after the survey, and its
+// orders to arm for that pass may still take effect.
 func (s State) hasForeignHold() bool {
 	for _, rank := range s.Ranks {
 		if rank.State.HeldPass != 0 && !s.releasablePasses[rank.State.HeldPass] {
--- a/policy/mapswitch/timing.go
+++ b/policy/mapswitch/timing.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// oldSampleWeight is the weight of what is known against a new sample: about the last
-// five changes and passes count.
+// oldSampleWeight is the weight of the moving average against a new sample:
+// about the last five changes and passes count.
 const oldSampleWeight = 0.8
 
-// passTiming is how fast the group runs passes and how long its ranks take to be armed.
-// The hold of a change is put so many passes ahead that the group hardly rests.
+// passTiming estimates how fast the group runs passes and how long its ranks
+// take to be armed. The hold of a change is set far enough ahead that the group
+// hardly stalls.
 type passTiming struct {
-	pass   int64 // The last one seen.
+	pass   int64 // The last pass seen.
 	passAt time.Time
 
-	passTime time.Duration // Of one pass; 0 while unknown.
-	armTime  time.Duration // From the order to hold to the release; 0 while unknown.
+	passTime time.Duration // Duration of one pass; 0 while unknown.
+	armTime  time.Duration // Time from the order to hold to the release; 0 while unknown.
 }
 
-// observePass takes in the last pass that the group has begun.
+// observePass records the last pass that the group has begun.
 func (t *passTiming) observePass(pass int64, now time.Time) {
 	if pass <= t.pass {
 		return
@@ -27,8 +28,8 @@
 	t.pass, t.passAt = pass, now
 }
 
-// observeArming takes in how long a change took from the order to hold to the release. One
-// that took long counts at once.
+// observeArming records how long a change took from the order to hold to the
+// release. A time above the average replaces it at once.
 func (t *passTiming) observeArming(took time.Duration) {
 	t.armTime = max(took, movingAverage(t.armTime, took))
 }
@@ -40,9 +41,10 @@
 	return time.Duration(oldSampleWeight*float64(average) + (1-oldSampleWeight)*float64(sample))
 }
 
-// lead returns how many passes ahead a hold is put in a group of so many ranks, so
-// that they are armed before the held pass is due. No rest is planned for: it comes
-// on top of a pass, and every stream of the group sees it.
+// lead returns how many passes ahead to set a hold in a group of the given
+// number of ranks, so that they are armed before the held pass is due. No stall
+// is planned for: it would lengthen a pass, and every stream of the group would
+// see it.
 func (t *passTiming) lead(ranks int) int64 {
 	armTime := t.armTime
 	if armTime == 0 {
--- a/policy/topology/configuration.go
+++ b/policy/topology/configuration.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Kind says how often the work of a route may run for one request.
+// Kind tells how often the work of one request of a route may run.
 type Kind int
 
-// The kinds of work.
+// The kinds of routes.
 const (
 	NonIdempotent Kind = iota // At most once.
 	Idempotent                // Any number of times.
 	Stream                    // A stream of events; at most once unless resumable.
 )
 
-// Configuration is one version of what operators have accepted. It is never
-// changed after it was decoded.
+// Configuration is one accepted version of the operators' configuration. It does
+// not change after it has been decoded.
 type Configuration struct {
 	Version       int64
 	Routes        []Route
@@ -22,19 +22,19 @@
 	Limits        Limits
 }
 
-// Route leads requests to the backend servers of a service.
+// Route maps requests to the backend servers of its target services.
 type Route struct {
 	Name             string
 	Host             string
 	Prefix           string // Begins and ends with a slash.
 	Kind             Kind
-	Resumable        bool          // A stream that may go on at another backend server.
-	Public           bool          // Needs no key.
-	Timeout          time.Duration // Longest time until the final answer.
+	Resumable        bool          // The stream may continue on another backend server.
+	Public           bool          // No key is required.
+	Timeout          time.Duration // Maximum time until the final answer.
 	Objective        time.Duration // Time to the answer, or to the first event, that earns full credit.
 	InterTokenTarget time.Duration // Longest pause between events; 0 for plain requests.
 	Priority         int           // 0 is the most urgent.
-	MaxAttempts      int           // Backend servers on which one request may run.
+	MaxAttempts      int           // Maximum number of backend servers on which one request may run.
 	Targets          []Target
 }
 
@@ -43,7 +43,7 @@
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Target is one service of a route with its share of the requests.
+// Target is one service of a route, with its share of the requests.
 type Target struct {
 	Service string
 	Weight  int
@@ -53,27 +53,27 @@
 type Service struct {
 	Name            string
 	HealthPath      string
-	MaxConnections  int // To one backend server, from all callers together.
+	MaxConnections  int // Maximum to one backend server, from all callers together.
 	WarmUp          time.Duration
-	WarmUpPerSecond float64 // Requests a second that a cold server bears; 0 means no limit.
+	WarmUpPerSecond float64 // Requests per second that a cold server can take; 0 means no limit.
 	Engine          *Engine // Nil for plain services.
 }
 
 // Engine is the cost model of a service's model engines.
 type Engine struct {
-	Slots         int     // Requests that write at once on one server.
-	Stride        int     // Token steps in a pass that has writers.
-	StepMS        float64 // Base time of a token step.
-	PerSequenceMS float64 // Added to a step by each writing request.
-	LinkMbps      float64 // Of the link over which experts are copied.
+	Slots         int     // Requests that one server decodes at the same time.
+	Stride        int     // Token steps in a pass in which requests decode.
+	StepMS        float64 // Base duration of a token step.
+	PerSequenceMS float64 // Time that each decoding request adds to a step.
+	LinkMbps      float64 // Bandwidth of the link over which experts are copied.
 	Sets          int     // Sets of layers that share an expert placement.
-	Experts       int     // In each set.
-	Places        int     // Experts that a rank holds in each set.
-	NewPerSet     int     // Experts that one change may bring to a rank in each set.
+	Experts       int     // Number of experts in each set.
+	Places        int     // Number of experts that a rank holds in each set.
+	NewPerSet     int     // Maximum number of experts per set that one change may add to a rank.
 	ExpertMB      float64 // Size of an expert.
 }
 
-// CopyTime returns how long a rank copies one expert.
+// CopyTime returns how long it takes a rank to copy one expert.
 func (e *Engine) CopyTime() time.Duration {
 	const bitsPerByte = 8
 	if e.LinkMbps <= 0 {
@@ -82,15 +82,15 @@
 	return time.Duration(e.ExpertMB * bitsPerByte / e.LinkMbps * float64(time.Second))
 }
 
-// Organisation is a caller with its keys.
+// Organisation is a caller and its keys.
 type Organisation struct {
 	Name        string
 	Keys        []string
 	Priority    int
-	HasPriority bool // Priority takes precedence over the route's.
+	HasPriority bool // Priority overrides the route's.
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on what a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -98,7 +98,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Server is one incarnation of a backend server as the platform lists it.
+// Server is one incarnation of a backend server, as listed by the platform.
 type Server struct {
 	ID         string
 	Service    string
@@ -106,6 +106,6 @@
 	DataCentre string
 	Slots      int
 	Leaving    bool
-	WarmUpLeft time.Duration // At the time of listing.
-	Revision   uint64        // Of the row; a later one was written later.
+	WarmUpLeft time.Duration // At the time of the listing.
+	Revision   uint64        // Revision of the row; a higher one was written later.
 }
--- a/policy/topology/rank.go
+++ b/policy/topology/rank.go
@@ -1,19 +1,19 @@
 package topology
 
-// RankState is what a rank of a group says of itself.
+// RankState is the state that a rank of a group reports about itself.
 type RankState struct {
 	Group string
-	Epoch int64 // Counts the formations of the group.
+	Epoch int64 // Incremented each time the group forms.
 	Rank  int
-	Size  int  // Ranks in the group.
-	Open  bool // The group takes work; false while it forms.
+	Size  int  // Number of ranks in the group.
+	Open  bool // The group accepts work; false while it forms.
 
 	Pass         int64 // The last pass that began.
-	MapVersion   int64 // In use.
-	Prepared     int64 // Copied and ready to be armed; 0 for none.
-	Armed        int64 // The rank switches to this version; 0 for none.
+	MapVersion   int64 // The map version in use.
+	Prepared     int64 // The version copied and ready to be armed; 0 for none.
+	Armed        int64 // The version that the rank will switch to; 0 for none.
 	ArmedPass    int64 // The pass before which it switches.
-	HeldPass     int64 // The pass that does not begin before its release; 0 for none.
+	HeldPass     int64 // The pass that does not begin until it is released; 0 for none.
 	OrderRunning bool
 
 	Queued int
@@ -21,30 +21,30 @@
 	Pace   float64
 }
 
-// RankLists are the experts of a rank by set.
+// RankLists are the experts that a rank holds, by set.
 type RankLists struct {
 	MapVersion int64
 	Experts    [][]int
 }
 
-// RankCounts is how often a rank's requests chose each expert of each set
+// RankCounts is how often a rank's requests have chosen each expert of each set
 // since the rank started.
 type RankCounts struct {
 	Epoch  int64
 	Pass   int64
-	Counts []int64 // Set by set.
+	Counts []int64 // One set after the other.
 }
 
-// OrderKind is what an order asks of a rank.
+// OrderKind is the kind of an order.
 type OrderKind int
 
 // The kinds of orders.
 const (
-	Prepare OrderKind = iota + 1 // Copy the experts of a map's version.
-	Arm                          // Switch to a prepared version before a pass.
-	Hold                         // Let the group not begin a pass.
-	Release                      // Let it begin.
-	Disarm                       // Don't switch to a version that was to be armed.
+	Prepare OrderKind = iota + 1 // Copy the experts of a version of the map.
+	Arm                          // Switch to a prepared version before a given pass.
+	Hold                         // Keep the group from beginning a pass.
+	Release                      // Let the group begin a held pass.
+	Disarm                       // Cancel the switch to an armed version.
 )
 
 // String returns the kind's name for logs.
@@ -52,12 +52,12 @@
 	return [...]string{"none", "prepare", "arm", "hold", "release", "disarm"}[k]
 }
 
-// Order is an order to one rank.
+// Order is an order from a coordinator to one rank.
 type Order struct {
 	Kind    OrderKind
 	Epoch   int64
 	Version int64
 	Pass    int64
-	Map     [][][]int // Experts by set and rank; of a Prepare only.
-	Fence   uint64    // Number of the coordinator's lease.
+	Map     [][][]int // Experts by set and rank; only set for Prepare.
+	Fence   uint64    // Fencing number of the coordinator's lease.
 }
--- a/policy/topology/snapshot.go
+++ b/policy/topology/snapshot.go
@@ -5,25 +5,26 @@
 	"strings"
 )
 
-// Snapshot is an immutable view of a State for the traffic goroutines.
+// Snapshot is an immutable view of a State, read by the goroutines that serve
+// traffic.
 type Snapshot struct {
-	Config *Configuration // Nil before the first one was read.
-	Ready  bool           // Configuration and servers have been read.
+	Config *Configuration // Nil until the first one has been read.
+	Ready  bool           // The configuration and the servers have been read.
 
 	routesByHost       map[string][]*Route // Longest prefix first.
 	organisationsByKey map[string]*Organisation
-	candidates         map[string][]Candidate // Usable ones by service, in order of their id.
-	listedServers      map[string][]Server    // All by service, in order of their id.
+	candidates         map[string][]Candidate // Usable servers by service, ordered by ID.
+	listedServers      map[string][]Server    // All servers by service, ordered by ID.
 }
 
-// Candidate is a backend server that may get new work.
+// Candidate is a backend server that may receive new work.
 type Candidate struct {
 	Server
-	Unlisted bool // Its row has disappeared without notice: a last resort.
+	Unlisted bool // Its row disappeared without notice; used only as a last resort.
 }
 
-// Snapshot returns the view of the state. An earlier view of the same
-// configuration lends its index.
+// Snapshot returns the view of the state. It reuses the index of the previous
+// view if the configuration is the same.
 func (s State) Snapshot(previous *Snapshot) *Snapshot {
 	snapshot := &Snapshot{
 		Config:     s.Config,
@@ -54,8 +55,8 @@
 	return snapshot
 }
 
-// latestAtAddress leaves out servers whose address has another server by now:
-// their rows have only not lapsed yet.
+// latestAtAddress leaves out servers whose address now belongs to another
+// server: their rows just have not expired yet.
 func (s State) latestAtAddress() map[string]ServerState {
 	latest := map[string]string{}
 	for id, server := range s.Servers {
@@ -90,8 +91,8 @@
 	}
 }
 
-// Route returns the route of the host with the longest prefix of the path, or
-// nil.
+// Route returns the route of the host with the longest prefix that matches the
+// path, or nil.
 func (s *Snapshot) Route(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes, ok := s.routesByHost[host]
@@ -108,24 +109,26 @@
 	return nil
 }
 
-// HasOrganisations reports whether callers need keys.
+// HasOrganisations reports whether organisations are configured, so that callers
+// need keys.
 func (s *Snapshot) HasOrganisations() bool { return len(s.Config.Organisations) > 0 }
 
-// Organisation returns the holder of the key, or nil.
+// Organisation returns the organisation that the key belongs to, or nil.
 func (s *Snapshot) Organisation(key string) *Organisation { return s.organisationsByKey[key] }
 
-// Service returns the service, the zero value if it is not configured.
+// Service returns the service, or the zero value if it is not configured.
 func (s *Snapshot) Service(name string) Service { return s.Config.Services[name] }
 
 // Candidates returns the usable backend servers of the service. The caller must
 // not change the slice.
 func (s *Snapshot) Candidates(service string) []Candidate { return s.candidates[service] }
 
-// Listed returns all servers of the service, also those that get no new work.
-// The caller must not change the slice.
+// Listed returns all servers of the service, including those that receive no new
+// work. The caller must not change the slice.
 func (s *Snapshot) Listed(service string) []Server { return s.listedServers[service] }
 
-// PickService returns the target that the random number in [0, 1) falls on.
+// PickService returns the service of the target that a random number in [0, 1)
+// selects, in proportion to the weights; "" if there are no targets.
 func (r *Route) PickService(random float64) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -1,9 +1,9 @@
-// Package topology reduces what the platform's store says of the deployment to
-// one immutable snapshot: the configuration in force, the backend servers and
-// the data centres that are taken out.
+// Package topology is the state machine that turns the rows of the platform's
+// store into immutable snapshots of the deployment: the configuration in force,
+// the backend servers and the data centres that are taken out.
 //
-// Invariants: the version in force never falls; a snapshot never changes after
-// it was published.
+// Invariants: the version in force never decreases; a snapshot never changes
+// after it has been published.
 package topology
 
 import (
@@ -14,89 +14,83 @@
 )
 
 const (
-	// StoreReturnGrace is how long after the store's return a server whose row has
-	// disappeared is kept: rows that lapsed in an outage are back within about
-	// two seconds, as the platform promises.
+	// StoreReturnGrace is how long after the store's recovery a server whose row has
+	// disappeared is kept. Rows that expired in an outage are back within about two
+	// seconds, as the platform promises.
 	StoreReturnGrace = 2 * time.Second
-	// unlistedGrace is how long a server is kept as a last resort whose row
-	// disappeared without notice: an outage of the store may have gone unseen
-	// here. It ends before a leaving server's shortest drain period, 2 s.
+	// unlistedGrace is how long a server whose row disappeared without notice is
+	// kept as a last resort: the row may have expired in an outage of the store that
+	// this process did not notice. It is shorter than the shortest drain period of a
+	// leaving server, 2 s.
 	unlistedGrace = 1500 * time.Millisecond
 )
 
-// State is what a process knows of the deployment.
+// State is what a process knows about the deployment.
 type State struct {
 	Config   *Configuration
 	Servers  map[string]ServerState
-	TakenOut map[string]bool // Data centres.
+	TakenOut map[string]bool // Data centres that are taken out.
 
-	ServersListed bool            // The list of servers has been read once.
-	LostWatches   map[string]bool // Watches that the store doesn't answer.
-	StoreUpSince  time.Time       // When the store last answered again.
+	ServersListed bool            // The list of servers has been read at least once.
+	LostWatches   map[string]bool // Watches that the store does not answer.
+	StoreUpSince  time.Time       // When the store last answered again after an outage.
 
-	revision uint64 // Grows with each change of the servers or data centres.
+	revision uint64 // Incremented with each change of the servers or data centres.
 }
 
-// ServerState is a listed server with what the process keeps beside the row.
+// ServerState is a listed server with what the process knows about its row.
 type ServerState struct {
 	Server Server
 	SeenAt time.Time // When the row was read.
-	DropAt time.Time // Zero while the row is listed; else when the server is dropped.
+	DropAt time.Time // When the server is dropped; zero while its row is listed.
 }
 
-// ConfigurationRead brings a configuration of the store; a nil Config is one
-// that could not be decoded.
+// ConfigurationRead carries a configuration from the store. Config is nil if it
+// could not be decoded.
 type ConfigurationRead struct{ Config *Configuration }
 
-// EventName implements reduce.Event.
 func (ConfigurationRead) EventName() string { return "topology.configuration_read" }
 
-// TakenOutRead tells whether a data centre is taken out.
+// TakenOutRead reports whether a data centre is taken out.
 type TakenOutRead struct {
 	DataCentre string
 	Out        bool
 }
 
-// EventName implements reduce.Event.
 func (TakenOutRead) EventName() string { return "topology.taken_out_read" }
 
-// TakenOutListed brings all data centres that are taken out.
+// TakenOutListed carries all data centres that are taken out.
 type TakenOutListed struct{ DataCentres []string }
 
-// EventName implements reduce.Event.
 func (TakenOutListed) EventName() string { return "topology.taken_out_listed" }
 
-// ServerRead brings one row of the list of servers.
+// ServerRead carries one row of the list of servers.
 type ServerRead struct{ Server Server }
 
-// EventName implements reduce.Event.
 func (ServerRead) EventName() string { return "topology.server_read" }
 
-// ServerGone tells that a server's row was removed or names no usable server.
+// ServerGone reports that a server's row was removed or describes no usable
+// server.
 type ServerGone struct{ ID string }
 
-// EventName implements reduce.Event.
 func (ServerGone) EventName() string { return "topology.server_gone" }
 
-// ServersListed brings the whole list of servers.
+// ServersListed carries the whole list of servers.
 type ServersListed struct{ Servers []Server }
 
-// EventName implements reduce.Event.
 func (ServersListed) EventName() string { return "topology.servers_listed" }
 
-// StoreLost tells that the store stopped answering a watch.
+// StoreLost reports that the store stopped answering a watch.
 type StoreLost struct{ Watch, Reason string }
 
-// EventName implements reduce.Event.
 func (StoreLost) EventName() string { return "topology.store_lost" }
 
-// StoreRegained tells that the store answers a watch again.
+// StoreRegained reports that the store answers a watch again.
 type StoreRegained struct{ Watch string }
 
-// EventName implements reduce.Event.
 func (StoreRegained) EventName() string { return "topology.store_regained" }
 
-// Change is an effect that reports a change of belief, for the log.
+// Change is an effect that reports a change of the state, for the log.
 type Change struct {
 	What    string // "configuration", "server", "data_centre" or "store".
 	Subject string
@@ -105,15 +99,14 @@
 	Reason  string
 }
 
-// EffectName implements reduce.Effect.
 func (Change) EffectName() string { return "topology.change" }
 
-// New returns the state of a process that has read nothing.
+// New returns the state of a process that has not read anything.
 func New() State {
 	return State{Servers: map[string]ServerState{}, TakenOut: map[string]bool{}, LostWatches: map[string]bool{}}
 }
 
-// Step reduces one input.
+// Step applies one input to the state.
 func Step(s State, input reduce.Input) (State, []reduce.Effect) {
 	switch event := input.Event.(type) {
 	case reduce.Tick:
@@ -145,13 +138,13 @@
 
 func (s State) install(config *Configuration) (State, []reduce.Effect) {
 	if config == nil {
-		return s, []reduce.Effect{Change{What: "configuration", Outcome: "rejected", Reason: "row can't be decoded"}}
+		return s, []reduce.Effect{Change{What: "configuration", Outcome: "rejected", Reason: "row cannot be decoded"}}
 	}
 	if s.Config != nil && config.Version <= s.Config.Version {
 		if config.Version == s.Config.Version {
 			return s, nil
 		}
-		return s, []reduce.Effect{Change{What: "configuration", Outcome: "rejected", Version: config.Version, Reason: "lower than the version in force"}}
+		return s, []reduce.Effect{Change{What: "configuration", Outcome: "rejected", Version: config.Version, Reason: "version is lower than the one in force"}}
 	}
 	s.Config = config
 	return s, []reduce.Effect{Change{What: "configuration", Outcome: "installed", Version: config.Version}}
@@ -209,8 +202,8 @@
 	return s, []reduce.Effect{Change{What: "server", Subject: server.ID, Outcome: outcome, Reason: server.Address}}
 }
 
-// removeServer sets the time when the server is dropped. A leaving one has announced
-// it and is dropped at once.
+// removeServer sets the time at which the server is dropped. A leaving server
+// has announced its removal and is dropped at once.
 func (s State) removeServer(id string, now time.Time) (State, []reduce.Effect) {
 	server, known := s.Servers[id]
 	if !known || !server.DropAt.IsZero() {
@@ -220,7 +213,7 @@
 	s.revision++
 	if server.Server.Leaving {
 		delete(s.Servers, id)
-		return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "gone", Reason: "row removed after its notice"}}
+		return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "gone", Reason: "row removed after it was marked as leaving"}}
 	}
 	server.DropAt = now.Add(unlistedGrace)
 	if graceEnd := s.StoreUpSince.Add(StoreReturnGrace); !s.StoreUpSince.IsZero() && graceEnd.After(server.DropAt) {
@@ -259,13 +252,13 @@
 			s.revision++
 		}
 		delete(s.Servers, id)
-		effects = append(effects, Change{What: "server", Subject: id, Outcome: "gone", Reason: "row still missing after the grace"})
+		effects = append(effects, Change{What: "server", Subject: id, Outcome: "gone", Reason: "row still missing after the grace period"})
 	}
 	return s, effects
 }
 
-// SameSnapshot reports whether both states have the same snapshot. States share their
-// maps until one changes.
+// SameSnapshot reports whether both states have the same snapshot. It compares
+// the revision instead of the maps, which states share until one changes.
 func (s State) SameSnapshot(other State) bool {
 	return s.Config == other.Config && s.ServersListed == other.ServersListed &&
 		s.revision == other.revision
--- a/policy/topology/topology_test.go
+++ b/policy/topology/topology_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// applyEvents reduces the events in turn, a millisecond apart.
+// applyEvents applies the events in order, one millisecond apart.
 func applyEvents(s State, now *time.Time, events ...reduce.Event) State {
 	for _, event := range events {
 		*now = now.Add(time.Millisecond)
@@ -44,7 +44,7 @@
 		s := applyEvents(New(), &now, ConfigurationRead{Config: &Configuration{Version: 7}}, ConfigurationRead{})
 		So(s.Config.Version, ShouldEqual, 7)
 	})
-	Convey("The version in force never falls, whatever comes", t, func() {
+	Convey("The version in force never decreases, whatever is read", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			now, s := start, New()
 			highest := int64(0)
@@ -72,7 +72,7 @@
 			So(candidateIDs(s), ShouldResemble, []string{"x", "z"})
 			So(s.Snapshot(nil).Listed("llm"), ShouldHaveLength, 3)
 		})
-		Convey("one that vanishes without notice is a last resort, and is gone before 2 s", func() {
+		Convey("one whose row disappears without notice is a last resort, and is dropped before 2 s", func() {
 			s = applyEvents(s, &now, ServerGone{ID: "y"})
 			So(s.Snapshot(nil).Candidates("llm")[1].Unlisted, ShouldBeTrue)
 			now = now.Add(1900 * time.Millisecond)
@@ -85,7 +85,7 @@
 			s = applyEvents(s, &now, reduce.Tick{})
 			So(candidateIDs(s), ShouldResemble, []string{"x", "y", "z"})
 		})
-		Convey("rows that lapsed in an outage are waited for after the store's return", func() {
+		Convey("servers whose rows expired in an outage are kept for a grace period after the store recovers", func() {
 			s = applyEvents(s, &now, StoreLost{Watch: "servers"}, StoreRegained{Watch: "servers"}, ServersListed{})
 			now = now.Add(StoreReturnGrace - 100*time.Millisecond)
 			s = applyEvents(s, &now, reduce.Tick{})
@@ -100,7 +100,7 @@
 			s = applyEvents(s, &now, TakenOutListed{})
 			So(candidateIDs(s), ShouldHaveLength, 3)
 		})
-		Convey("one whose address has a newer server is passed over", func() {
+		Convey("one whose address has a newer server is left out", func() {
 			successor := server("w")
 			successor.Address, successor.Revision = "y:1", 9
 			s = applyEvents(s, &now, ServerRead{Server: successor})
@@ -142,7 +142,7 @@
 			So(name, ShouldEqual, c.want)
 		}
 	})
-	Convey("A split route sends its shares", t, func() {
+	Convey("A route with several targets is split by their weights", t, func() {
 		route := Route{Targets: []Target{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}}}
 		So(route.PickService(0), ShouldEqual, "x")
 		So(route.PickService(0.89), ShouldEqual, "x")
