--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -36,9 +36,9 @@
 
 	Held     bool
 	Fence    uint64 // Highest fencing number seen; the candidate's own one while Held.
-	Version  uint64 // Version of the row when last read.
+	Version  uint64 // Version of the row as last seen.
 	Nonce    uint64 // Nonce of this candidate's last write.
-	Row      Row    // The row when last read.
+	Row      Row    // The row as last seen.
 	SeenAt   time.Time
 	InFlight bool // A read or write is in flight.
 	NextAt   time.Time
--- a/policy/mapswitch/change.go
+++ b/policy/mapswitch/change.go
@@ -45,15 +45,15 @@
 // InTurn returns the map that a new group starts with: the experts of each set
 // are assigned to the ranks round-robin.
 func InTurn(shape Shape) Map {
-	dealt := make(Map, shape.Sets)
-	for set := range dealt {
-		dealt[set] = make([][]int, shape.Ranks)
+	roundRobin := make(Map, shape.Sets)
+	for set := range roundRobin {
+		roundRobin[set] = make([][]int, shape.Ranks)
 		for expert := range shape.Experts {
 			rank := expert % shape.Ranks
-			dealt[set][rank] = append(dealt[set][rank], expert)
+			roundRobin[set][rank] = append(roundRobin[set][rank], expert)
 		}
 	}
-	return dealt
+	return roundRobin
 }
 
 // DealtInTurn returns the shape of a map that InTurn produced. ok is false for
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// holdTimeout is how long a hold may stand before ranks are armed for it. It
-	// leaves time for several calls between small machines.
+	// holdTimeout is the maximum time from ordering a hold to arming the ranks for
+	// it. It leaves time for several calls between small machines.
 	holdTimeout = 100*time.Millisecond + holdSettleTime
 	// holdSettleTime is the delay between the reply to an order to hold and the
 	// second check of its sender. A machine that stops because of the order, or
@@ -50,8 +50,8 @@
 		s, moved := s.enterPhase(Preparing, "the sender of the hold does not answer", now)
 		return s, moved, orders
 	case held == s.Hold.Pass:
-		s, look := s.recheckSender(now)
-		return s, nil, look
+		s, recheck := s.recheckSender(now)
+		return s, nil, recheck
 	case held != 0:
 		// An earlier hold took effect late. All ranks have since prepared a later
 		// version than any that was to be armed for it.
@@ -120,19 +120,19 @@
 // than the coordinator, so that the hold can be released whichever of the three
 // machines stops at that moment.
 func (s State) nextHoldRanks() (holder, sender int) {
-	var callable []int
+	var reachable []int
 	for i := range s.Size {
 		if id := (s.ownRank + 1 + i) % s.Size; !s.Ranks[id].Direct {
-			callable = append(callable, id)
+			reachable = append(reachable, id)
 		}
 	}
-	switch len(callable) {
+	switch len(reachable) {
 	case 0:
 		return s.ownRank, s.ownRank
 	case 1:
-		return callable[0], callable[0]
+		return reachable[0], reachable[0]
 	default:
-		return callable[0], callable[1]
+		return reachable[0], reachable[1]
 	}
 }
 
--- a/policy/mapswitch/hold_test.go
+++ b/policy/mapswitch/hold_test.go
@@ -51,7 +51,7 @@
 		held := g.pass + 1
 		g.apply(0, topology.Order{Kind: topology.Hold, Epoch: g.epoch, Pass: held})
 		second := newModelCoordinator(2, 0)
-		var late topology.Order
+		var delayedRelease topology.Order
 		for range 40 {
 			now = now.Add(50 * time.Millisecond)
 			readRanks(g, second, now)
@@ -59,13 +59,13 @@
 				if send, ok := effect.(SendOrder); ok {
 					g.apply(send.Rank, send.Order)
 					if send.Order.Kind == topology.Release {
-						late = send.Order
+						delayedRelease = send.Order
 					}
 				}
 			}
 			second.pending = nil
 		}
-		So(late.Pass, ShouldEqual, held)
+		So(delayedRelease.Pass, ShouldEqual, held)
 		So(g.ranks[0].held, ShouldEqual, 0)
 
 		Convey("neither the coordinator nor its successor holds that pass again", func() {
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -36,8 +36,8 @@
 	// the group then has one more pass to run while lost orders to arm are resent.
 	lostOrderPassLead = 2
 	// maxPassLead is the maximum number of passes by which the held pass is ahead of
-	// the last known one. A successor only holds passes more than maxPassLead after the
-	// last one that it finds, so that a delayed release order of its predecessor
+	// the last known one. A successor only holds passes more than maxPassLead after
+	// the last one that it finds, so that a delayed release order of its predecessor
 	// never matches one of its holds.
 	maxPassLead = 4
 	// armTimePerRank is the estimated time per rank to hold, arm and release until a
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -230,8 +230,8 @@
 func TestOneMapInEveryPass(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newModelGroup(rapid.IntRange(2, 4).Draw(t, "ranks"))
-		w := &lossyNetwork{group: g, fences: map[int]uint64{}}
-		w.refreshStaleReports()
+		network := &lossyNetwork{group: g, fences: map[int]uint64{}}
+		network.refreshStaleReports()
 		coordinators := []*modelCoordinator{newModelCoordinator(1, 0)}
 		now := start
 		active := func() *modelCoordinator {
@@ -247,7 +247,7 @@
 					t.Fatal(err)
 				}
 			},
-			"read": func(*rapid.T) { w.read(t, active(), now) },
+			"read": func(*rapid.T) { network.read(t, active(), now) },
 			"arrive": func(*rapid.T) {
 				c := active()
 				if len(c.delayedReports) > 0 {
@@ -257,15 +257,15 @@
 					c.handle(read, now)
 				}
 			},
-			"lag":  func(*rapid.T) { w.refreshStaleReports() },
+			"lag":  func(*rapid.T) { network.refreshStaleReports() },
 			"tick": func(*rapid.T) { active().handle(reduce.Tick{}, now) },
 			"plan": func(*rapid.T) { active().plan(now) },
-			"give": func(*rapid.T) { w.send(t, active(), now) },
+			"give": func(*rapid.T) { network.send(t, active(), now) },
 			"late": func(t *rapid.T) {
-				if len(w.delayed) > 0 {
-					i := rapid.IntRange(0, len(w.delayed)-1).Draw(t, "late order")
-					delayed := w.delayed[i]
-					w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
+				if len(network.delayed) > 0 {
+					i := rapid.IntRange(0, len(network.delayed)-1).Draw(t, "delayed order")
+					delayed := network.delayed[i]
+					network.delayed = append(network.delayed[:i], network.delayed[i+1:]...)
 					g.apply(delayed.rank, delayed.order)
 				}
 			},
@@ -279,7 +279,7 @@
 				// coordinator on the same machine stops as well.
 				if rapid.IntRange(0, 3).Draw(t, "restarts") == 0 {
 					rank := rapid.IntRange(0, len(g.ranks)-1).Draw(t, "rank")
-					delete(w.fences, rank)
+					delete(network.fences, rank)
 					for i, c := range coordinators {
 						if c.state.ownRank == rank && i < len(coordinators)-1 {
 							c.state.superseded = true
@@ -309,30 +309,30 @@
 }
 
 // refreshStaleReports updates the reports that callers on other machines read.
-func (w *lossyNetwork) refreshStaleReports() {
-	w.staleReports = w.staleReports[:0]
-	for rank := range w.group.ranks {
-		w.staleReports = append(w.staleReports, w.group.report(rank))
+func (n *lossyNetwork) refreshStaleReports() {
+	n.staleReports = n.staleReports[:0]
+	for rank := range n.group.ranks {
+		n.staleReports = append(n.staleReports, n.group.report(rank))
 	}
 }
 
 // read reads all ranks through their agents, which reject a superseded caller,
 // or from the engine itself if the agent is unreachable.
-func (w *lossyNetwork) read(t *rapid.T, c *modelCoordinator, now time.Time) {
-	for rank := range w.group.ranks {
-		away := rapid.IntRange(0, 4).Draw(t, "agent away") == 0
-		if !away && c.state.Fence < w.fences[rank] {
+func (n *lossyNetwork) read(t *rapid.T, c *modelCoordinator, now time.Time) {
+	for rank := range n.group.ranks {
+		unreachable := rapid.IntRange(0, 4).Draw(t, "agent unreachable") == 0
+		if !unreachable && c.state.Fence < n.fences[rank] {
 			continue
 		}
 		if rapid.IntRange(0, 9).Draw(t, "lost report") == 0 {
 			continue
 		}
-		read := w.group.report(rank)
-		if away {
+		read := n.group.report(rank)
+		if unreachable {
 			// A read of the engine itself returns an older state.
-			read, read.Direct = w.staleReports[rank], true
+			read, read.Direct = n.staleReports[rank], true
 		} else {
-			w.fences[rank] = c.state.Fence
+			n.fences[rank] = c.state.Fence
 		}
 		read.RequestedAt = now
 		if rapid.IntRange(0, 3).Draw(t, "slow report") == 0 {
@@ -344,27 +344,27 @@
 }
 
 // send delivers the pending orders, loses them, or keeps them for late delivery.
-func (w *lossyNetwork) send(t *rapid.T, c *modelCoordinator, now time.Time) {
+func (n *lossyNetwork) send(t *rapid.T, c *modelCoordinator, now time.Time) {
 	effects := c.pending
 	c.pending = nil
 	for _, effect := range effects {
 		send, ok := effect.(SendOrder)
-		if !ok || send.Rank >= len(w.group.ranks) {
+		if !ok || send.Rank >= len(n.group.ranks) {
 			continue
 		}
-		fenced := c.state.Fence < w.fences[send.Through]
-		away := rapid.IntRange(0, 4).Draw(t, "agent away") == 0
-		if (fenced || away) && (send.Order.Kind == topology.Hold || send.Order.Kind == topology.Release) {
+		fenced := c.state.Fence < n.fences[send.Through]
+		unreachable := rapid.IntRange(0, 4).Draw(t, "agent unreachable") == 0
+		if (fenced || unreachable) && (send.Order.Kind == topology.Hold || send.Order.Kind == topology.Release) {
 			continue // All other orders may bypass an unreachable agent.
 		}
 		switch rapid.IntRange(0, 4).Draw(t, "way") {
 		case 0:
-			w.delayed = append(w.delayed, delayedOrder{rank: send.Rank, order: w.group.expand(send)})
+			n.delayed = append(n.delayed, delayedOrder{rank: send.Rank, order: n.group.expand(send)})
 		case 1: // Lost.
 		default:
-			w.group.apply(send.Rank, w.group.expand(send))
+			n.group.apply(send.Rank, n.group.expand(send))
 			if !fenced && send.Through == send.Rank {
-				read := w.group.report(send.Rank)
+				read := n.group.report(send.Rank)
 				read.RequestedAt = now
 				c.handle(read, now)
 			}
--- a/policy/topology/configuration.go
+++ b/policy/topology/configuration.go
@@ -32,7 +32,7 @@
 	Public           bool          // No key is required.
 	Timeout          time.Duration // Maximum time until the final answer.
 	Objective        time.Duration // Time to the answer, or to the first event, that earns full credit.
-	InterTokenTarget time.Duration // Longest pause between events; 0 for plain requests.
+	InterTokenTarget time.Duration // Target for the longest pause between events; 0 for plain requests.
 	Priority         int           // 0 is the most urgent.
 	MaxAttempts      int           // Maximum number of backend servers on which one request may run.
 	Targets          []Target
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -213,7 +213,7 @@
 	s.revision++
 	if server.Server.Leaving {
 		delete(s.Servers, id)
-		return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "gone", Reason: "row removed after it was marked as leaving"}}
+		return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "gone", Reason: "row removed after the server was marked as leaving"}}
 	}
 	server.DropAt = now.Add(unlistedGrace)
 	if graceEnd := s.StoreUpSince.Add(StoreReturnGrace); !s.StoreUpSince.IsZero() && graceEnd.After(server.DropAt) {
