--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -214,7 +214,7 @@
 		asked := s.queue.popFirst()
 		ticket := asked.Ticket
 		s.running[ticket] = &work{started: now, cost: s.cost(asked.Prompt), startedCold: s.limit.coldSuspected()}
-		s.index.RecordPrompt(asked.Prompt.Blocks)
+		s.index.Note(asked.Prompt.Blocks)
 		s.history.record(now, s.activeCount())
 		effects = append(effects, Admit{Ticket: ticket})
 	}
--- a/policy/control/configuration_test.go
+++ b/policy/control/configuration_test.go
@@ -25,7 +25,7 @@
 func TestTakeOutAndReturn(t *testing.T) {
 	Convey("Given the agent of a warm backend server", t, func() {
 		now := time.Unix(1_000, 0)
-		state := New(Identity{ID: "a", DataCentre: "dc", BackendServer: "s"})
+		state := New(Self{ID: "a", DataCentre: "dc", BackendServer: "s"})
 		ticket := uint64(0)
 		step := func(event reduce.Event) []reduce.Effect {
 			var effects []reduce.Effect
@@ -44,7 +44,7 @@
 		}
 		install := func(revision uint64, takenOut bool) {
 			step(view.Fetched{Snapshot: snapshot(revision, takenOut)})
-			step(view.StoreRead{Revision: revision, BeganAt: now})
+			step(view.StoreRead{Revision: revision, Began: now})
 		}
 		install(1, false)
 		for range 100 {
--- a/policy/control/control.go
+++ b/policy/control/control.go
@@ -12,8 +12,8 @@
 	"persimmonwind.dev/policy/view"
 )
 
-// Identity is what a process knows of itself from its settings.
-type Identity struct {
+// Self is what a process knows of itself from its settings.
+type Self struct {
 	ID            string
 	Role          string
 	DataCentre    string
@@ -22,10 +22,10 @@
 
 // State is the whole control state of a process.
 type State struct {
-	Identity  Identity
+	Self      Self
 	View      view.State
 	Evidence  evidence.State
-	StaleErr  *result.Error    // Why the evidence permits no new work, or nil.
+	Stale     *result.Error    // Why the evidence permits no new work, or nil.
 	Admission admission.State  // Agents only.
 	Member    expertmap.Member // Agents of a group only.
 	Leaving   bool
@@ -70,7 +70,7 @@
 // before.
 func stepAdmission(state State, input reduce.Input) (State, []reduce.Effect) {
 	var effects, more []reduce.Effect
-	err := state.CheckNewWork()
+	err := state.Gate()
 	if err != nil && state.Admission.Queued > 0 {
 		closed := reduce.Input{Now: input.Now, Event: admission.Closed{Err: err}}
 		state.Admission, effects = admission.Step(state.Admission, closed)
@@ -83,8 +83,8 @@
 }
 
 // New returns the first state of a process.
-func New(self Identity) State {
-	state := State{Identity: self, Evidence: evidence.State{Policy: evidence.DefaultPolicy}}
+func New(self Self) State {
+	state := State{Self: self, Evidence: evidence.State{Policy: evidence.DefaultPolicy}}
 	state.View.PollAfter = view.EntryPollAfter
 	if self.BackendServer != "" {
 		state.View.PollAfter = view.AgentPollAfter
@@ -98,7 +98,7 @@
 	var effects, more []reduce.Effect
 	state.View, effects = view.Step(state.View, input)
 	state.Evidence, more = evidence.Step(state.Evidence, state.View, input)
-	state.StaleErr = state.Evidence.CheckNewWork(state.View, state.Identity.DataCentre, input.Now)
+	state.Stale = state.Evidence.Permission(state.View, state.Self.DataCentre, input.Now)
 	return state, append(effects, more...)
 }
 
@@ -113,7 +113,7 @@
 			size++
 		}
 	}
-	state.Member = state.Member.Configure(state.Identity.ID, server.Group, server.Rank, size)
+	state.Member = state.Member.Configure(state.Self.ID, server.Group, server.Rank, size)
 	var effects []reduce.Effect
 	state.Member, effects = expertmap.StepMember(state.Member, input)
 	return state, effects
@@ -123,7 +123,7 @@
 	if s.View.InForce == nil {
 		return config.BackendServer{}
 	}
-	return s.View.InForce.BackendServers[s.Identity.BackendServer]
+	return s.View.InForce.BackendServers[s.Self.BackendServer]
 }
 
 // takenOut reports whether the agent's backend server is out of service.
@@ -131,19 +131,19 @@
 	return s.View.InForce != nil && s.View.InForce.TakenOut(s.backendServer())
 }
 
-// CheckNewWork returns why the agent may not start new work, or nil.
-func (s State) CheckNewWork() *result.Error {
+// Gate returns why the agent may not start new work, or nil.
+func (s State) Gate() *result.Error {
 	switch {
 	case s.Leaving:
-		return result.Errorf(result.Leaving, "agent %q is leaving", s.Identity.ID)
+		return result.Errorf(result.Leaving, "agent %q is leaving", s.Self.ID)
 	case s.View.InForce == nil:
-		return result.Errorf(result.NotReady, "agent %q has no configuration", s.Identity.ID)
+		return result.Errorf(result.NotReady, "agent %q has no configuration", s.Self.ID)
 	case s.takenOut():
-		return result.Errorf(result.DataCentreOut, "backend server %q is taken out", s.Identity.BackendServer)
+		return result.Errorf(result.DataCentreOut, "backend server %q is taken out", s.Self.BackendServer)
 	case s.Member.Blocked:
 		return result.Errorf(result.GroupWaiting, "rank %d of group %q waits for its expert map", s.Member.Rank, s.Member.Group)
-	case s.StaleErr != nil:
-		return s.StaleErr
+	case s.Stale != nil:
+		return s.Stale
 	}
 	return nil
 }
--- a/policy/control/gate_test.go
+++ b/policy/control/gate_test.go
@@ -33,14 +33,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1_000, 0)
-			state := New(Identity{ID: "a", DataCentre: "dc", BackendServer: "s"})
+			state := New(Self{ID: "a", DataCentre: "dc", BackendServer: "s"})
 			step := func(event reduce.Event) []reduce.Effect {
 				var effects []reduce.Effect
 				state, effects = Step(state, reduce.Input{Now: now, Event: event})
 				return effects
 			}
 			step(view.Fetched{Snapshot: snapshot(1, false)})
-			step(view.StoreRead{Revision: 1, BeganAt: now})
+			step(view.StoreRead{Revision: 1, Began: now})
 			now = now.Add(evidence.MaxStoreAge - time.Second)
 			for ticket := uint64(running); ticket <= queued; ticket++ {
 				step(admission.Asked{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)})
--- a/policy/evidence/evidence.go
+++ b/policy/evidence/evidence.go
@@ -33,13 +33,13 @@
 	retryAfter = time.Second
 )
 
-// ContactRule says which contacts with peers are evidence.
-type ContactRule int
+// Rule says which contacts with peers are evidence.
+type Rule int
 
 // The rules, from the strictest to the most lenient but one.
 const (
 	// StoreOnly takes no contact as evidence.
-	StoreOnly ContactRule = iota
+	StoreOnly Rule = iota
 	// EveryDataCentre needs a peer in every data centre not taken out.
 	EveryDataCentre
 	// OtherDataCentre needs a peer in one other data centre.
@@ -49,95 +49,95 @@
 )
 
 // String returns the rule's name.
-func (r ContactRule) String() string {
+func (r Rule) String() string {
 	return [...]string{"store only", "every data centre", "one other data centre", "any peer"}[r]
 }
 
-// StartupCheck says what a restarted process needs before its word counts.
-type StartupCheck int
+// Bit says what a restarted process needs before its word counts.
+type Bit int
 
 // The variants of the start-up bit.
 const (
-	// NoStartupCheck lets the word of every process count that has a configuration.
-	NoStartupCheck StartupCheck = iota
-	// PeerStartupCheck starts at false; it becomes true on evidence from the table
+	// NoBit lets the word of every process count that has a configuration.
+	NoBit Bit = iota
+	// PeerBit starts at false; it becomes true on evidence from the table
 	// service, on contact with a peer whose bit is true, or with a peer in every
 	// data centre not taken out. Without it a process starts no work either.
-	PeerStartupCheck
-	// StoreStartupCheck starts at false and becomes true on evidence from the table
+	PeerBit
+	// StoreBit starts at false and becomes true on evidence from the table
 	// service alone, of a read since the process started. Without it a process is no witness for others.
-	StoreStartupCheck
+	StoreBit
 )
 
 // String returns the bit's name.
-func (b StartupCheck) String() string {
+func (b Bit) String() string {
 	return [...]string{"no bit", "bit from peers", "bit from the store"}[b]
 }
 
 // Policy is one variant of the rules of evidence.
 type Policy struct {
-	Contacts ContactRule
-	Startup  StartupCheck
+	Rule Rule
+	Bit  Bit
 }
 
 // DefaultPolicy is the variant in use; docs/design/evidence.md gives the
 // reasons.
-var DefaultPolicy = Policy{Contacts: EveryDataCentre, Startup: StoreStartupCheck}
+var DefaultPolicy = Policy{Rule: EveryDataCentre, Bit: StoreBit}
 
 // State is a process's evidence beside view.State.CurrentAt.
 type State struct {
-	Policy           Policy
-	BootedAt         time.Time // Of the first input.
-	StartupConfirmed bool      // The start-up bit.
+	Policy  Policy
+	Boot    time.Time // Of the first input.
+	Started bool      // The start-up bit.
 	// Contacts holds, by data centre, the start of the latest exchange with a
 	// peer there that knew no newer configuration. It is never modified.
 	Contacts map[string]time.Time
 	NextAsk  time.Time
 }
 
-// AskPeers asks for exchanges with peers; each answer is a view.Met.
-type AskPeers struct {
+// Ask asks for exchanges with peers; each answer is a view.Met.
+type Ask struct {
 	// DataCentres names where to ask one peer each; none means any one peer.
 	DataCentres []string
 }
 
 // EffectName implements reduce.Effect.
-func (AskPeers) EffectName() string { return "evidence.ask" }
+func (Ask) EffectName() string { return "evidence.ask" }
 
 // Step reduces one input. The view has reduced it already.
 func Step(state State, known view.State, input reduce.Input) (State, []reduce.Effect) {
-	if met, ok := input.Event.(view.ExchangeAnswered); ok {
+	if met, ok := input.Event.(view.Met); ok {
 		state = meet(state, known, met)
 	}
-	if state.BootedAt.IsZero() {
-		state.BootedAt = input.Now
+	if state.Boot.IsZero() {
+		state.Boot = input.Now
 	}
-	if known.CurrentAt.After(state.BootedAt) {
-		state.StartupConfirmed = true
+	if known.CurrentAt.After(state.Boot) {
+		state.Started = true
 	}
 	if _, ok := input.Event.(reduce.Tick); !ok || input.Now.Before(state.NextAsk) {
 		return state, nil
 	}
 	jitter := time.Duration(input.Random % uint64(askJitter))
 	state.NextAsk = input.Now.Add(askInterval - jitter)
-	return state, []reduce.Effect{AskPeers{DataCentres: toAsk(known, input.Now)}}
+	return state, []reduce.Effect{Ask{DataCentres: toAsk(known, input.Now)}}
 }
 
-func meet(state State, known view.State, met view.ExchangeAnswered) State {
-	if state.Policy.Startup == PeerStartupCheck && (met.StartupConfirmed || state.everyDataCentre(known, met.BeganAt)) {
-		state.StartupConfirmed = true
+func meet(state State, known view.State, met view.Met) State {
+	if state.Policy.Bit == PeerBit && (met.Started || state.everyDataCentre(known, met.Began)) {
+		state.Started = true
 	}
 	knowsNothing := met.Revision == 0
-	isStarting := state.Policy.Startup != NoStartupCheck && !met.StartupConfirmed
+	isStarting := state.Policy.Bit != NoBit && !met.Started
 	if knowsNothing || isStarting || met.Revision > known.Revision() {
 		return state
 	}
-	if met.BeganAt.Before(state.Contacts[met.DataCentre]) {
+	if met.Began.Before(state.Contacts[met.DataCentre]) {
 		return state
 	}
 	contacts := make(map[string]time.Time, len(state.Contacts)+1)
 	maps.Copy(contacts, state.Contacts)
-	contacts[met.DataCentre] = met.BeganAt
+	contacts[met.DataCentre] = met.Began
 	state.Contacts = contacts
 	return state
 }
@@ -157,13 +157,13 @@
 	return names
 }
 
-// CheckNewWork returns why the process in the data centre may not start new
+// Permission returns why the process in the data centre may not start new
 // work at the time, or nil.
-func (s State) CheckNewWork(known view.State, dataCentre string, now time.Time) *result.Error {
+func (s State) Permission(known view.State, dataCentre string, now time.Time) *result.Error {
 	if known.InForce != nil && known.Age(now) <= MaxStoreAge {
 		return nil
 	}
-	started := s.Policy.Startup != PeerStartupCheck || s.StartupConfirmed
+	started := s.Policy.Bit != PeerBit || s.Started
 	if known.InForce != nil && !known.Behind() && started && s.hasContacts(known, dataCentre, now) {
 		return nil
 	}
@@ -171,7 +171,7 @@
 }
 
 func (s State) hasContacts(known view.State, dataCentre string, now time.Time) bool {
-	switch s.Policy.Contacts {
+	switch s.Policy.Rule {
 	case EveryDataCentre:
 		return s.everyDataCentre(known, now)
 	case OtherDataCentre:
--- a/policy/share/home.go
+++ b/policy/share/home.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// TokenTTL is how long granted tokens last.
-	TokenTTL = 2 * time.Second
-	// SlotTTL is how long leased slots last without renewal.
-	SlotTTL = 10 * time.Second
+	// TokenTime is how long granted tokens last.
+	TokenTime = 2 * time.Second
+	// SlotTime is how long leased slots last without renewal.
+	SlotTime = 10 * time.Second
 
 	burstTime     = time.Second // Of the rate that an idle organisation saves up.
 	minBurst      = 10.0        // Tokens that every organisation may save up.
@@ -33,8 +33,8 @@
 	Concurrency int     // Requests at a time.
 }
 
-// LeaseRequest asks the home for a share.
-type LeaseRequest struct {
+// Ask asks the home for a share.
+type Ask struct {
 	Org    string
 	Entry  string
 	Want   int // Tokens.
@@ -59,9 +59,9 @@
 // NewHome returns a home without accounts; it has just become one.
 func NewHome(now time.Time) *Home { return &Home{accounts: map[string]*account{}, moved: now} }
 
-// MarkReassigned tells that organisations may have come from another home, whose leases
+// Moved tells that organisations may have come from another home, whose leases
 // may still last.
-func (h *Home) MarkReassigned(now time.Time) { h.moved = now }
+func (h *Home) Moved(now time.Time) { h.moved = now }
 
 // account is one organisation's.
 type account struct {
@@ -77,12 +77,12 @@
 	until time.Time
 }
 
-// Lease leases a share; entries is the number of entry instances.
-func (h *Home) Lease(now time.Time, limits Limits, entries int, ask LeaseRequest) Grant {
+// Ask leases a share; entries is the number of entry instances.
+func (h *Home) Ask(now time.Time, limits Limits, entries int, ask Ask) Grant {
 	a := h.accounts[ask.Org]
 	if a == nil {
 		a = &account{filled: now, tokens: Burst(limits.Rate), leases: map[string]lease{}}
-		if a.careful = h.moved.Add(SlotTTL); now.Before(a.careful) {
+		if a.careful = h.moved.Add(SlotTime); now.Before(a.careful) {
 			a.tokens = max(1, a.tokens/float64(max(1, entries)))
 		}
 		h.accounts[ask.Org] = a
@@ -97,12 +97,12 @@
 	return grant
 }
 
-// DropIdle drops the accounts that are as good as new: nobody has asked in the
+// Forget drops the accounts that are as good as new: nobody has asked in the
 // time of a lease, and the burst is saved up.
-func (h *Home) DropIdle(now time.Time) {
+func (h *Home) Forget(now time.Time) {
 	for org, a := range h.accounts {
 		idle := now.Sub(a.filled)
-		if idle > SlotTTL && a.tokens+a.rate*idle.Seconds() >= Burst(a.rate) {
+		if idle > SlotTime && a.tokens+a.rate*idle.Seconds() >= Burst(a.rate) {
 			delete(h.accounts, org)
 		}
 	}
@@ -131,7 +131,7 @@
 }
 
 // lease sets how many slots the entry holds and returns them.
-func (a *account) lease(now time.Time, limit, entries int, ask LeaseRequest) int {
+func (a *account) lease(now time.Time, limit, entries int, ask Ask) int {
 	if limit <= 0 {
 		return ask.Slots
 	}
@@ -148,7 +148,7 @@
 	if now.Before(a.careful) {
 		slots = min(slots, max(ask.InUse, 1, limit/max(1, entries)))
 	}
-	a.leases[ask.Entry] = lease{slots: slots, until: now.Add(SlotTTL)}
+	a.leases[ask.Entry] = lease{slots: slots, until: now.Add(SlotTime)}
 	return slots
 }
 
--- a/policy/share/share_test.go
+++ b/policy/share/share_test.go
@@ -30,17 +30,17 @@
 		leases := map[string]held{}
 		unused := map[string]int{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
-			home.DropIdle(now)
+			home.Forget(now)
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			entry := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "entry"))
 			back := rapid.IntRange(0, unused[entry]).Draw(t, "unused")
-			grant := home.Lease(now, limits, 5, LeaseRequest{
+			grant := home.Ask(now, limits, 5, Ask{
 				Org: "org", Entry: entry, Want: rapid.IntRange(0, 30).Draw(t, "want"), Unused: back,
 				Slots: rapid.IntRange(0, 10).Draw(t, "hold"),
 			})
 			granted, returned = granted+grant.Tokens, returned+back
 			unused[entry] = grant.Tokens
-			leases[entry] = held{grant.Slots, now.Add(SlotTTL)}
+			leases[entry] = held{grant.Slots, now.Add(SlotTime)}
 			total := 0
 			for _, l := range leases {
 				if now.Before(l.until) {
@@ -77,14 +77,14 @@
 	home, local, admitted := NewHome(epoch.Add(-time.Hour)), &Local{}, 0
 	for step := range 10_000 {
 		now := epoch.Add(time.Duration(step) * time.Millisecond)
-		verdict, _ := local.TryAdmit(now, limits, 0)
-		if verdict == NeedsLease {
-			local.ApplyGrant(now, home.Lease(now, limits, 1, local.Request(now, "org", "entry", 1)))
-			verdict, _ = local.TryAdmit(now, limits, maxAsks)
+		verdict, _ := local.Take(now, limits, 0)
+		if verdict == MustAsk {
+			local.Granted(now, home.Ask(now, limits, 1, local.Ask(now, "org", "entry", 1)))
+			verdict, _ = local.Take(now, limits, maxAsks)
 		}
 		if verdict == Admitted {
 			admitted++
-			local.Release()
+			local.Done()
 		}
 	}
 	if admitted < 180 || admitted > 220 {
@@ -96,10 +96,10 @@
 	limits, local, admitted := Limits{Rate: 100, Concurrency: 10}, &Local{}, 0
 	for step := range 10_000 {
 		now := epoch.Add(time.Duration(step) * time.Millisecond)
-		verdict, err := local.AdmitLocally(now, limits, 10, 3)
+		verdict, err := local.Unreachable(now, limits, 10, 3)
 		if verdict == Admitted {
 			admitted++
-			local.Release()
+			local.Done()
 		} else if err.RetryAfter <= 0 {
 			t.Fatal("a refusal does not say when to come back")
 		}
@@ -113,26 +113,26 @@
 func TestANewHomeIsCarefulAtFirst(t *testing.T) {
 	limits, home := Limits{Concurrency: 10}, NewHome(epoch)
 	for entry := range 5 {
-		if grant := home.Lease(epoch, limits, 5, LeaseRequest{Org: "org", Entry: fmt.Sprint(entry), Slots: 6}); grant.Slots > 2 {
+		if grant := home.Ask(epoch, limits, 5, Ask{Org: "org", Entry: fmt.Sprint(entry), Slots: 6}); grant.Slots > 2 {
 			t.Fatalf("entry %d got %d slots of 10 at once", entry, grant.Slots)
 		}
 	}
-	later := epoch.Add(SlotTTL)
-	if grant := home.Lease(later, limits, 5, LeaseRequest{Org: "org", Entry: "0", Slots: 6}); grant.Slots != 6 {
+	later := epoch.Add(SlotTime)
+	if grant := home.Ask(later, limits, 5, Ask{Org: "org", Entry: "0", Slots: 6}); grant.Slots != 6 {
 		t.Fatalf("got %d slots", grant.Slots)
 	}
 }
 
 func TestAnAccountIsForgottenOnlyWhenItsBurstIsSavedUp(t *testing.T) {
 	limits, home := Limits{Rate: 0.1}, NewHome(epoch.Add(-time.Hour))
-	ask := LeaseRequest{Org: "org", Entry: "0", Want: 20}
-	if grant := home.Lease(epoch, limits, 1, ask); grant.Tokens != minBurst {
+	ask := Ask{Org: "org", Entry: "0", Want: 20}
+	if grant := home.Ask(epoch, limits, 1, ask); grant.Tokens != minBurst {
 		t.Fatalf("got %d tokens at first", grant.Tokens)
 	}
-	later := epoch.Add(2 * SlotTTL)
-	home.DropIdle(later)
-	if grant := home.Lease(later, limits, 1, ask); grant.Tokens > 2 {
-		t.Fatalf("got %d tokens after %v at 0.1 a second", grant.Tokens, 2*SlotTTL)
+	later := epoch.Add(2 * SlotTime)
+	home.Forget(later)
+	if grant := home.Ask(later, limits, 1, ask); grant.Tokens > 2 {
+		t.Fatalf("got %d tokens after %v at 0.1 a second", grant.Tokens, 2*SlotTime)
 	}
 }
 
@@ -140,7 +140,7 @@
 func TestALargeOrganisationIsServedByANewHomeAtOnce(t *testing.T) {
 	limits, home, now := Limits{Rate: 10_000, Concurrency: 10_000}, NewHome(epoch), epoch
 	for request := range 100 {
-		grant := home.Lease(now, limits, 3, LeaseRequest{Org: "org", Entry: "0", Want: 1, Slots: request + 1, InUse: request})
+		grant := home.Ask(now, limits, 3, Ask{Org: "org", Entry: "0", Want: 1, Slots: request + 1, InUse: request})
 		if grant.Tokens != 1 {
 			t.Fatalf("request %d got no token", request)
 		}
--- a/policy/wholesystem/network_test.go
+++ b/policy/wholesystem/network_test.go
@@ -81,17 +81,17 @@
 
 func (w *world) hear(p *process, revision uint64) {
 	if revision > p.state.View.Revision() {
-		w.step(p, view.PeerRevision{Revision: revision})
+		w.step(p, view.Heard{Revision: revision})
 	}
 }
 
 func (w *world) exchangeAnswer(p *process, m message) message {
 	known := p.state.View
-	met := view.ExchangeAnswered{
-		Peer: p.self.ID, DataCentre: p.self.DataCentre, Revision: known.Revision(), BeganAt: m.began,
-		AgeKnown: !known.CurrentAt.IsZero(), StartupConfirmed: p.state.Evidence.StartupConfirmed,
+	met := view.Met{
+		Peer: p.self.ID, DataCentre: p.self.DataCentre, Revision: known.Revision(), Began: m.began,
+		Current: !known.CurrentAt.IsZero(), Started: p.state.Evidence.Started,
 	}
-	if met.AgeKnown {
+	if met.Current {
 		met.Age = known.Age(w.now)
 	}
 	return message{kind: exchangeReply, from: p.index, to: m.from, boot: m.boot, revision: met.Revision, event: met}
@@ -113,7 +113,7 @@
 func (w *world) endRead(p *process, m message) {
 	if !m.failed {
 		w.step(p, view.Fetched{Snapshot: m.snapshot})
-		w.step(p, view.StoreRead{Revision: m.snapshot.Revision, BeganAt: m.began})
+		w.step(p, view.StoreRead{Revision: m.snapshot.Revision, Began: m.began})
 		for _, revision := range append([]uint64(nil), p.unsettled...) {
 			if revision <= m.snapshot.Revision {
 				w.settle(p, revision)
@@ -164,7 +164,7 @@
 	switch effect := effect.(type) {
 	case view.Fetch:
 		w.fetch(p, effect.PeersFirst)
-	case evidence.AskPeers:
+	case evidence.Ask:
 		w.exchange(p, effect.DataCentres)
 	case admission.Admit:
 		w.start(p, effect.Ticket)
--- a/policy/wholesystem/world_test.go
+++ b/policy/wholesystem/world_test.go
@@ -24,7 +24,7 @@
 // process is an entry or an agent with what its executors hold.
 type process struct {
 	index   int
-	self    control.Identity
+	self    control.Self
 	state   control.State
 	server  *server // Agents only.
 	boot    int
@@ -64,10 +64,10 @@
 		first.DataCentres[name] = config.DataCentre{Name: name}
 	}
 	for i := range entries {
-		w.add(control.Identity{ID: fmt.Sprint("entry", i), DataCentre: dataCentres[i]}, nil)
+		w.add(control.Self{ID: fmt.Sprint("entry", i), DataCentre: dataCentres[i]}, nil)
 	}
 	for i := range agents {
-		self := control.Identity{ID: fmt.Sprint("agent", i), DataCentre: dataCentres[min(i, 2)], BackendServer: fmt.Sprint("s", i)}
+		self := control.Self{ID: fmt.Sprint("agent", i), DataCentre: dataCentres[min(i, 2)], BackendServer: fmt.Sprint("s", i)}
 		first.BackendServers[self.BackendServer] = config.BackendServer{
 			Name: self.BackendServer, DataCentre: self.DataCentre, Model: "m", FullLimit: fullLimit, ColdLimit: coldLimit,
 		}
@@ -77,7 +77,7 @@
 	return w
 }
 
-func (w *world) add(self control.Identity, s *server) {
+func (w *world) add(self control.Self, s *server) {
 	w.processes = append(w.processes, &process{index: len(w.processes), self: self, state: control.New(self), server: s, started: w.now})
 }
 
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -53,7 +53,7 @@
 
 // New returns an agent that is not running yet.
 func New(config settings.Agent, listeners Listeners, log *logrus.Entry) *Agent {
-	self := control.Identity{
+	self := control.Self{
 		ID: config.ID, Role: ports.RoleAgent,
 		DataCentre: config.DataCentre, BackendServer: config.BackendServer,
 	}
--- a/server/entry/entry.go
+++ b/server/entry/entry.go
@@ -49,7 +49,7 @@
 
 // New returns an entry that is not running yet.
 func New(config settings.Entry, listeners Listeners, log *logrus.Entry) *Entry {
-	self := control.Identity{ID: config.ID, Role: ports.RoleEntry, DataCentre: config.DataCentre}
+	self := control.Self{ID: config.ID, Role: ports.RoleEntry, DataCentre: config.DataCentre}
 	n := node.New(node.Options{Self: self, Control: listeners.Control, StoreURL: config.Store, Traffic: listeners.Callers.Addr().String(), Peers: config.Peers, Keys: listeners.Keys, Log: log})
 	e := &Entry{settings: config, node: n, runner: attempt.NewRunner(n), limiter: limit.New(n, config.ID), listeners: listeners}
 	e.metrics = metrics.New(n.State)
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -105,11 +105,11 @@
 
 // try tries to admit a request; one that must ask joins the round of its
 // organisation, and begins it if there is none.
-func (l *Limiter) try(org string, limits share.Limits, asks int) (share.Decision, joined, *result.Error) {
+func (l *Limiter) try(org string, limits share.Limits, asks int) (share.Verdict, joined, *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	verdict, err := l.local(org).TryAdmit(time.Now(), limits, asks)
-	if verdict != share.NeedsLease {
+	verdict, err := l.local(org).Take(time.Now(), limits, asks)
+	if verdict != share.MustAsk {
 		return verdict, joined{}, err
 	}
 	r, under := l.rounds[org]
@@ -124,13 +124,13 @@
 func (l *Limiter) done(org string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.local(org).Release()
+	l.local(org).Done()
 }
 
 // ask asks the home on behalf of all that have joined the round.
 func (l *Limiter) ask(ctx context.Context, org string, round joined) {
 	l.mu.Lock()
-	request := l.local(org).Request(time.Now(), org, l.self, round.waiting)
+	request := l.local(org).Ask(time.Now(), org, l.self, round.waiting)
 	l.mu.Unlock()
 	grant, err := l.call(context.WithoutCancel(ctx), request)
 	l.mu.Lock()
@@ -139,7 +139,7 @@
 		logevent.Write(l.node.Log(), logevent.HomeUnreachable, map[string]any{"organisation": org, "error": err.Error()})
 		round.failed = true
 	} else {
-		l.local(org).ApplyGrant(time.Now(), grant)
+		l.local(org).Granted(time.Now(), grant)
 	}
 	delete(l.rounds, org)
 	close(round.done)
@@ -149,7 +149,7 @@
 func (l *Limiter) takeLocal(org string, limits share.Limits) (release func(), err *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	verdict, err := l.local(org).AdmitLocally(time.Now(), limits, len(l.entries), l.rank(org))
+	verdict, err := l.local(org).Unreachable(time.Now(), limits, len(l.entries), l.rank(org))
 	if verdict != share.Admitted {
 		return nil, err
 	}
@@ -163,7 +163,7 @@
 }
 
 // call sends the ask to the organisation's home, which may be this entry.
-func (l *Limiter) call(ctx context.Context, ask share.LeaseRequest) (share.Grant, error) {
+func (l *Limiter) call(ctx context.Context, ask share.Ask) (share.Grant, error) {
 	home, address := l.homeOf(ask.Org)
 	if home == l.self {
 		return l.grant(ask), nil
@@ -196,7 +196,7 @@
 }
 
 // grant answers an ask as the organisation's home.
-func (l *Limiter) grant(ask share.LeaseRequest) share.Grant {
+func (l *Limiter) grant(ask share.Ask) share.Grant {
 	snapshot := l.node.State().View.InForce
 	if snapshot == nil {
 		return share.Grant{RetryAfter: time.Second}
@@ -204,7 +204,7 @@
 	limits := limitsOf(snapshot.Organisations[ask.Org])
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.home.Lease(time.Now(), limits, len(l.entries), ask)
+	return l.home.Ask(time.Now(), limits, len(l.entries), ask)
 }
 
 // follow takes in the instance list.
@@ -220,9 +220,9 @@
 	defer l.mu.Unlock()
 	if !slices.Equal(entries, l.entries) {
 		l.entries = entries
-		l.home.MarkReassigned(time.Now())
+		l.home.Moved(time.Now())
 	}
-	l.home.DropIdle(time.Now())
+	l.home.Forget(time.Now())
 }
 
 // renew renews the slots in use at their homes and gives the others back.
@@ -233,21 +233,21 @@
 			continue
 		}
 		l.mu.Lock()
-		l.local(ask.Org).ApplyRenewal(time.Now(), grant)
+		l.local(ask.Org).Renewed(time.Now(), grant)
 		l.mu.Unlock()
 	}
 }
 
-func (l *Limiter) renewals() []share.LeaseRequest {
+func (l *Limiter) renewals() []share.Ask {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var asks []share.LeaseRequest
+	var asks []share.Ask
 	for org, local := range l.locals {
 		switch {
 		case local.Idle(time.Now()):
 			delete(l.locals, org)
-		case local.NeedsRenewal(time.Now()):
-			asks = append(asks, local.RenewalRequest(org, l.self))
+		case local.MustRenew(time.Now()):
+			asks = append(asks, local.Renewal(org, l.self))
 		}
 	}
 	return asks
@@ -259,7 +259,7 @@
 // Ask grants a share.
 func (r *receiver) Ask(request wire.ShareRequest, reply *wire.ShareReply) error {
 	r.limiter.node.Hear(request.Stamp)
-	grant := r.limiter.grant(share.LeaseRequest{
+	grant := r.limiter.grant(share.Ask{
 		Org: request.Org, Entry: request.Stamp.From, Want: request.Want, Unused: request.Unused,
 		Slots: request.Slots, InUse: request.InUse,
 	})
--- a/server/node/exchange.go
+++ b/server/node/exchange.go
@@ -100,9 +100,9 @@
 		return err
 	}
 	n.Hear(reply.Stamp)
-	n.Loop.Post(view.ExchangeAnswered{
+	n.Loop.Post(view.Met{
 		Peer: reply.Stamp.From, DataCentre: reply.Stamp.DataCentre, Revision: reply.Stamp.Revision,
-		BeganAt: began, AgeKnown: reply.Current, Age: reply.Age, StartupConfirmed: reply.Started,
+		Began: began, Current: reply.Current, Age: reply.Age, Started: reply.Started,
 	})
 	return nil
 }
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -36,7 +36,7 @@
 
 // Options configure a node.
 type Options struct {
-	Self     control.Identity
+	Self     control.Self
 	Control  net.Listener // Control RPC; closed by Run.
 	StoreURL string
 	Traffic  string      // host:port of the traffic server, as others reach it.
@@ -147,7 +147,7 @@
 func (n *Node) Hear(stamp wire.Stamp) {
 	if stamp.Revision > n.State().View.Revision() {
 		n.teller.Store(&stamp.From)
-		n.Loop.Post(view.PeerRevision{Revision: stamp.Revision})
+		n.Loop.Post(view.Heard{Revision: stamp.Revision})
 	}
 }
 
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -138,7 +138,7 @@
 	state := r.node.State()
 	reply.Stamp = r.node.Stamp()
 	reply.Stamp.Revision = state.View.Revision()
-	reply.Started = state.Evidence.StartupConfirmed
+	reply.Started = state.Evidence.Started
 	if !state.View.CurrentAt.IsZero() {
 		reply.Current = true
 		reply.Age = state.View.Age(time.Now())
