--- a/ctl/experiment/evidence/evidence.go
+++ b/ctl/experiment/evidence/evidence.go
@@ -36,9 +36,9 @@
 // that takes no peer as evidence, but for refusing itself.
 func variants() []evidence.Policy {
 	var all []evidence.Policy
-	for _, rule := range []evidence.Rule{evidence.StoreOnly, evidence.EveryDataCentre, evidence.OtherDataCentre, evidence.AnyPeer} {
-		for _, bit := range []evidence.Bit{evidence.NoBit, evidence.PeerBit, evidence.StoreBit} {
-			all = append(all, evidence.Policy{Rule: rule, Bit: bit})
+	for _, rule := range []evidence.ContactRule{evidence.StoreOnly, evidence.EveryDataCentre, evidence.OtherDataCentre, evidence.AnyPeer} {
+		for _, bit := range []evidence.StartupCheck{evidence.NoStartupCheck, evidence.PeerStartupCheck, evidence.StoreStartupCheck} {
+			all = append(all, evidence.Policy{ContactRule: rule, StartupCheck: bit})
 		}
 	}
 	return all
@@ -133,7 +133,7 @@
 
 func (c unsafeCounts) cells(policy evidence.Policy) []string {
 	return []string{
-		policy.Rule.String(), policy.Bit.String(), fmt.Sprint(c.runs),
+		policy.ContactRule.String(), policy.StartupCheck.String(), fmt.Sprint(c.runs),
 		fmt.Sprint(c.lives), fmt.Sprint(c.power), fmt.Sprint(c.dies), fmt.Sprint(c.fromOut),
 	}
 }
--- a/ctl/experiment/evidence/evidence_test.go
+++ b/ctl/experiment/evidence/evidence_test.go
@@ -42,13 +42,13 @@
 		So(unsafeRuns(evidence.DefaultPolicy, 5, powerCut), ShouldEqual, 0)
 	})
 	Convey("Without the start-up bit, or with the bit from peers, it is not", t, func() {
-		So(unsafeRuns(evidence.Policy{Rule: evidence.EveryDataCentre, Bit: evidence.NoBit}, 5, powerCut), ShouldBeGreaterThan, 0)
-		So(unsafeRuns(evidence.Policy{Rule: evidence.EveryDataCentre, Bit: evidence.PeerBit}, 5, powerCut), ShouldBeGreaterThan, 0)
+		So(unsafeRuns(evidence.Policy{ContactRule: evidence.EveryDataCentre, StartupCheck: evidence.NoStartupCheck}, 5, powerCut), ShouldBeGreaterThan, 0)
+		So(unsafeRuns(evidence.Policy{ContactRule: evidence.EveryDataCentre, StartupCheck: evidence.PeerStartupCheck}, 5, powerCut), ShouldBeGreaterThan, 0)
 	})
 	Convey("Contact with one data centre only is not enough", t, func() {
 		still := func(c takeOut) bool { return covered(c) && c.restart == restartNone && !c.heals && !c.outBefore }
 		So(unsafeRuns(evidence.DefaultPolicy, 5, still), ShouldEqual, 0)
-		So(unsafeRuns(evidence.Policy{Rule: evidence.OtherDataCentre, Bit: evidence.StoreBit}, 5, still), ShouldBeGreaterThan, 0)
+		So(unsafeRuns(evidence.Policy{ContactRule: evidence.OtherDataCentre, StartupCheck: evidence.StoreStartupCheck}, 5, still), ShouldBeGreaterThan, 0)
 	})
 }
 
--- a/ctl/experiment/evidence/network.go
+++ b/ctl/experiment/evidence/network.go
@@ -128,7 +128,7 @@
 		switch effect := effect.(type) {
 		case view.Fetch:
 			n.fetch(p, effect)
-		case evidence.Ask:
+		case evidence.AskPeers:
 			n.ask(p, effect)
 		}
 	}
@@ -153,7 +153,7 @@
 	if n.store.Revision > p.view.Revision() {
 		n.step(p, view.Fetched{Snapshot: n.store})
 	}
-	n.step(p, view.StoreRead{Revision: n.store.Revision, Began: n.now})
+	n.step(p, view.StoreRead{Revision: n.store.Revision, BeganAt: n.now})
 	return true
 }
 
@@ -190,7 +190,7 @@
 	return n.drawPeer(p, dataCentre)
 }
 
-func (n *network) ask(p *process, effect evidence.Ask) {
+func (n *network) ask(p *process, effect evidence.AskPeers) {
 	if len(effect.DataCentres) == 0 {
 		n.exchange(p, n.random.IntN(len(n.entries)))
 		return
@@ -211,10 +211,10 @@
 	}
 	n.exchanges++
 	if p.view.Revision() > peer.view.Revision() {
-		n.step(peer, view.Heard{Revision: p.view.Revision()})
+		n.step(peer, view.RevisionSeen{Revision: p.view.Revision()})
 	}
-	met := view.Met{
-		Peer: peer.id, DataCentre: name(peer.dataCentre), Revision: peer.view.Revision(), Began: n.now,
+	met := view.ExchangeAnswered{
+		Peer: peer.id, DataCentre: name(peer.dataCentre), Revision: peer.view.Revision(), BeganAt: n.now,
 		Started: peer.evidence.Started,
 	}
 	if !peer.view.CurrentAt.IsZero() {
@@ -244,5 +244,5 @@
 	if p.dead || p.paused || p.view.InForce == nil || p.view.InForce.DataCentres[name(p.dataCentre)].TakenOut {
 		return false
 	}
-	return p.evidence.Permission(p.view, name(p.dataCentre), n.now) == nil
+	return p.evidence.CheckNewWork(p.view, name(p.dataCentre), n.now) == nil
 }
--- a/ctl/experiment/evidence/outage.go
+++ b/ctl/experiment/evidence/outage.go
@@ -20,7 +20,7 @@
 
 // outages returns the row of refused shares in a store outage.
 func outages(policy evidence.Policy, seed uint64, seeds int) []string {
-	row := []string{policy.Rule.String(), policy.Bit.String()}
+	row := []string{policy.ContactRule.String(), policy.StartupCheck.String()}
 	for _, restart := range []restartPattern{restartNone, restartAgent, restartTakenOut, restartAll} {
 		row = append(row, percent(refusedShare(policy, seed, seeds, restart, 1)))
 	}
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -48,10 +48,10 @@
 	if !retry.Retriable(attempt) {
 		return b, false
 	}
-	if retry.Free(attempt.Err.Code) {
+	if retry.SkipsBudget(attempt.Err.Code) {
 		return b, true
 	}
-	return b.Spend()
+	return b.Withdraw()
 }
 
 // figures are what a run shows of the requests that arrive after the stop.
@@ -121,7 +121,7 @@
 	budget := retry.NewBudget()
 	var arrive func()
 	arrive = func() {
-		budget = budget.Request()
+		budget = budget.Deposit()
 		q := &request{runner: r, budget: &budget, arrived: r.clock.Now(), work: draw(arrivals), excluded: map[int]bool{}}
 		q.counted = q.arrived >= stopAt && q.arrived < runLength-deadline
 		if q.counted {
@@ -181,7 +181,7 @@
 
 func (q *request) failed(number, server int, err *result.Error, begun bool) {
 	attempt := retry.Attempt{
-		Number: number, Err: err, Begun: begun, Idempotent: true, Waited: q.runner.clock.Now() - q.arrived,
+		Number: number, Err: err, ResponseStarted: begun, Idempotent: true, Waited: q.runner.clock.Now() - q.arrived,
 		Remaining: q.work.Deadline - (q.runner.clock.Now() - q.arrived),
 	}
 	var again bool
@@ -203,7 +203,7 @@
 		return
 	}
 	found.refused++
-	if retry.GivenUp(err, q.runner.random.Uint64()).RetryAfter <= 0 {
+	if retry.FinalError(err, q.runner.random.Uint64()).RetryAfter <= 0 {
 		found.late++
 	}
 	found.slowest = max(found.slowest, q.runner.clock.Now()-q.arrived)
--- a/ctl/experiment/shares/run.go
+++ b/ctl/experiment/shares/run.go
@@ -70,7 +70,7 @@
 	}
 	for entry := range sz.entries {
 		r.names = append(r.names, fmt.Sprintf("entry-%d", entry))
-		r.homes = append(r.homes, share.NewHome(r.clock.Time().Add(-share.SlotTime)))
+		r.homes = append(r.homes, share.NewHome(r.clock.Time().Add(-share.SlotTTL)))
 	}
 	total := 0.0
 	for index := range sz.orgs {
@@ -119,7 +119,7 @@
 // moveHomes gives the lost entry's organisations new homes.
 func (r *runner) moveHomes() {
 	for _, home := range r.homes {
-		home.Moved(r.clock.Time())
+		home.MarkReassigned(r.clock.Time())
 	}
 	names := append([]string(nil), r.names...)
 	names[r.lost] = "gone"
@@ -160,7 +160,7 @@
 	r.hold(o, 1)
 	r.clock.After(time.Duration(r.random.ExpFloat64()*float64(holdTime)), func() {
 		r.hold(o, -1)
-		local.Done()
+		local.Release()
 	})
 }
 
@@ -178,19 +178,19 @@
 // the local share.
 func (r *runner) admit(entry int, o *org, local *share.Local) bool {
 	now := r.clock.Time()
-	verdict, _ := local.Take(now, o.limits, 0)
-	if verdict != share.MustAsk {
+	verdict, _ := local.TryAdmit(now, o.limits, 0)
+	if verdict != share.NeedsLease {
 		return verdict == share.Admitted
 	}
 	if o.home == r.lost {
 		rank := r.random.IntN(len(r.names))
-		verdict, _ = local.Unreachable(now, o.limits, len(r.names), rank)
+		verdict, _ = local.AdmitLocally(now, o.limits, len(r.names), rank)
 		return verdict == share.Admitted
 	}
 	r.found.asks++
 	ask := local.Ask(now, o.name, r.names[entry], 1)
-	local.Granted(now, r.homes[o.home].Ask(now, o.limits, len(r.names), ask))
-	verdict, _ = local.Take(now, o.limits, 1)
+	local.ApplyGrant(now, r.homes[o.home].Ask(now, o.limits, len(r.names), ask))
+	verdict, _ = local.TryAdmit(now, o.limits, 1)
 	return verdict == share.Admitted
 }
 
@@ -199,11 +199,11 @@
 	now := r.clock.Time()
 	for key, local := range r.locals {
 		o := r.found.orgs[key[1]]
-		if key[0] == r.lost || o.home == r.lost || !local.MustRenew(now) {
+		if key[0] == r.lost || o.home == r.lost || !local.NeedsRenewal(now) {
 			continue
 		}
 		r.found.asks++
-		ask := local.Renewal(o.name, r.names[key[0]])
-		local.Renewed(now, r.homes[o.home].Ask(now, o.limits, len(r.names), ask))
+		ask := local.RenewalRequest(o.name, r.names[key[0]])
+		local.ApplyRenewal(now, r.homes[o.home].Ask(now, o.limits, len(r.names), ask))
 	}
 }
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -218,7 +218,7 @@
 		asked := s.queue.popFirst()
 		ticket := asked.Ticket
 		s.running[ticket] = &work{started: now, cost: s.cost(asked.Prompt), inDoubt: s.limit.doubted()}
-		s.index.Note(asked.Prompt.Blocks)
+		s.index.RecordPrompt(asked.Prompt.Blocks)
 		s.history.record(now, s.alive())
 		effects = append(effects, Admit{Ticket: ticket})
 	}
--- a/policy/control/configuration_test.go
+++ b/policy/control/configuration_test.go
@@ -44,7 +44,7 @@
 		}
 		install := func(revision uint64, takenOut bool) {
 			step(view.Fetched{Snapshot: snapshot(revision, takenOut)})
-			step(view.StoreRead{Revision: revision, Began: now})
+			step(view.StoreRead{Revision: revision, BeganAt: now})
 		}
 		install(1, false)
 		for range 100 {
--- a/policy/control/control.go
+++ b/policy/control/control.go
@@ -25,7 +25,7 @@
 	Self      Self
 	View      view.State
 	Evidence  evidence.State
-	Stale     *result.Error    // Why the evidence permits no new work, or nil.
+	StaleErr  *result.Error    // Why the evidence permits no new work, or nil.
 	Admission admission.State  // Agents only.
 	Member    expertmap.Member // Agents of a group only.
 	Leaving   bool
@@ -70,7 +70,7 @@
 // before.
 func stepAdmission(state State, input reduce.Input) (State, []reduce.Effect) {
 	var effects, more []reduce.Effect
-	err := state.Gate()
+	err := state.CheckNewWork()
 	if err != nil && state.Admission.Queued > 0 {
 		closed := reduce.Input{Now: input.Now, Event: admission.Closed{Err: err}}
 		state.Admission, effects = admission.Step(state.Admission, closed)
@@ -98,7 +98,7 @@
 	var effects, more []reduce.Effect
 	state.View, effects = view.Step(state.View, input)
 	state.Evidence, more = evidence.Step(state.Evidence, state.View, input)
-	state.Stale = state.Evidence.Permission(state.View, state.Self.DataCentre, input.Now)
+	state.StaleErr = state.Evidence.CheckNewWork(state.View, state.Self.DataCentre, input.Now)
 	return state, append(effects, more...)
 }
 
@@ -131,8 +131,8 @@
 	return s.View.InForce != nil && s.View.InForce.TakenOut(s.backendServer())
 }
 
-// Gate returns why the agent may not start new work, or nil.
-func (s State) Gate() *result.Error {
+// CheckNewWork returns why the agent may not start new work, or nil.
+func (s State) CheckNewWork() *result.Error {
 	switch {
 	case s.Leaving:
 		return result.Errorf(result.Leaving, "agent %q is leaving", s.Self.ID)
@@ -142,8 +142,8 @@
 		return result.Errorf(result.DataCentreOut, "backend server %q is taken out", s.Self.BackendServer)
 	case s.Member.Blocked:
 		return result.Errorf(result.GroupWaiting, "rank %d of group %q waits for its expert map", s.Member.Rank, s.Member.Group)
-	case s.Stale != nil:
-		return s.Stale
+	case s.StaleErr != nil:
+		return s.StaleErr
 	}
 	return nil
 }
--- a/policy/control/gate_test.go
+++ b/policy/control/gate_test.go
@@ -40,7 +40,7 @@
 				return effects
 			}
 			step(view.Fetched{Snapshot: snapshot(1, false)})
-			step(view.StoreRead{Revision: 1, Began: now})
+			step(view.StoreRead{Revision: 1, BeganAt: now})
 			now = now.Add(evidence.MaxStoreAge - time.Second)
 			for ticket := uint64(running); ticket <= queued; ticket++ {
 				step(admission.Asked{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)})
--- a/policy/evidence/evidence.go
+++ b/policy/evidence/evidence.go
@@ -33,13 +33,13 @@
 	retryAfter = time.Second
 )
 
-// Rule says which contacts with peers are evidence.
-type Rule int
+// ContactRule says which contacts with peers are evidence.
+type ContactRule int
 
 // The rules, from the strictest to the most lenient but one.
 const (
 	// StoreOnly takes no contact as evidence.
-	StoreOnly Rule = iota
+	StoreOnly ContactRule = iota
 	// EveryDataCentre needs a peer in every data centre not taken out.
 	EveryDataCentre
 	// OtherDataCentre needs a peer in one other data centre.
@@ -49,70 +49,70 @@
 )
 
 // String returns the rule's name.
-func (r Rule) String() string {
+func (r ContactRule) String() string {
 	return [...]string{"store only", "every data centre", "one other data centre", "any peer"}[r]
 }
 
-// Bit says what a restarted process needs before its word counts.
-type Bit int
+// StartupCheck says what a restarted process needs before its word counts.
+type StartupCheck int
 
 // The variants of the start-up bit.
 const (
-	// NoBit lets the word of every process count that has a configuration.
-	NoBit Bit = iota
-	// PeerBit starts at false; it becomes true on evidence from the table
+	// NoStartupCheck lets the word of every process count that has a configuration.
+	NoStartupCheck StartupCheck = iota
+	// PeerStartupCheck starts at false; it becomes true on evidence from the table
 	// service, on contact with a peer whose bit is true, or with a peer in every
 	// data centre not taken out. Without it a process starts no work either.
-	PeerBit
-	// StoreBit starts at false and becomes true on evidence from the table
+	PeerStartupCheck
+	// StoreStartupCheck starts at false and becomes true on evidence from the table
 	// service alone, of a read since the process started. Without it a process is no witness for others.
-	StoreBit
+	StoreStartupCheck
 )
 
 // String returns the bit's name.
-func (b Bit) String() string {
+func (b StartupCheck) String() string {
 	return [...]string{"no bit", "bit from peers", "bit from the store"}[b]
 }
 
 // Policy is one variant of the rules of evidence.
 type Policy struct {
-	Rule Rule
-	Bit  Bit
+	ContactRule  ContactRule
+	StartupCheck StartupCheck
 }
 
 // DefaultPolicy is the variant in use; docs/design/evidence.md gives the
 // reasons.
-var DefaultPolicy = Policy{Rule: EveryDataCentre, Bit: StoreBit}
+var DefaultPolicy = Policy{ContactRule: EveryDataCentre, StartupCheck: StoreStartupCheck}
 
 // State is a process's evidence beside view.State.CurrentAt.
 type State struct {
-	Policy  Policy
-	Boot    time.Time // Of the first input.
-	Started bool      // The start-up bit.
+	Policy   Policy
+	BootedAt time.Time // Of the first input.
+	Started  bool      // The start-up bit.
 	// Contacts holds, by data centre, the start of the latest exchange with a
 	// peer there that knew no newer configuration. It is never modified.
 	Contacts map[string]time.Time
 	NextAsk  time.Time
 }
 
-// Ask asks for exchanges with peers; each answer is a view.Met.
-type Ask struct {
+// AskPeers asks for exchanges with peers; each answer is a view.Met.
+type AskPeers struct {
 	// DataCentres names where to ask one peer each; none means any one peer.
 	DataCentres []string
 }
 
 // EffectName implements reduce.Effect.
-func (Ask) EffectName() string { return "evidence.ask" }
+func (AskPeers) EffectName() string { return "evidence.ask" }
 
 // Step reduces one input. The view has reduced it already.
 func Step(state State, known view.State, input reduce.Input) (State, []reduce.Effect) {
-	if met, ok := input.Event.(view.Met); ok {
+	if met, ok := input.Event.(view.ExchangeAnswered); ok {
 		state = meet(state, known, met)
 	}
-	if state.Boot.IsZero() {
-		state.Boot = input.Now
+	if state.BootedAt.IsZero() {
+		state.BootedAt = input.Now
 	}
-	if known.CurrentAt.After(state.Boot) {
+	if known.CurrentAt.After(state.BootedAt) {
 		state.Started = true
 	}
 	if _, ok := input.Event.(reduce.Tick); !ok || input.Now.Before(state.NextAsk) {
@@ -120,24 +120,24 @@
 	}
 	jitter := time.Duration(input.Random % uint64(askJitter))
 	state.NextAsk = input.Now.Add(askInterval - jitter)
-	return state, []reduce.Effect{Ask{DataCentres: toAsk(known, input.Now)}}
+	return state, []reduce.Effect{AskPeers{DataCentres: toAsk(known, input.Now)}}
 }
 
-func meet(state State, known view.State, met view.Met) State {
-	if state.Policy.Bit == PeerBit && (met.Started || state.everyDataCentre(known, met.Began)) {
+func meet(state State, known view.State, met view.ExchangeAnswered) State {
+	if state.Policy.StartupCheck == PeerStartupCheck && (met.Started || state.everyDataCentre(known, met.BeganAt)) {
 		state.Started = true
 	}
 	knowsNothing := met.Revision == 0
-	isStarting := state.Policy.Bit != NoBit && !met.Started
+	isStarting := state.Policy.StartupCheck != NoStartupCheck && !met.Started
 	if knowsNothing || isStarting || met.Revision > known.Revision() {
 		return state
 	}
-	if met.Began.Before(state.Contacts[met.DataCentre]) {
+	if met.BeganAt.Before(state.Contacts[met.DataCentre]) {
 		return state
 	}
 	contacts := make(map[string]time.Time, len(state.Contacts)+1)
 	maps.Copy(contacts, state.Contacts)
-	contacts[met.DataCentre] = met.Began
+	contacts[met.DataCentre] = met.BeganAt
 	state.Contacts = contacts
 	return state
 }
@@ -157,13 +157,13 @@
 	return names
 }
 
-// Permission returns why the process in the data centre may not start new
+// CheckNewWork returns why the process in the data centre may not start new
 // work at the time, or nil.
-func (s State) Permission(known view.State, dataCentre string, now time.Time) *result.Error {
+func (s State) CheckNewWork(known view.State, dataCentre string, now time.Time) *result.Error {
 	if known.InForce != nil && known.Age(now) <= MaxStoreAge {
 		return nil
 	}
-	started := s.Policy.Bit != PeerBit || s.Started
+	started := s.Policy.StartupCheck != PeerStartupCheck || s.Started
 	if known.InForce != nil && !known.Behind() && started && s.hasContacts(known, dataCentre, now) {
 		return nil
 	}
@@ -171,7 +171,7 @@
 }
 
 func (s State) hasContacts(known view.State, dataCentre string, now time.Time) bool {
-	switch s.Policy.Rule {
+	switch s.Policy.ContactRule {
 	case EveryDataCentre:
 		return s.everyDataCentre(known, now)
 	case OtherDataCentre:
--- a/policy/evidence/evidence_test.go
+++ b/policy/evidence/evidence_test.go
@@ -29,17 +29,17 @@
 		now := start
 		knows := known(start)
 		meet := func(dataCentre string, revision uint64, started bool) {
-			event := view.Met{DataCentre: dataCentre, Revision: revision, Began: now, Started: started}
+			event := view.ExchangeAnswered{DataCentre: dataCentre, Revision: revision, BeganAt: now, Started: started}
 			state, _ = Step(state, knows, reduce.Input{Now: now, Event: event})
 		}
-		permitted := func() bool { return state.Permission(knows, "a", now) == nil }
+		permitted := func() bool { return state.CheckNewWork(knows, "a", now) == nil }
 
 		Convey("a recent read of the store permits work, an old one does not", func() {
 			now = start.Add(MaxStoreAge)
 			So(permitted(), ShouldBeTrue)
 			now = now.Add(time.Millisecond)
 			So(permitted(), ShouldBeFalse)
-			So(state.Permission(knows, "a", now).Code, ShouldEqual, result.StaleConfiguration)
+			So(state.CheckNewWork(knows, "a", now).Code, ShouldEqual, result.StaleConfiguration)
 		})
 
 		Convey("contact in every data centre that is not taken out permits work", func() {
@@ -83,7 +83,7 @@
 			now = start.Add(time.Minute)
 			meet("a", 5, true)
 			meet("b", 5, true)
-			knows.Heard = 6
+			knows.RevisionSeen = 6
 			So(permitted(), ShouldBeFalse)
 		})
 	})
@@ -105,7 +105,7 @@
 			_, effects := Step(State{Policy: DefaultPolicy}, known(start.Add(-age)), reduce.Input{Now: start, Event: reduce.Tick{}})
 			return effects
 		}
-		So(ask(time.Second), ShouldResemble, []reduce.Effect{Ask{}})
-		So(ask(time.Minute), ShouldResemble, []reduce.Effect{Ask{DataCentres: []string{"a", "b"}}})
+		So(ask(time.Second), ShouldResemble, []reduce.Effect{AskPeers{}})
+		So(ask(time.Minute), ShouldResemble, []reduce.Effect{AskPeers{DataCentres: []string{"a", "b"}}})
 	})
 }
--- a/policy/prefix/blocks.go
+++ b/policy/prefix/blocks.go
@@ -21,8 +21,8 @@
 	Blocks []uint64
 }
 
-// Of splits the prompt into blocks.
-func Of(prompt string) Prompt {
+// NewPrompt splits the prompt into blocks.
+func NewPrompt(prompt string) Prompt {
 	var described Prompt
 	digest := xxhash.New()
 	for word := range strings.FieldsSeq(prompt) {
@@ -36,10 +36,10 @@
 	return described
 }
 
-// Marks returns the lengths, in blocks, at which a prompt of n blocks is
+// SamplePoints returns the lengths, in blocks, at which a prompt of n blocks is
 // described in a probe: every length at first, then two for each doubling, and
 // n itself.
-func Marks(n int) []int {
+func SamplePoints(n int) []int {
 	var marks []int
 	for length := 1; length < n; length = nextMark(length) {
 		marks = append(marks, length)
@@ -63,7 +63,7 @@
 
 // Sample returns the hashes at the marks of the blocks.
 func Sample(blocks []uint64) []uint64 {
-	marks := Marks(len(blocks))
+	marks := SamplePoints(len(blocks))
 	sample := make([]uint64, len(marks))
 	for index, mark := range marks {
 		sample[index] = blocks[mark-1]
--- a/policy/prefix/index.go
+++ b/policy/prefix/index.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Note records that the engine has just read a prompt with these blocks.
-func (x *Index) Note(blocks []uint64) {
+// RecordPrompt records that the engine has just read a prompt with these blocks.
+func (x *Index) RecordPrompt(blocks []uint64) {
 	for _, block := range blocks {
 		x.touch(block)
 	}
@@ -78,7 +78,7 @@
 // mark missing before it.
 func (x *Index) Lookup(sample []uint64, n int) int {
 	found := 0
-	for index, mark := range Marks(n) {
+	for index, mark := range SamplePoints(n) {
 		if index >= len(sample) {
 			break
 		}
--- a/policy/prefix/prefix_test.go
+++ b/policy/prefix/prefix_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestEqualPrefixesHaveEqualLeadingHashes(t *testing.T) {
-	one, two := Of(words(64, strings.Repeat("a ", 32))), Of(words(64, strings.Repeat("b ", 32)))
+	one, two := NewPrompt(words(64, strings.Repeat("a ", 32))), NewPrompt(words(64, strings.Repeat("b ", 32)))
 	if one.Tokens != 96 || len(one.Blocks) != 6 {
 		t.Fatalf("got %d tokens in %d blocks", one.Tokens, len(one.Blocks))
 	}
@@ -40,7 +40,7 @@
 func TestMarksGrowToTheLengthInFewSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 10000).Draw(t, "n")
-		marks := Marks(n)
+		marks := SamplePoints(n)
 		for index := 1; index < len(marks); index++ {
 			if marks[index] <= marks[index-1] {
 				t.Fatalf("marks %v do not grow", marks)
@@ -76,7 +76,7 @@
 
 func TestALostEvictionIsMadeUpForByTheReportedSize(t *testing.T) {
 	index := NewIndex()
-	index.Note([]uint64{1, 2, 3})
+	index.RecordPrompt([]uint64{1, 2, 3})
 	index.Apply([]Event{{Seq: 7, Block: 9, Added: true}})
 	if index.Gaps() != 1 {
 		t.Fatalf("gaps %d", index.Gaps())
@@ -89,8 +89,8 @@
 
 func TestResizeEvictsTheLeastRecentlyUsed(t *testing.T) {
 	index := NewIndex()
-	index.Note([]uint64{1, 2, 3})
-	index.Note([]uint64{1})
+	index.RecordPrompt([]uint64{1, 2, 3})
+	index.RecordPrompt([]uint64{1})
 	index.Resize(2)
 	if index.Len() != 2 || index.Lookup([]uint64{1}, 1) != 1 || index.Lookup([]uint64{3}, 1) != 1 {
 		t.Fatalf("kept the wrong blocks, %d of them", index.Len())
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// Share is the number of retries that each request adds to the budget.
-	Share = 0.1
-	// Reserve is the greatest number of retries that the budget saves up.
-	Reserve = 10.0
+	// TokenRatio is the number of retries that each request adds to the budget.
+	TokenRatio = 0.1
+	// MaxTokens is the greatest number of retries that the budget saves up.
+	MaxTokens = 10.0
 
 	maxAttempts       = 3
 	maxWaited         = 500 * time.Millisecond // Before a refusal for load that is final.
@@ -32,22 +32,22 @@
 }
 
 // NewBudget returns a full budget with the usual share and reserve.
-func NewBudget() Budget { return NewBudgetOf(Share, Reserve) }
+func NewBudget() Budget { return NewBudgetWith(TokenRatio, MaxTokens) }
 
-// NewBudgetOf returns a full budget that each request fills by share, up to
+// NewBudgetWith returns a full budget that each request fills by share, up to
 // reserve.
-func NewBudgetOf(share, reserve float64) Budget {
+func NewBudgetWith(share, reserve float64) Budget {
 	return Budget{tokens: reserve, share: share, reserve: reserve}
 }
 
-// Request adds the share of one new request.
-func (b Budget) Request() Budget {
+// Deposit adds the share of one new request.
+func (b Budget) Deposit() Budget {
 	b.tokens = min(b.reserve, b.tokens+b.share)
 	return b
 }
 
-// Spend takes one retry out; it reports whether there was one.
-func (b Budget) Spend() (Budget, bool) {
+// Withdraw takes one retry out; it reports whether there was one.
+func (b Budget) Withdraw() (Budget, bool) {
 	if b.tokens < 1 {
 		return b, false
 	}
@@ -57,17 +57,17 @@
 
 // Attempt is an attempt that failed.
 type Attempt struct {
-	Number     int // 1 for the first.
-	Err        *result.Error
-	Begun      bool // The caller has had a part of the answer.
-	Idempotent bool
-	Waited     time.Duration // Since the request arrived.
-	Remaining  time.Duration // Until the caller's deadline.
+	Number          int // 1 for the first.
+	Err             *result.Error
+	ResponseStarted bool // The caller has had a part of the answer.
+	Idempotent      bool
+	Waited          time.Duration // Since the request arrived.
+	Remaining       time.Duration // Until the caller's deadline.
 }
 
-// Free reports whether a retry after the error takes nothing out of the budget:
+// SkipsBudget reports whether a retry after the error takes nothing out of the budget:
 // no backend server was reached, so the attempt was no load to any.
-func Free(code result.Code) bool { return code == result.NoBackendServer }
+func SkipsBudget(code result.Code) bool { return code == result.NoBackendServer }
 
 // Retriable reports whether the attempt may be made again elsewhere: the work
 // did not run, or may run twice; the answer has not begun; there is time; and work
@@ -75,11 +75,11 @@
 func Retriable(attempt Attempt) bool {
 	info := result.Describe(attempt.Err.Code)
 	switch {
-	case attempt.Begun || attempt.Number >= maxAttempts || attempt.Remaining < minRemaining:
+	case attempt.ResponseStarted || attempt.Number >= maxAttempts || attempt.Remaining < minRemaining:
 		return false
 	case attempt.Err.Code == result.Cancelled:
 		return false
-	case ByLoad(attempt.Err.Code) && attempt.Waited > maxWaited:
+	case IsLoadRefusal(attempt.Err.Code) && attempt.Waited > maxWaited:
 		return false
 	case info.NotRun:
 		return info.ComeBack
@@ -88,8 +88,8 @@
 	}
 }
 
-// ByLoad reports whether the code refuses the work because others wait too.
-func ByLoad(code result.Code) bool {
+// IsLoadRefusal reports whether the code refuses the work because others wait too.
+func IsLoadRefusal(code result.Code) bool {
 	switch code {
 	case result.Overloaded, result.ColdStart, result.DeadlineTooShort, result.RateLimited, result.ConcurrencyLimited:
 		return true
@@ -103,10 +103,10 @@
 	return code == result.OutcomeUnknown || code == result.CutAnswer || code == result.BackendFailed
 }
 
-// GivenUp returns the error for a request that is given up on: the last one,
+// FinalError returns the error for a request that is given up on: the last one,
 // with the time to come back. Random spreads the callers over half as much
 // time again.
-func GivenUp(err *result.Error, random uint64) *result.Error {
+func FinalError(err *result.Error, random uint64) *result.Error {
 	if !result.Describe(err.Code).ComeBack {
 		return err
 	}
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -25,15 +25,15 @@
 		for _, request := range rapid.SliceOfN(rapid.Bool(), 1, 500).Draw(t, "requests") {
 			if request {
 				requests++
-				budget = budget.Request()
+				budget = budget.Deposit()
 				continue
 			}
 			var ok bool
-			if budget, ok = budget.Spend(); ok {
+			if budget, ok = budget.Withdraw(); ok {
 				retries++
 			}
 		}
-		if float64(retries) > Share*float64(requests)+Reserve {
+		if float64(retries) > TokenRatio*float64(requests)+MaxTokens {
 			t.Fatalf("%d retries for %d requests", retries, requests)
 		}
 	})
@@ -42,7 +42,7 @@
 func TestOnlyHarmlessAttemptsAreRetried(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := Attempt{
-			Number: rapid.IntRange(1, 5).Draw(t, "number"), Begun: rapid.Bool().Draw(t, "begun"),
+			Number: rapid.IntRange(1, 5).Draw(t, "number"), ResponseStarted: rapid.Bool().Draw(t, "begun"),
 			Idempotent: rapid.Bool().Draw(t, "idempotent"),
 			Err:        &result.Error{Code: rapid.SampledFrom(result.Codes()).Draw(t, "code")},
 			Waited:     time.Duration(rapid.IntRange(0, 1000).Draw(t, "waited")) * time.Millisecond,
@@ -51,7 +51,7 @@
 		if !Retriable(attempt) {
 			return
 		}
-		if attempt.Begun || (ByLoad(attempt.Err.Code) && attempt.Waited > time.Second/2) || attempt.Remaining <= 0 || attempt.Number >= maxAttempts {
+		if attempt.ResponseStarted || (IsLoadRefusal(attempt.Err.Code) && attempt.Waited > time.Second/2) || attempt.Remaining <= 0 || attempt.Number >= maxAttempts {
 			t.Fatalf("%+v is retried", attempt)
 		}
 		if !attempt.Err.NotRun() && !attempt.Idempotent {
@@ -62,12 +62,12 @@
 
 func TestARequestGivenUpOnSaysWhenToComeBack(t *testing.T) {
 	for _, code := range result.Codes() {
-		err := GivenUp(&result.Error{Code: code}, 1<<63)
+		err := FinalError(&result.Error{Code: code}, 1<<63)
 		if result.Describe(code).ComeBack != (err.RetryAfter > 0) {
 			t.Errorf("%v: come back after %v", code, err.RetryAfter)
 		}
 	}
-	if early := GivenUp(&result.Error{Code: result.Overloaded, RetryAfter: time.Second}, 0); early.RetryAfter < time.Second {
+	if early := FinalError(&result.Error{Code: result.Overloaded, RetryAfter: time.Second}, 0); early.RetryAfter < time.Second {
 		t.Errorf("told to come back after %v, before the time", early.RetryAfter)
 	}
 }
--- a/policy/share/home.go
+++ b/policy/share/home.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// TokenTime is how long granted tokens last.
-	TokenTime = 2 * time.Second
-	// SlotTime is how long leased slots last without renewal.
-	SlotTime = 10 * time.Second
+	// TokenTTL is how long granted tokens last.
+	TokenTTL = 2 * time.Second
+	// SlotTTL is how long leased slots last without renewal.
+	SlotTTL = 10 * time.Second
 
 	burstTime     = time.Second // Of the rate that an idle organisation saves up.
 	minBurst      = 10.0        // Tokens that every organisation may save up.
@@ -59,9 +59,9 @@
 // NewHome returns a home without accounts; it has just become one.
 func NewHome(now time.Time) *Home { return &Home{accounts: map[string]*account{}, moved: now} }
 
-// Moved tells that organisations may have come from another home, whose leases
+// MarkReassigned tells that organisations may have come from another home, whose leases
 // may still last.
-func (h *Home) Moved(now time.Time) { h.moved = now }
+func (h *Home) MarkReassigned(now time.Time) { h.moved = now }
 
 // account is one organisation's.
 type account struct {
@@ -82,7 +82,7 @@
 	a := h.accounts[ask.Org]
 	if a == nil {
 		a = &account{filled: now, tokens: Burst(limits.Rate), leases: map[string]lease{}}
-		if a.careful = h.moved.Add(SlotTime); now.Before(a.careful) {
+		if a.careful = h.moved.Add(SlotTTL); now.Before(a.careful) {
 			a.tokens = max(1, a.tokens/float64(max(1, entries)))
 		}
 		h.accounts[ask.Org] = a
@@ -97,12 +97,12 @@
 	return grant
 }
 
-// Forget drops the accounts that are as good as new: nobody has asked in the
+// DropIdle drops the accounts that are as good as new: nobody has asked in the
 // time of a lease, and the burst is saved up.
-func (h *Home) Forget(now time.Time) {
+func (h *Home) DropIdle(now time.Time) {
 	for org, a := range h.accounts {
 		idle := now.Sub(a.filled)
-		if idle > SlotTime && a.tokens+a.rate*idle.Seconds() >= Burst(a.rate) {
+		if idle > SlotTTL && a.tokens+a.rate*idle.Seconds() >= Burst(a.rate) {
 			delete(h.accounts, org)
 		}
 	}
@@ -148,7 +148,7 @@
 	if now.Before(a.careful) {
 		slots = min(slots, max(ask.InUse, 1, limit/max(1, entries)))
 	}
-	a.leases[ask.Entry] = lease{slots: slots, until: now.Add(SlotTime)}
+	a.leases[ask.Entry] = lease{slots: slots, until: now.Add(SlotTTL)}
 	return slots
 }
 
--- a/policy/share/local.go
+++ b/policy/share/local.go
@@ -31,19 +31,19 @@
 	fellBack time.Time
 }
 
-// Verdict tells what to do with a request.
-type Verdict int
+// Decision tells what to do with a request.
+type Decision int
 
 // Verdicts.
 const (
-	Admitted Verdict = iota // The request holds a slot until Done.
+	Admitted Decision = iota // The request holds a slot until Done.
 	Refused
-	MustAsk // Ask the home, then try again.
+	NeedsLease // Ask the home, then try again.
 )
 
-// Take tries to admit one request. asks is how often the request has waited for
+// TryAdmit tries to admit one request. asks is how often the request has waited for
 // an answer of the home before.
-func (l *Local) Take(now time.Time, limits Limits, asks int) (Verdict, *result.Error) {
+func (l *Local) TryAdmit(now time.Time, limits Limits, asks int) (Decision, *result.Error) {
 	if asks == 0 {
 		l.observe(now)
 	}
@@ -59,7 +59,7 @@
 		return Refused, &result.Error{Code: l.reason, RetryAfter: max(minRetryAfter, l.denied.Sub(now))}
 	}
 	if asks < maxAsks {
-		return MustAsk, nil
+		return NeedsLease, nil
 	}
 	return Refused, &result.Error{Code: result.RateLimited, RetryAfter: minRetryAfter}
 }
@@ -84,10 +84,10 @@
 	return Ask{Org: org, Entry: entry, Want: want, Unused: unused, Slots: l.inUse + want, InUse: l.inUse}
 }
 
-// Granted takes in the home's answer.
-func (l *Local) Granted(now time.Time, grant Grant) {
+// ApplyGrant takes in the home's answer.
+func (l *Local) ApplyGrant(now time.Time, grant Grant) {
 	l.tokens, l.slots, l.held = l.tokens+grant.Tokens, grant.Slots, grant.Slots
-	l.until = now.Add(TokenTime)
+	l.until = now.Add(TokenTTL)
 	l.renew = now.Add(renewTime)
 	if grant.Tokens > 0 {
 		return
@@ -99,8 +99,8 @@
 	}
 }
 
-// Unreachable admits one request by the local share, or refuses it.
-func (l *Local) Unreachable(now time.Time, limits Limits, entries, rank int) (Verdict, *result.Error) {
+// AdmitLocally admits one request by the local share, or refuses it.
+func (l *Local) AdmitLocally(now time.Time, limits Limits, entries, rank int) (Decision, *result.Error) {
 	rate := LocalRate(limits, entries)
 	if !l.fellBack.IsZero() {
 		l.fallback = min(max(1, rate*burstTime.Seconds()), l.fallback+rate*now.Sub(l.fellBack).Seconds())
@@ -118,28 +118,28 @@
 	return Admitted, nil
 }
 
-// Done gives back the slot of an admitted request.
-func (l *Local) Done() { l.inUse-- }
+// Release gives back the slot of an admitted request.
+func (l *Local) Release() { l.inUse-- }
 
-// MustRenew reports whether slots in use are to be renewed at the home, or
+// NeedsRenewal reports whether slots in use are to be renewed at the home, or
 // others to be given back.
-func (l *Local) MustRenew(now time.Time) bool {
+func (l *Local) NeedsRenewal(now time.Time) bool {
 	return l.held > l.inUse || l.inUse > 0 && !now.Before(l.renew)
 }
 
-// Renewal returns what to ask the home for to keep just the slots in use.
-func (l *Local) Renewal(org, entry string) Ask {
+// RenewalRequest returns what to ask the home for to keep just the slots in use.
+func (l *Local) RenewalRequest(org, entry string) Ask {
 	l.slots = min(l.slots, l.inUse)
 	return Ask{Org: org, Entry: entry, Slots: l.inUse, InUse: l.inUse}
 }
 
-// Renewed takes in the home's answer to a Renewal.
-func (l *Local) Renewed(now time.Time, grant Grant) {
+// ApplyRenewal takes in the home's answer to a Renewal.
+func (l *Local) ApplyRenewal(now time.Time, grant Grant) {
 	l.held = grant.Slots
 	l.renew = now.Add(renewTime)
 }
 
 // Idle reports whether the share can be forgotten.
 func (l *Local) Idle(now time.Time) bool {
-	return l.inUse == 0 && l.held == 0 && now.Sub(l.last) > SlotTime
+	return l.inUse == 0 && l.held == 0 && now.Sub(l.last) > SlotTTL
 }
--- a/policy/share/share_test.go
+++ b/policy/share/share_test.go
@@ -30,7 +30,7 @@
 		leases := map[string]held{}
 		unused := map[string]int{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
-			home.Forget(now)
+			home.DropIdle(now)
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			entry := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "entry"))
 			back := rapid.IntRange(0, unused[entry]).Draw(t, "unused")
@@ -40,7 +40,7 @@
 			})
 			granted, returned = granted+grant.Tokens, returned+back
 			unused[entry] = grant.Tokens
-			leases[entry] = held{grant.Slots, now.Add(SlotTime)}
+			leases[entry] = held{grant.Slots, now.Add(SlotTTL)}
 			total := 0
 			for _, l := range leases {
 				if now.Before(l.until) {
@@ -77,14 +77,14 @@
 	home, local, admitted := NewHome(epoch.Add(-time.Hour)), &Local{}, 0
 	for step := range 10_000 {
 		now := epoch.Add(time.Duration(step) * time.Millisecond)
-		verdict, _ := local.Take(now, limits, 0)
-		if verdict == MustAsk {
-			local.Granted(now, home.Ask(now, limits, 1, local.Ask(now, "org", "entry", 1)))
-			verdict, _ = local.Take(now, limits, maxAsks)
+		verdict, _ := local.TryAdmit(now, limits, 0)
+		if verdict == NeedsLease {
+			local.ApplyGrant(now, home.Ask(now, limits, 1, local.Ask(now, "org", "entry", 1)))
+			verdict, _ = local.TryAdmit(now, limits, maxAsks)
 		}
 		if verdict == Admitted {
 			admitted++
-			local.Done()
+			local.Release()
 		}
 	}
 	if admitted < 180 || admitted > 220 {
@@ -96,10 +96,10 @@
 	limits, local, admitted := Limits{Rate: 100, Concurrency: 10}, &Local{}, 0
 	for step := range 10_000 {
 		now := epoch.Add(time.Duration(step) * time.Millisecond)
-		verdict, err := local.Unreachable(now, limits, 10, 3)
+		verdict, err := local.AdmitLocally(now, limits, 10, 3)
 		if verdict == Admitted {
 			admitted++
-			local.Done()
+			local.Release()
 		} else if err.RetryAfter <= 0 {
 			t.Fatal("a refusal does not say when to come back")
 		}
@@ -117,7 +117,7 @@
 			t.Fatalf("entry %d got %d slots of 10 at once", entry, grant.Slots)
 		}
 	}
-	later := epoch.Add(SlotTime)
+	later := epoch.Add(SlotTTL)
 	if grant := home.Ask(later, limits, 5, Ask{Org: "org", Entry: "0", Slots: 6}); grant.Slots != 6 {
 		t.Fatalf("got %d slots", grant.Slots)
 	}
@@ -129,10 +129,10 @@
 	if grant := home.Ask(epoch, limits, 1, ask); grant.Tokens != minBurst {
 		t.Fatalf("got %d tokens at first", grant.Tokens)
 	}
-	later := epoch.Add(2 * SlotTime)
-	home.Forget(later)
+	later := epoch.Add(2 * SlotTTL)
+	home.DropIdle(later)
 	if grant := home.Ask(later, limits, 1, ask); grant.Tokens > 2 {
-		t.Fatalf("got %d tokens after %v at 0.1 a second", grant.Tokens, 2*SlotTime)
+		t.Fatalf("got %d tokens after %v at 0.1 a second", grant.Tokens, 2*SlotTTL)
 	}
 }
 
--- a/policy/view/view.go
+++ b/policy/view/view.go
@@ -28,8 +28,8 @@
 
 // State is what a process knows about the configuration.
 type State struct {
-	InForce *config.Snapshot // Nil until the first snapshot is installed.
-	Heard   uint64           // Newest revision heard of.
+	InForce      *config.Snapshot // Nil until the first snapshot is installed.
+	RevisionSeen uint64           // Newest revision heard of.
 	// CurrentAt is the latest known start of a read of the table service, of
 	// this process or another, that showed InForce as the newest.
 	CurrentAt time.Time
@@ -40,11 +40,11 @@
 	Failures  int // Fetches that failed in a row.
 }
 
-// Heard tells that a peer has the revision in force.
-type Heard struct{ Revision uint64 }
+// RevisionSeen tells that a peer has the revision in force.
+type RevisionSeen struct{ Revision uint64 }
 
 // EventName implements reduce.Event.
-func (Heard) EventName() string { return "view.heard" }
+func (RevisionSeen) EventName() string { return "view.heard" }
 
 // Fetched brings a snapshot, read from the store or from a peer.
 type Fetched struct{ Snapshot *config.Snapshot }
@@ -56,7 +56,7 @@
 // table service that began at the time.
 type StoreRead struct {
 	Revision uint64
-	Began    time.Time
+	BeganAt  time.Time
 }
 
 // EventName implements reduce.Event.
@@ -68,20 +68,20 @@
 // EventName implements reduce.Event.
 func (FetchDone) EventName() string { return "view.fetch_done" }
 
-// Met is a peer's answer to an exchange that this process began at the time.
-// Messages that the peer sent by itself are no Met: their age is unknown.
-type Met struct {
+// ExchangeAnswered is a peer's answer to an exchange that this process began at the time.
+// Messages that the peer sent by itself are no ExchangeAnswered: their age is unknown.
+type ExchangeAnswered struct {
 	Peer       string
 	DataCentre string
 	Revision   uint64 // In force at the peer, 0 for none.
-	Began      time.Time
+	BeganAt    time.Time
 	Current    bool          // The peer knows when its revision was the newest.
 	Age        time.Duration // Time since then, at the peer's answer.
 	Started    bool          // The peer's start-up bit.
 }
 
 // EventName implements reduce.Event.
-func (Met) EventName() string { return "view.met" }
+func (ExchangeAnswered) EventName() string { return "view.met" }
 
 // Fetch asks for the newest snapshot; the answer is any number of Fetched and
 // StoreRead, then one FetchDone.
@@ -95,13 +95,13 @@
 // Step reduces one input.
 func Step(state State, input reduce.Input) (State, []reduce.Effect) {
 	switch event := input.Event.(type) {
-	case Heard:
-		state.Heard = max(state.Heard, event.Revision)
+	case RevisionSeen:
+		state.RevisionSeen = max(state.RevisionSeen, event.Revision)
 	case Fetched:
 		state = install(state, event.Snapshot)
 	case StoreRead:
-		state = current(state, event.Revision, event.Began)
-	case Met:
+		state = current(state, event.Revision, event.BeganAt)
+	case ExchangeAnswered:
 		state = meet(state, event)
 	case FetchDone:
 		state = finish(state, event, input)
@@ -117,7 +117,7 @@
 		return state
 	}
 	state.InForce = snapshot
-	state.Heard = max(state.Heard, snapshot.Revision)
+	state.RevisionSeen = max(state.RevisionSeen, snapshot.Revision)
 	return state
 }
 
@@ -125,18 +125,18 @@
 // kept when a newer revision is installed: nothing newer than that one was
 // accepted by then either.
 func current(state State, revision uint64, at time.Time) State {
-	state.Heard = max(state.Heard, revision)
+	state.RevisionSeen = max(state.RevisionSeen, revision)
 	if revision == state.Revision() && revision > 0 && at.After(state.CurrentAt) {
 		state.CurrentAt = at
 	}
 	return state
 }
 
-func meet(state State, event Met) State {
+func meet(state State, event ExchangeAnswered) State {
 	if event.Current {
-		return current(state, event.Revision, event.Began.Add(-event.Age))
+		return current(state, event.Revision, event.BeganAt.Add(-event.Age))
 	}
-	state.Heard = max(state.Heard, event.Revision)
+	state.RevisionSeen = max(state.RevisionSeen, event.Revision)
 	return state
 }
 
@@ -149,7 +149,7 @@
 }
 
 // Behind reports whether a newer revision than the one in force is known.
-func (s State) Behind() bool { return s.Heard > s.Revision() }
+func (s State) Behind() bool { return s.RevisionSeen > s.Revision() }
 
 // Age returns the time since the snapshot in force was known to be the newest.
 func (s State) Age(now time.Time) time.Duration { return now.Sub(s.CurrentAt) }
--- a/policy/view/view_test.go
+++ b/policy/view/view_test.go
@@ -72,16 +72,16 @@
 	at := from.Add(time.Duration(rapid.Int64Range(0, max(0, int64(until.Sub(from)))).Draw(t, "at")))
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
-		return Heard{Revision: revision}, 0
+		return RevisionSeen{Revision: revision}, 0
 	case 1:
 		if revision > 0 {
 			return Fetched{Snapshot: &config.Snapshot{Revision: revision}}, revision
 		}
 	case 2:
-		return StoreRead{Revision: revision, Began: at}, 0
+		return StoreRead{Revision: revision, BeganAt: at}, 0
 	case 3:
 		began := at.Add(time.Duration(rapid.Int64Range(0, int64(now.Sub(at))).Draw(t, "began")))
-		return Met{Revision: revision, Began: began, Current: true, Age: began.Sub(at)}, 0
+		return ExchangeAnswered{Revision: revision, BeganAt: began, Current: true, Age: began.Sub(at)}, 0
 	case 4:
 		if outstanding {
 			return FetchDone{Failed: rapid.Bool().Draw(t, "failed")}, 0
@@ -101,13 +101,13 @@
 		}
 		step(reduce.Tick{})
 		step(Fetched{Snapshot: &config.Snapshot{Revision: 1}})
-		step(StoreRead{Revision: 1, Began: now})
+		step(StoreRead{Revision: 1, BeganAt: now})
 		step(FetchDone{})
 
 		Convey("it spares the store while peers tell it so", func() {
 			for range 100 {
 				now = now.Add(time.Second)
-				So(step(Met{Revision: 1, Began: now, Current: true, Age: 1500 * time.Millisecond}), ShouldBeEmpty)
+				So(step(ExchangeAnswered{Revision: 1, BeganAt: now, Current: true, Age: 1500 * time.Millisecond}), ShouldBeEmpty)
 			}
 		})
 		Convey("it reads the store when nobody does", func() {
@@ -116,11 +116,11 @@
 		})
 		Convey("it asks peers first when it hears of a newer revision", func() {
 			now = now.Add(time.Second)
-			So(step(Heard{Revision: 2}), ShouldResemble, []reduce.Effect{Fetch{PeersFirst: true}})
+			So(step(RevisionSeen{Revision: 2}), ShouldResemble, []reduce.Effect{Fetch{PeersFirst: true}})
 		})
 		Convey("it tries less and less often while it stays behind", func() {
 			fetches := 0
-			step(Heard{Revision: 2})
+			step(RevisionSeen{Revision: 2})
 			for range 600 {
 				now = now.Add(100 * time.Millisecond)
 				if len(step(reduce.Tick{})) > 0 || state.Fetching {
--- a/policy/wholesystem/network_test.go
+++ b/policy/wholesystem/network_test.go
@@ -81,14 +81,14 @@
 
 func (w *world) hear(p *process, revision uint64) {
 	if revision > p.state.View.Revision() {
-		w.step(p, view.Heard{Revision: revision})
+		w.step(p, view.RevisionSeen{Revision: revision})
 	}
 }
 
 func (w *world) exchangeAnswer(p *process, m message) message {
 	known := p.state.View
-	met := view.Met{
-		Peer: p.self.ID, DataCentre: p.self.DataCentre, Revision: known.Revision(), Began: m.began,
+	met := view.ExchangeAnswered{
+		Peer: p.self.ID, DataCentre: p.self.DataCentre, Revision: known.Revision(), BeganAt: m.began,
 		Current: !known.CurrentAt.IsZero(), Started: p.state.Evidence.Started,
 	}
 	if met.Current {
@@ -113,7 +113,7 @@
 func (w *world) endRead(p *process, m message) {
 	if !m.failed {
 		w.step(p, view.Fetched{Snapshot: m.snapshot})
-		w.step(p, view.StoreRead{Revision: m.snapshot.Revision, Began: m.began})
+		w.step(p, view.StoreRead{Revision: m.snapshot.Revision, BeganAt: m.began})
 		for _, revision := range append([]uint64(nil), p.unsettled...) {
 			if revision <= m.snapshot.Revision {
 				w.settle(p, revision)
@@ -164,7 +164,7 @@
 	switch effect := effect.(type) {
 	case view.Fetch:
 		w.fetch(p, effect.PeersFirst)
-	case evidence.Ask:
+	case evidence.AskPeers:
 		w.exchange(p, effect.DataCentres)
 	case admission.Admit:
 		w.start(p, effect.Ticket)
--- a/server/agent/receiver.go
+++ b/server/agent/receiver.go
@@ -14,7 +14,7 @@
 	r.agent.node.Hear(request.Stamp)
 	reply.Stamp = r.agent.node.Stamp()
 	reply.BackendServer = r.agent.settings.BackendServer
-	if err := r.agent.node.State().Gate(); err != nil {
+	if err := r.agent.node.State().CheckNewWork(); err != nil {
 		refuseProbe(reply, err)
 		return nil
 	}
--- a/server/agent/traffic.go
+++ b/server/agent/traffic.go
@@ -32,7 +32,7 @@
 }
 
 func (a *Agent) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if err := a.node.State().Gate(); err != nil {
+	if err := a.node.State().CheckNewWork(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	}
 }
@@ -74,7 +74,7 @@
 	if err := json.Unmarshal(body, &generation); err != nil {
 		return prefix.Prompt{}
 	}
-	return prefix.Of(generation.Prompt)
+	return prefix.NewPrompt(generation.Prompt)
 }
 
 func refuse(w http.ResponseWriter, err *result.Error) {
--- a/server/e2e/limits_test.go
+++ b/server/e2e/limits_test.go
@@ -72,8 +72,8 @@
 	s := newSystem(t)
 	s.addBackend("registry-1", "dc-3", "service", "--work-time", "1ms")
 	s.addEntry("entry-1", "dc-1")
-	s.addEntry("entry-2", "dc-2")            // One of the two is the organisation's home.
-	time.Sleep(share.SlotTime + time.Second) // Leases of an earlier home are over.
+	s.addEntry("entry-2", "dc-2")           // One of the two is the organisation's home.
+	time.Sleep(share.SlotTTL + time.Second) // Leases of an earlier home are over.
 	var limited atomic.Int64
 	var group sync.WaitGroup
 	for number := range burst {
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -144,7 +144,7 @@
 	case err.Code == result.Superseded:
 		return policy.Superseded{}
 	case err.NotRun():
-		c.free = retry.Free(err.Code)
+		c.free = retry.SkipsBudget(err.Code)
 		return policy.Refused{Code: c.refused(err)}
 	}
 	c.detail = err.Detail
--- a/server/entry/attempt/retry.go
+++ b/server/entry/attempt/retry.go
@@ -27,14 +27,14 @@
 func (b *budget) request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.state = b.state.Request()
+	b.state = b.state.Deposit()
 }
 
 func (b *budget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ok bool
-	b.state, ok = b.state.Spend()
+	b.state, ok = b.state.Withdraw()
 	return ok
 }
 
@@ -46,19 +46,19 @@
 	for number := 1; ; number++ {
 		target, err := r.router.Pick(ctx, query)
 		if err != nil {
-			return retry.GivenUp(err, rand.Uint64())
+			return retry.FinalError(err, rand.Uint64())
 		}
 		begun, err := attempt(target, r.work(request, number))
 		if err == nil {
 			return nil
 		}
 		failed := retry.Attempt{
-			Number: number, Err: err, Begun: begun,
+			Number: number, Err: err, ResponseStarted: begun,
 			Idempotent: request.Idempotent,
 			Waited:     time.Since(arrived), Remaining: time.Until(request.Deadline),
 		}
-		if ctx.Err() != nil || !retry.Retriable(failed) || !(retry.Free(err.Code) || r.budget.spend()) {
-			return retry.GivenUp(err, rand.Uint64())
+		if ctx.Err() != nil || !retry.Retriable(failed) || !(retry.SkipsBudget(err.Code) || r.budget.spend()) {
+			return retry.FinalError(err, rand.Uint64())
 		}
 		query.Excluded[target.BackendServer] = true
 	}
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -105,11 +105,11 @@
 
 // try tries to admit a request; one that must ask joins the round of its
 // organisation, and begins it if there is none.
-func (l *Limiter) try(org string, limits share.Limits, asks int) (share.Verdict, joined, *result.Error) {
+func (l *Limiter) try(org string, limits share.Limits, asks int) (share.Decision, joined, *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	verdict, err := l.local(org).Take(time.Now(), limits, asks)
-	if verdict != share.MustAsk {
+	verdict, err := l.local(org).TryAdmit(time.Now(), limits, asks)
+	if verdict != share.NeedsLease {
 		return verdict, joined{}, err
 	}
 	r, under := l.rounds[org]
@@ -124,7 +124,7 @@
 func (l *Limiter) done(org string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.local(org).Done()
+	l.local(org).Release()
 }
 
 // ask asks the home on behalf of all that have joined the round.
@@ -139,7 +139,7 @@
 		logevent.Write(l.node.Log(), logevent.HomeUnreachable, map[string]any{"organisation": org, "error": err.Error()})
 		round.failed = true
 	} else {
-		l.local(org).Granted(time.Now(), grant)
+		l.local(org).ApplyGrant(time.Now(), grant)
 	}
 	delete(l.rounds, org)
 	close(round.done)
@@ -149,7 +149,7 @@
 func (l *Limiter) takeLocal(org string, limits share.Limits) (release func(), err *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	verdict, err := l.local(org).Unreachable(time.Now(), limits, len(l.entries), l.rank(org))
+	verdict, err := l.local(org).AdmitLocally(time.Now(), limits, len(l.entries), l.rank(org))
 	if verdict != share.Admitted {
 		return nil, err
 	}
@@ -220,9 +220,9 @@
 	defer l.mu.Unlock()
 	if !slices.Equal(entries, l.entries) {
 		l.entries = entries
-		l.home.Moved(time.Now())
+		l.home.MarkReassigned(time.Now())
 	}
-	l.home.Forget(time.Now())
+	l.home.DropIdle(time.Now())
 }
 
 // renew renews the slots in use at their homes and gives the others back.
@@ -233,7 +233,7 @@
 			continue
 		}
 		l.mu.Lock()
-		l.local(ask.Org).Renewed(time.Now(), grant)
+		l.local(ask.Org).ApplyRenewal(time.Now(), grant)
 		l.mu.Unlock()
 	}
 }
@@ -246,8 +246,8 @@
 		switch {
 		case local.Idle(time.Now()):
 			delete(l.locals, org)
-		case local.MustRenew(time.Now()):
-			asks = append(asks, local.Renewal(org, l.self))
+		case local.NeedsRenewal(time.Now()):
+			asks = append(asks, local.RenewalRequest(org, l.self))
 		}
 	}
 	return asks
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -55,7 +55,7 @@
 // time, it is one of the silent ones: the agent itself decides whether it takes
 // the work.
 func (r *Router) Pick(ctx context.Context, query Query) (Target, *result.Error) {
-	described := prefix.Of(query.Prompt)
+	described := prefix.NewPrompt(query.Prompt)
 	trusted, suspected := r.suspects.split(r.candidates(query), time.Now())
 	var refusal *result.Error
 	var unheard []Target
@@ -85,7 +85,7 @@
 // for load speak for those that were not heard; agents that can't take work at
 // all don't.
 func fallback(unheard []Target, refusal *result.Error) (Target, *result.Error) {
-	if len(unheard) > 0 && (refusal == nil || !retry.ByLoad(refusal.Code)) {
+	if len(unheard) > 0 && (refusal == nil || !retry.IsLoadRefusal(refusal.Code)) {
 		return unheard[rand.IntN(len(unheard))], nil
 	}
 	if refusal != nil {
@@ -99,8 +99,8 @@
 	if one == nil {
 		return two
 	}
-	if retry.ByLoad(one.Code) != retry.ByLoad(two.Code) {
-		if retry.ByLoad(one.Code) {
+	if retry.IsLoadRefusal(one.Code) != retry.IsLoadRefusal(two.Code) {
+		if retry.IsLoadRefusal(one.Code) {
 			return one
 		}
 		return two
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -110,13 +110,13 @@
 		reason = "attempts_used_up"
 	case !retry.Retriable(retry.Attempt{
 		Number: max(1, c.runs), Err: failure, // Refusals are bounded by maxSends.
-		Begun:      c.begun && !c.resumable(),
-		Idempotent: c.route.Repeatable(),
-		Waited:     time.Since(c.arrived),
-		Remaining:  time.Until(c.deadline),
+		ResponseStarted: c.begun && !c.resumable(),
+		Idempotent:      c.route.Repeatable(),
+		Waited:          time.Since(c.arrived),
+		Remaining:       time.Until(c.deadline),
 	}):
 		reason = "not_retriable"
-	case !retry.Free(failure.Code) && !c.gateway.spendRetry():
+	case !retry.SkipsBudget(failure.Code) && !c.gateway.spendRetry():
 		reason = "budget_used_up"
 	}
 	logevent.Write(c.log, logevent.AttemptFailed, logrus.Fields{
@@ -138,7 +138,7 @@
 		// An earlier attempt may have run, so the promise of the last one doesn't hold.
 		return result.Errorf(result.BackendFailed, "an earlier attempt may have run; the last: %v", failure)
 	}
-	return retry.GivenUp(failure, rand.Uint64())
+	return retry.FinalError(failure, rand.Uint64())
 }
 
 // attempt sends the request to one backend server and delivers its answer.
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -57,7 +57,7 @@
 		pool:    upstream.NewPool(upstream.Dial),
 		log:     log,
 		metrics: metrics,
-		budget: retry.NewBudgetOf(
+		budget: retry.NewBudgetWith(
 			settings.RetryRatio*budgetShare,
 			max(1, settings.RetryReserve*budgetShare/assumedEntries)),
 	}
@@ -202,7 +202,7 @@
 func (g *Gateway) spendRetry() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	budget, ok := g.budget.Spend()
+	budget, ok := g.budget.Withdraw()
 	g.budget = budget
 	return ok
 }
@@ -211,5 +211,5 @@
 func (g *Gateway) earnRetry() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget = g.budget.Request()
+	g.budget = g.budget.Deposit()
 }
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -33,7 +33,7 @@
 	switch effect := effect.(type) {
 	case view.Fetch:
 		go n.fetch(ctx, effect)
-	case evidence.Ask:
+	case evidence.AskPeers:
 		n.ask(ctx, effect.DataCentres)
 	case control.Announce:
 		go n.announce(ctx)
@@ -73,7 +73,7 @@
 		return fmt.Errorf("the store holds no configuration")
 	}
 	n.install(snapshot)
-	n.Loop.Post(view.StoreRead{Revision: snapshot.Revision, Began: began})
+	n.Loop.Post(view.StoreRead{Revision: snapshot.Revision, BeganAt: began})
 	return nil
 }
 
--- a/server/node/exchange.go
+++ b/server/node/exchange.go
@@ -100,9 +100,9 @@
 		return err
 	}
 	n.Hear(reply.Stamp)
-	n.Loop.Post(view.Met{
+	n.Loop.Post(view.ExchangeAnswered{
 		Peer: reply.Stamp.From, DataCentre: reply.Stamp.DataCentre, Revision: reply.Stamp.Revision,
-		Began: began, Current: reply.Current, Age: reply.Age, Started: reply.Started,
+		BeganAt: began, Current: reply.Current, Age: reply.Age, Started: reply.Started,
 	})
 	return nil
 }
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -147,7 +147,7 @@
 func (n *Node) Hear(stamp wire.Stamp) {
 	if stamp.Revision > n.State().View.Revision() {
 		n.teller.Store(&stamp.From)
-		n.Loop.Post(view.Heard{Revision: stamp.Revision})
+		n.Loop.Post(view.RevisionSeen{Revision: stamp.Revision})
 	}
 }
 
--- a/server/standin/engine/cache.go
+++ b/server/standin/engine/cache.go
@@ -62,7 +62,7 @@
 // cachePrompt stores the prompt's blocks and returns how many of its leading
 // tokens were present.
 func (e *Engine) cachePrompt(prompt string) int {
-	blocks := prefix.Of(prompt).Blocks
+	blocks := prefix.NewPrompt(prompt).Blocks
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	present := 0
