--- a/policy/control/configuration_test.go
+++ b/policy/control/configuration_test.go
@@ -32,7 +32,7 @@
 			state, effects = Step(state, reduce.Input{Now: now, Event: event})
 			return effects
 		}
-		// ask asks for a slot and returns the refusal, nil where it was granted.
+		// ask requests a slot and returns the refusal, or nil if it was granted.
 		ask := func() *result.Error {
 			ticket++
 			for _, effect := range step(admission.Asked{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)}) {
@@ -55,7 +55,7 @@
 		}
 		So(state.Admission.Limit, ShouldBeGreaterThan, 2)
 
-		Convey("out of service it refuses, and returns with the limit of a cold start", func() {
+		Convey("it refuses work while taken out, and restarts with the cold limit when returned", func() {
 			install(2, true)
 			So(ask().Code, ShouldEqual, result.DataCentreOut)
 			install(3, false)
@@ -63,7 +63,7 @@
 			So(state.Admission.Limit, ShouldEqual, 2)
 		})
 
-		Convey("without evidence it refuses at the moment of asking", func() {
+		Convey("it refuses a request that arrives when the evidence has expired", func() {
 			now = now.Add(evidence.MaxStoreAge + time.Millisecond)
 			So(ask().Code, ShouldEqual, result.StaleConfiguration)
 		})
--- a/policy/control/control.go
+++ b/policy/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the one reducer of a process's control state: it passes
-// every input to the parts that concern it and collects their effects.
+// Package control combines the reducers of a process's control state: it passes
+// every input to the parts that it concerns and collects their effects.
 package control
 
 import (
@@ -12,12 +12,12 @@
 	"persimmonwind.dev/policy/view"
 )
 
-// Self is what a process knows of itself from its settings.
+// Self identifies a process; it comes from the process's settings.
 type Self struct {
 	ID            string
 	Role          string
 	DataCentre    string
-	BackendServer string // Agents only.
+	BackendServer string // Set for agents only.
 }
 
 // State is the whole control state of a process.
@@ -25,22 +25,21 @@
 	Self      Self
 	View      view.State
 	Evidence  evidence.State
-	StaleErr  *result.Error    // Why the evidence permits no new work, or nil.
-	Admission admission.State  // Agents only.
-	Member    expertmap.Member // Agents of a group only.
+	StaleErr  *result.Error    // Why the evidence does not permit new work, or nil.
+	Admission admission.State  // Used by agents only.
+	Member    expertmap.Member // Used by agents of a group only.
 	Leaving   bool
 }
 
 // Leave starts a graceful shutdown.
 type Leave struct{}
 
-// EventName implements reduce.Event.
 func (Leave) EventName() string { return "control.leave" }
 
-// Announce asks to tell every entry how this process is and where it listens.
+// Announce requests that the process send its state and addresses to every
+// entry.
 type Announce struct{}
 
-// EffectName implements reduce.Effect.
 func (Announce) EffectName() string { return "control.announce" }
 
 // Step reduces one input.
@@ -48,11 +47,11 @@
 	var effects, more []reduce.Effect
 	_, leaves := input.Event.(Leave)
 	state.Leaving = state.Leaving || leaves
-	wasOut := state.takenOut()
+	wasTakenOut := state.takenOut()
 	state, effects = stepConfiguration(state, input)
 	server := state.backendServer()
 	state.Admission = state.Admission.Configure(admission.Settings{Full: server.FullLimit, Cold: server.ColdLimit, Reports: server.Model != ""})
-	if wasOut && !state.takenOut() {
+	if wasTakenOut && !state.takenOut() {
 		state.Admission, more = admission.Step(state.Admission, reduce.Input{Now: input.Now, Event: admission.Returned{}})
 		effects = append(effects, more...)
 	}
@@ -65,9 +64,9 @@
 	return state, append(effects, more...)
 }
 
-// stepAdmission reduces the input in the admission of work. While the gate is
-// closed nothing is started: neither what is asked for now nor what was queued
-// before.
+// stepAdmission passes the input to admission control. While CheckNewWork
+// returns an error no work starts: queued work is refused, and so are new
+// requests.
 func stepAdmission(state State, input reduce.Input) (State, []reduce.Effect) {
 	var effects, more []reduce.Effect
 	err := state.CheckNewWork()
@@ -82,7 +81,7 @@
 	return state, append(effects, more...)
 }
 
-// New returns the first state of a process.
+// New returns the initial state of a process.
 func New(self Self) State {
 	state := State{Self: self, Evidence: evidence.State{Policy: evidence.DefaultPolicy}}
 	state.View.PollAfter = view.EntryPollAfter
@@ -92,8 +91,8 @@
 	return state
 }
 
-// stepConfiguration reduces the input in the parts that know the
-// configuration and how current it is.
+// stepConfiguration passes the input to the parts that track the configuration
+// and how current it is.
 func stepConfiguration(state State, input reduce.Input) (State, []reduce.Effect) {
 	var effects, more []reduce.Effect
 	state.View, effects = view.Step(state.View, input)
@@ -102,7 +101,7 @@
 	return state, append(effects, more...)
 }
 
-// stepMember reduces the input in the agent's part in its group.
+// stepMember passes the input to the agent's state as a member of its group.
 func stepMember(state State, server config.BackendServer, input reduce.Input) (State, []reduce.Effect) {
 	if server.Group == "" {
 		return state, nil
--- a/policy/control/gate_test.go
+++ b/policy/control/gate_test.go
@@ -11,8 +11,8 @@
 	"persimmonwind.dev/policy/view"
 )
 
-// Work that was queued while the gate was open is refused when it closes, even
-// if a slot becomes free at that moment.
+// Work that was queued while new work was permitted is refused as soon as it no
+// longer is, even if a slot becomes free at the same time.
 func TestQueuedWorkIsRefusedOnceTheGateCloses(t *testing.T) {
 	const running, queued = 1, 3 // The cold limit is 2.
 	cases := map[string]struct {
--- a/policy/evidence/evidence.go
+++ b/policy/evidence/evidence.go
@@ -1,11 +1,12 @@
 // Package evidence decides whether an agent may start new work: only while it
 // has recent evidence that its configuration is current. A process that was
-// paused or cut off does not know that its data centre was taken out, so that
-// the absence of evidence must stop it.
+// paused or cut off does not know whether its data centre has been taken
+// out, so it must stop when evidence is missing.
 //
-// A read of the table service, its own or one that a peer tells of, is always
-// evidence. While the table service is down for everybody nothing can be
-// accepted, so contact with peers can be evidence as well; the Rule says which.
+// A read of the table service is always evidence, whether the process made the
+// read itself or a peer reported it. While the table service is down for every
+// process, no change can be accepted, so contact with peers can be evidence as
+// well; ContactRule says which contacts count.
 package evidence
 
 import (
@@ -21,30 +22,32 @@
 const (
 	// MaxStoreAge is how long a read of the table service permits new work.
 	MaxStoreAge = 4 * time.Second
-	// MaxContactAge is how long a contact counts. It is shorter, since the peer
-	// itself may have learned of a change a moment late.
+	// MaxContactAge is how long a contact with a peer counts as evidence. It is
+	// shorter than MaxStoreAge because the peer itself may have learned of a
+	// change with a delay.
 	MaxContactAge = 3 * time.Second
 
 	askInterval = time.Second
 	askJitter   = 250 * time.Millisecond
-	// doubtAge is the age of the newest read of the table service from which a
-	// peer in every data centre is asked.
-	doubtAge   = 2200 * time.Millisecond
+	// askAllAge is the age of the newest known read of the table service from
+	// which one peer in every data centre is asked instead of one peer anywhere.
+	askAllAge  = 2200 * time.Millisecond
 	retryAfter = time.Second
 )
 
-// ContactRule says which contacts with peers are evidence.
+// ContactRule says which contacts with peers count as evidence.
 type ContactRule int
 
-// The rules, from the strictest to the most lenient but one.
+// The contact rules, from strict to lenient.
 const (
-	// StoreOnly takes no contact as evidence.
+	// StoreOnly accepts no contact as evidence.
 	StoreOnly ContactRule = iota
-	// EveryDataCentre needs a peer in every data centre not taken out.
+	// EveryDataCentre requires a contact in every data centre that is not taken
+	// out.
 	EveryDataCentre
-	// OtherDataCentre needs a peer in one other data centre.
+	// OtherDataCentre requires a contact in one other data centre.
 	OtherDataCentre
-	// AnyPeer needs one peer anywhere.
+	// AnyPeer requires one contact in any data centre.
 	AnyPeer
 )
 
@@ -53,61 +56,67 @@
 	return [...]string{"store only", "every data centre", "one other data centre", "any peer"}[r]
 }
 
-// StartupCheck says what a restarted process needs before its word counts.
+// StartupCheck says what must confirm the configuration of a restarted process
+// before its answers count as evidence for others.
 type StartupCheck int
 
-// The variants of the start-up bit.
+// The start-up checks.
 const (
-	// NoStartupCheck lets the word of every process count that has a configuration.
+	// NoStartupCheck accepts the answers of every process that has a
+	// configuration.
 	NoStartupCheck StartupCheck = iota
-	// PeerStartupCheck starts at false; it becomes true on evidence from the table
-	// service, on contact with a peer whose bit is true, or with a peer in every
-	// data centre not taken out. Without it a process starts no work either.
+	// PeerStartupCheck sets State.Started on evidence from the table service,
+	// on contact with a peer whose Started is set, or on contact with a peer
+	// in every data centre that is not taken out. Until then the process may not
+	// start work on the evidence of contacts either.
 	PeerStartupCheck
-	// StoreStartupCheck starts at false and becomes true on evidence from the table
-	// service alone, of a read since the process started. Without it a process is no witness for others.
+	// StoreStartupCheck sets State.Started only on a read of the table service
+	// that began after the process started. Until then the answers of the process
+	// are no evidence for others.
 	StoreStartupCheck
 )
 
-// String returns the bit's name.
+// String returns the check's name.
 func (b StartupCheck) String() string {
 	return [...]string{"no bit", "bit from peers", "bit from the store"}[b]
 }
 
-// Policy is one variant of the rules of evidence.
+// Policy combines a contact rule with a start-up check.
 type Policy struct {
 	ContactRule  ContactRule
 	StartupCheck StartupCheck
 }
 
-// DefaultPolicy is the variant in use; docs/design/evidence.md gives the
+// DefaultPolicy is the policy in use; docs/design/evidence.md gives the
 // reasons.
 var DefaultPolicy = Policy{ContactRule: EveryDataCentre, StartupCheck: StoreStartupCheck}
 
-// State is a process's evidence beside view.State.CurrentAt.
+// State is a process's evidence, apart from view.State.CurrentAt.
 type State struct {
 	Policy   Policy
-	BootedAt time.Time // Of the first input.
-	Started  bool      // The start-up bit.
+	BootedAt time.Time // Time of the first input.
+	Started  bool      // Whether the start-up check has passed.
 	// Contacts holds, by data centre, the start of the latest exchange with a
-	// peer there that knew no newer configuration. It is never modified.
+	// peer there that knew no newer configuration. The map is replaced, never
+	// modified.
 	Contacts map[string]time.Time
 	NextAsk  time.Time
 }
 
-// AskPeers asks for exchanges with peers; each answer is a view.Met.
+// AskPeers requests exchanges with peers; each reply arrives as a
+// view.ExchangeAnswered.
 type AskPeers struct {
-	// DataCentres names where to ask one peer each; none means any one peer.
+	// DataCentres lists the data centres in which to ask one peer each; empty
+	// means one peer in any data centre.
 	DataCentres []string
 }
 
-// EffectName implements reduce.Effect.
 func (AskPeers) EffectName() string { return "evidence.ask" }
 
-// Step reduces one input. The view has reduced it already.
+// Step reduces one input. view.Step must have reduced the same input before.
 func Step(state State, known view.State, input reduce.Input) (State, []reduce.Effect) {
-	if met, ok := input.Event.(view.ExchangeAnswered); ok {
-		state = meet(state, known, met)
+	if exchange, ok := input.Event.(view.ExchangeAnswered); ok {
+		state = applyExchange(state, known, exchange)
 	}
 	if state.BootedAt.IsZero() {
 		state.BootedAt = input.Now
@@ -120,31 +129,34 @@
 	}
 	jitter := time.Duration(input.Random % uint64(askJitter))
 	state.NextAsk = input.Now.Add(askInterval - jitter)
-	return state, []reduce.Effect{AskPeers{DataCentres: toAsk(known, input.Now)}}
+	return state, []reduce.Effect{AskPeers{DataCentres: dataCentresToAsk(known, input.Now)}}
 }
 
-func meet(state State, known view.State, met view.ExchangeAnswered) State {
-	if state.Policy.StartupCheck == PeerStartupCheck && (met.Started || state.everyDataCentre(known, met.BeganAt)) {
+// applyExchange records the contact with a peer, unless the peer has no
+// configuration, has not passed its start-up check or has a newer revision.
+func applyExchange(state State, known view.State, exchange view.ExchangeAnswered) State {
+	if state.Policy.StartupCheck == PeerStartupCheck && (exchange.Started || state.hasContactEverywhere(known, exchange.BeganAt)) {
 		state.Started = true
 	}
-	knowsNothing := met.Revision == 0
-	isStarting := state.Policy.StartupCheck != NoStartupCheck && !met.Started
-	if knowsNothing || isStarting || met.Revision > known.Revision() {
+	hasNoRevision := exchange.Revision == 0
+	unconfirmed := state.Policy.StartupCheck != NoStartupCheck && !exchange.Started
+	if hasNoRevision || unconfirmed || exchange.Revision > known.Revision() {
 		return state
 	}
-	if met.BeganAt.Before(state.Contacts[met.DataCentre]) {
+	if exchange.BeganAt.Before(state.Contacts[exchange.DataCentre]) {
 		return state
 	}
 	contacts := make(map[string]time.Time, len(state.Contacts)+1)
 	maps.Copy(contacts, state.Contacts)
-	contacts[met.DataCentre] = met.BeganAt
+	contacts[exchange.DataCentre] = exchange.BeganAt
 	state.Contacts = contacts
 	return state
 }
 
-// toAsk returns the data centres where a peer must be asked.
-func toAsk(known view.State, now time.Time) []string {
-	if known.InForce == nil || known.Age(now) < doubtAge {
+// dataCentresToAsk returns the data centres in which one peer each must be
+// asked; nil means one peer in any data centre.
+func dataCentresToAsk(known view.State, now time.Time) []string {
+	if known.InForce == nil || known.Age(now) < askAllAge {
 		return nil
 	}
 	var names []string
@@ -157,32 +169,32 @@
 	return names
 }
 
-// CheckNewWork returns why the process in the data centre may not start new
-// work at the time, or nil.
+// CheckNewWork returns why a process in dataCentre may not start new work now,
+// or nil if it may.
 func (s State) CheckNewWork(known view.State, dataCentre string, now time.Time) *result.Error {
 	if known.InForce != nil && known.Age(now) <= MaxStoreAge {
 		return nil
 	}
-	started := s.Policy.StartupCheck != PeerStartupCheck || s.Started
-	if known.InForce != nil && !known.Behind() && started && s.hasContacts(known, dataCentre, now) {
+	confirmed := s.Policy.StartupCheck != PeerStartupCheck || s.Started
+	if known.InForce != nil && !known.Behind() && confirmed && s.hasRequiredContacts(known, dataCentre, now) {
 		return nil
 	}
 	return &result.Error{Code: result.StaleConfiguration, RetryAfter: retryAfter}
 }
 
-func (s State) hasContacts(known view.State, dataCentre string, now time.Time) bool {
+func (s State) hasRequiredContacts(known view.State, dataCentre string, now time.Time) bool {
 	switch s.Policy.ContactRule {
 	case EveryDataCentre:
-		return s.everyDataCentre(known, now)
+		return s.hasContactEverywhere(known, now)
 	case OtherDataCentre:
-		return s.anyContact(now, func(name string) bool { return name != dataCentre })
+		return s.hasAnyContact(now, func(name string) bool { return name != dataCentre })
 	case AnyPeer:
-		return s.anyContact(now, func(string) bool { return true })
+		return s.hasAnyContact(now, func(string) bool { return true })
 	}
 	return false
 }
 
-func (s State) everyDataCentre(known view.State, now time.Time) bool {
+func (s State) hasContactEverywhere(known view.State, now time.Time) bool {
 	if known.InForce == nil {
 		return false
 	}
@@ -194,9 +206,9 @@
 	return true
 }
 
-func (s State) anyContact(now time.Time, counts func(name string) bool) bool {
+func (s State) hasAnyContact(now time.Time, include func(name string) bool) bool {
 	for name, at := range s.Contacts {
-		if counts(name) && now.Sub(at) <= MaxContactAge {
+		if include(name) && now.Sub(at) <= MaxContactAge {
 			return true
 		}
 	}
--- a/policy/evidence/evidence_test.go
+++ b/policy/evidence/evidence_test.go
@@ -23,74 +23,74 @@
 	}
 }
 
-func TestPermission(t *testing.T) {
+func TestCheckNewWork(t *testing.T) {
 	Convey("Given an agent in data centre a with the default rules", t, func() {
 		state := State{Policy: DefaultPolicy}
 		now := start
-		knows := known(start)
-		meet := func(dataCentre string, revision uint64, started bool) {
+		viewState := known(start)
+		exchange := func(dataCentre string, revision uint64, started bool) {
 			event := view.ExchangeAnswered{DataCentre: dataCentre, Revision: revision, BeganAt: now, Started: started}
-			state, _ = Step(state, knows, reduce.Input{Now: now, Event: event})
+			state, _ = Step(state, viewState, reduce.Input{Now: now, Event: event})
 		}
-		permitted := func() bool { return state.CheckNewWork(knows, "a", now) == nil }
+		permitted := func() bool { return state.CheckNewWork(viewState, "a", now) == nil }
 
 		Convey("a recent read of the store permits work, an old one does not", func() {
 			now = start.Add(MaxStoreAge)
 			So(permitted(), ShouldBeTrue)
 			now = now.Add(time.Millisecond)
 			So(permitted(), ShouldBeFalse)
-			So(state.CheckNewWork(knows, "a", now).Code, ShouldEqual, result.StaleConfiguration)
+			So(state.CheckNewWork(viewState, "a", now).Code, ShouldEqual, result.StaleConfiguration)
 		})
 
 		Convey("contact in every data centre that is not taken out permits work", func() {
 			now = start.Add(time.Minute)
-			meet("a", 5, true)
+			exchange("a", 5, true)
 			So(permitted(), ShouldBeFalse)
-			meet("b", 4, true)
+			exchange("b", 4, true)
 			So(permitted(), ShouldBeTrue)
 			now = now.Add(MaxContactAge + time.Millisecond)
 			So(permitted(), ShouldBeFalse)
 		})
 
-		Convey("who does not count as a witness", func() {
+		Convey("an answer is no evidence if it comes from", func() {
 			now = start.Add(time.Minute)
-			meet("a", 5, true)
+			exchange("a", 5, true)
 			for _, c := range []struct {
-				what     string
+				name     string
 				revision uint64
 				started  bool
 			}{
-				{"a process that knows something newer", 6, true},
+				{"a process with a newer revision", 6, true},
 				{"a process without a configuration", 0, true},
-				{"a process that has just started", 5, false},
+				{"a process that has not passed its start-up check", 5, false},
 			} {
-				Convey(c.what, func() {
-					meet("b", c.revision, c.started)
+				Convey(c.name, func() {
+					exchange("b", c.revision, c.started)
 					So(permitted(), ShouldBeFalse)
 				})
 			}
 		})
 
-		Convey("an answer that waited while the process was frozen is as old as its question", func() {
+		Convey("a contact is as old as its request, also if the process was paused before it read the answer", func() {
 			now = start.Add(time.Minute)
-			meet("a", 5, true)
-			meet("b", 5, true)
+			exchange("a", 5, true)
+			exchange("b", 5, true)
 			now = now.Add(time.Hour)
 			So(permitted(), ShouldBeFalse)
 		})
 
-		Convey("contacts don't help one who knows that it is behind", func() {
+		Convey("contacts are no evidence for a process that knows of a newer revision", func() {
 			now = start.Add(time.Minute)
-			meet("a", 5, true)
-			meet("b", 5, true)
-			knows.RevisionSeen = 6
+			exchange("a", 5, true)
+			exchange("b", 5, true)
+			viewState.RevisionSeen = 6
 			So(permitted(), ShouldBeFalse)
 		})
 	})
 }
 
-func TestStartUpBit(t *testing.T) {
-	Convey("Evidence from before the start does not set the bit", t, func() {
+func TestStartedOnlyAfterReadSinceBoot(t *testing.T) {
+	Convey("A read of the store from before the start does not set Started", t, func() {
 		state := State{Policy: DefaultPolicy}
 		state, _ = Step(state, known(start.Add(-time.Second)), reduce.Input{Now: start, Event: reduce.Tick{}})
 		So(state.Started, ShouldBeFalse)
@@ -99,8 +99,8 @@
 	})
 }
 
-func TestWhomToAsk(t *testing.T) {
-	Convey("One peer is asked each second, one in each data centre in doubt", t, func() {
+func TestAskPeersInEveryDataCentreWhenReadIsOld(t *testing.T) {
+	Convey("One peer is asked each second, or one in every data centre when the newest read is old", t, func() {
 		ask := func(age time.Duration) []reduce.Effect {
 			_, effects := Step(State{Policy: DefaultPolicy}, known(start.Add(-age)), reduce.Input{Now: start, Event: reduce.Tick{}})
 			return effects
--- a/policy/prefix/blocks.go
+++ b/policy/prefix/blocks.go
@@ -1,5 +1,5 @@
-// Package prefix describes prompt prefixes as chained block hashes, and keeps
-// what an agent knows about the prefixes in its engine's cache.
+// Package prefix describes prompt prefixes as chained block hashes and tracks
+// which prefixes an agent's engine has in its cache.
 package prefix
 
 import (
@@ -11,8 +11,8 @@
 // BlockTokens is the number of prompt tokens in one block of a prefix cache.
 const BlockTokens = 16
 
-// denseMarks is the number of leading blocks that Marks lists one by one.
-const denseMarks = 4
+// denseSamplePoints is the number of leading blocks that are all sample points.
+const denseSamplePoints = 4
 
 // Prompt is a prompt's length and the chained hashes of its full blocks: equal
 // prefixes have equal leading hashes.
@@ -21,38 +21,39 @@
 	Blocks []uint64
 }
 
-// NewPrompt splits the prompt into blocks.
-func NewPrompt(prompt string) Prompt {
-	var described Prompt
+// NewPrompt splits the text into blocks.
+func NewPrompt(text string) Prompt {
+	var prompt Prompt
 	digest := xxhash.New()
-	for word := range strings.FieldsSeq(prompt) {
+	for word := range strings.FieldsSeq(text) {
 		_, _ = digest.WriteString(word)
 		_, _ = digest.WriteString(" ")
-		described.Tokens++
-		if described.Tokens%BlockTokens == 0 {
-			described.Blocks = append(described.Blocks, digest.Sum64())
+		prompt.Tokens++
+		if prompt.Tokens%BlockTokens == 0 {
+			prompt.Blocks = append(prompt.Blocks, digest.Sum64())
 		}
 	}
-	return described
+	return prompt
 }
 
-// SamplePoints returns the lengths, in blocks, at which a prompt of n blocks is
-// described in a probe: every length at first, then two for each doubling, and
+// SamplePoints returns the prefix lengths, in blocks, whose hashes a probe carries
+// for a prompt of n blocks: every length at first, then two for each doubling, and
 // n itself.
 func SamplePoints(n int) []int {
-	var marks []int
-	for length := 1; length < n; length = nextMark(length) {
-		marks = append(marks, length)
+	var points []int
+	for length := 1; length < n; length = nextSamplePoint(length) {
+		points = append(points, length)
 	}
 	if n > 0 {
-		marks = append(marks, n)
+		points = append(points, n)
 	}
-	return marks
+	return points
 }
 
-// nextMark continues 1, 2, 3, 4, 6, 8, 12, 16, 24 and so on.
-func nextMark(length int) int {
-	if length < denseMarks {
+// nextSamplePoint returns the next element of the series 1, 2, 3, 4, 6, 8, 12, 16,
+// 24 and so on.
+func nextSamplePoint(length int) int {
+	if length < denseSamplePoints {
 		return length + 1
 	}
 	if length&(length-1) == 0 {
@@ -61,12 +62,12 @@
 	return length / 3 * 4
 }
 
-// Sample returns the hashes at the marks of the blocks.
+// Sample returns the hashes of the blocks at their sample points.
 func Sample(blocks []uint64) []uint64 {
-	marks := SamplePoints(len(blocks))
-	sample := make([]uint64, len(marks))
-	for index, mark := range marks {
-		sample[index] = blocks[mark-1]
+	points := SamplePoints(len(blocks))
+	sample := make([]uint64, len(points))
+	for index, point := range points {
+		sample[index] = blocks[point-1]
 	}
 	return sample
 }
--- a/policy/prefix/index.go
+++ b/policy/prefix/index.go
@@ -2,17 +2,17 @@
 
 import "container/list"
 
-// Event tells that a block entered or left the engine's cache. A gap in Seq
-// means that events were lost.
+// Event reports that a block was added to or evicted from the engine's cache. A
+// gap in Seq means that events were lost.
 type Event struct {
 	Seq   uint64
 	Block uint64
 	Added bool
 }
 
-// Index is what an agent knows about its engine's cache. Events come late and
-// with gaps, so it also notes the prompts that the agent passed on, and evicts
-// the least recently used blocks beyond the size that the engine reports.
+// Index is an agent's view of its engine's cache. Events arrive late and with gaps,
+// so the index also records the prompts that the agent passed on, and evicts the
+// least recently used blocks beyond the size that the engine reports.
 type Index struct {
 	seq    uint64
 	gaps   int
@@ -28,20 +28,20 @@
 // Len returns the number of blocks.
 func (x *Index) Len() int { return len(x.blocks) }
 
-// Seq returns the number of the last event applied.
+// Seq returns the sequence number of the last event applied.
 func (x *Index) Seq() uint64 { return x.seq }
 
-// Gaps returns how often events were found lost.
+// Gaps returns the number of detected gaps in the events.
 func (x *Index) Gaps() int { return x.gaps }
 
-// Clear forgets every block: the engine has booted anew.
+// Clear removes every block, since the engine has restarted.
 func (x *Index) Clear() {
 	x.order.Init()
 	clear(x.blocks)
 	x.seq = 0
 }
 
-// Apply takes in events in order; old ones are skipped.
+// Apply applies events in order and skips those already applied.
 func (x *Index) Apply(events []Event) {
 	for _, event := range events {
 		if event.Seq <= x.seq {
@@ -73,19 +73,19 @@
 	}
 }
 
-// Lookup returns how many leading blocks of a prompt of n blocks are cached,
-// from the hashes at its marks: the length of the longest mark found without a
-// mark missing before it.
+// Lookup returns how many leading blocks of a prompt of n blocks are cached, given
+// the hashes at its sample points: the longest sample point for which that point
+// and all before it are cached.
 func (x *Index) Lookup(sample []uint64, n int) int {
 	found := 0
-	for index, mark := range SamplePoints(n) {
+	for index, point := range SamplePoints(n) {
 		if index >= len(sample) {
 			break
 		}
 		if _, ok := x.blocks[sample[index]]; !ok {
 			break
 		}
-		found = mark
+		found = point
 	}
 	return found
 }
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry decides whether an attempt that failed is made again
-// elsewhere, within a retry budget and the caller's deadline.
+// Package retry decides whether a failed attempt is repeated at another backend
+// server, within a retry budget and the caller's deadline.
 //
-// Invariant: over any time, retries after attempts that reached a backend
+// Invariant: over any period, the retries after attempts that reached a backend
 // server are at most a fixed share of the requests, plus a fixed number.
 package retry
 
@@ -18,35 +18,36 @@
 	MaxTokens = 10.0
 
 	maxAttempts       = 3
-	maxWaited         = 500 * time.Millisecond // Before a refusal for load that is final.
-	minRemaining      = 20 * time.Millisecond  // Less time is too short for an attempt.
+	maxLoadWait       = 500 * time.Millisecond // After a longer wait a refusal because of load is final.
+	minRemaining      = 20 * time.Millisecond  // An attempt needs at least this time.
 	defaultRetryAfter = time.Second
-	jitterShare       = 0.5 // Of the time to come back, added by random.
+	jitterRatio       = 0.5 // Greatest random addition to RetryAfter, as a share of it.
 )
 
-// Budget bounds the retries of one entry instance. The zero value is empty.
+// Budget is a token bucket that bounds the retries of one entry instance. The zero
+// value is empty.
 type Budget struct {
-	tokens  float64
-	share   float64 // Retries that each request adds.
-	reserve float64 // Retries saved up at most.
+	tokens     float64
+	tokenRatio float64 // Retries that each request adds.
+	maxTokens  float64 // Greatest number of retries saved up.
 }
 
-// NewBudget returns a full budget with the usual share and reserve.
+// NewBudget returns a full budget with TokenRatio and MaxTokens.
 func NewBudget() Budget { return NewBudgetWith(TokenRatio, MaxTokens) }
 
-// NewBudgetWith returns a full budget that each request fills by share, up to
-// reserve.
-func NewBudgetWith(share, reserve float64) Budget {
-	return Budget{tokens: reserve, share: share, reserve: reserve}
+// NewBudgetWith returns a full budget to which each request adds tokenRatio, up to
+// maxTokens.
+func NewBudgetWith(tokenRatio, maxTokens float64) Budget {
+	return Budget{tokens: maxTokens, tokenRatio: tokenRatio, maxTokens: maxTokens}
 }
 
-// Deposit adds the share of one new request.
+// Deposit adds the tokens of one new request.
 func (b Budget) Deposit() Budget {
-	b.tokens = min(b.reserve, b.tokens+b.share)
+	b.tokens = min(b.maxTokens, b.tokens+b.tokenRatio)
 	return b
 }
 
-// Withdraw takes one retry out; it reports whether there was one.
+// Withdraw takes one retry from the budget and reports whether there was one.
 func (b Budget) Withdraw() (Budget, bool) {
 	if b.tokens < 1 {
 		return b, false
@@ -55,23 +56,24 @@
 	return b, true
 }
 
-// Attempt is an attempt that failed.
+// Attempt is a failed attempt.
 type Attempt struct {
 	Number          int // 1 for the first.
 	Err             *result.Error
-	ResponseStarted bool // The caller has had a part of the answer.
+	ResponseStarted bool // The caller has received a part of the answer.
 	Idempotent      bool
 	Waited          time.Duration // Since the request arrived.
 	Remaining       time.Duration // Until the caller's deadline.
 }
 
-// SkipsBudget reports whether a retry after the error takes nothing out of the budget:
-// no backend server was reached, so the attempt was no load to any.
+// SkipsBudget reports whether a retry after the error takes nothing from the
+// budget: the attempt reached no backend server, so it caused no load on any.
 func SkipsBudget(code result.Code) bool { return code == result.NoBackendServer }
 
-// Retriable reports whether the attempt may be made again elsewhere: the work
-// did not run, or may run twice; the answer has not begun; there is time; and work
-// that was refused for load has not waited in a queue before.
+// Retriable reports whether the attempt may be repeated at another backend server:
+// the work did not run, or is idempotent; the answer has not begun; enough time
+// remains; and work that was refused because of load has not waited in a queue
+// for longer than maxLoadWait before.
 func Retriable(attempt Attempt) bool {
 	info := result.Describe(attempt.Err.Code)
 	switch {
@@ -79,16 +81,17 @@
 		return false
 	case attempt.Err.Code == result.Cancelled:
 		return false
-	case IsLoadRefusal(attempt.Err.Code) && attempt.Waited > maxWaited:
+	case IsLoadRefusal(attempt.Err.Code) && attempt.Waited > maxLoadWait:
 		return false
 	case info.NotRun:
 		return info.ComeBack
 	default:
-		return attempt.Idempotent && brokenOff(attempt.Err.Code)
+		return attempt.Idempotent && isBackendFailure(attempt.Err.Code)
 	}
 }
 
-// IsLoadRefusal reports whether the code refuses the work because others wait too.
+// IsLoadRefusal reports whether the code refuses the work because of the load of
+// other requests.
 func IsLoadRefusal(code result.Code) bool {
 	switch code {
 	case result.Overloaded, result.ColdStart, result.DeadlineTooShort, result.RateLimited, result.ConcurrencyLimited:
@@ -98,14 +101,14 @@
 	}
 }
 
-// brokenOff reports whether the code speaks of a backend server that failed.
-func brokenOff(code result.Code) bool {
+// isBackendFailure reports whether the code says that a backend server failed.
+func isBackendFailure(code result.Code) bool {
 	return code == result.OutcomeUnknown || code == result.CutAnswer || code == result.BackendFailed
 }
 
-// FinalError returns the error for a request that is given up on: the last one,
-// with the time to come back. Random spreads the callers over half as much
-// time again.
+// FinalError returns the error for a request that is not retried any more: the last
+// error, with RetryAfter set if a later try can help. It adds a random part of up
+// to half of RetryAfter, so that the callers don't all come back at once.
 func FinalError(err *result.Error, random uint64) *result.Error {
 	if !result.Describe(err.Code).ComeBack {
 		return err
@@ -115,6 +118,6 @@
 		final.RetryAfter = defaultRetryAfter
 	}
 	spread := float64(random>>11) / (1 << 53)
-	final.RetryAfter += time.Duration(jitterShare * spread * float64(final.RetryAfter))
+	final.RetryAfter += time.Duration(jitterRatio * spread * float64(final.RetryAfter))
 	return &final
 }
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget, requests, retries := NewBudget(), 0, 0
 		for _, request := range rapid.SliceOfN(rapid.Bool(), 1, 500).Draw(t, "requests") {
@@ -34,12 +34,12 @@
 			}
 		}
 		if float64(retries) > TokenRatio*float64(requests)+MaxTokens {
-			t.Fatalf("%d retries for %d requests", retries, requests)
+			t.Fatalf("%d retries for %d requests exceed the budget", retries, requests)
 		}
 	})
 }
 
-func TestOnlyHarmlessAttemptsAreRetried(t *testing.T) {
+func TestRetriableOnlyForSafeAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := Attempt{
 			Number: rapid.IntRange(1, 5).Draw(t, "number"), ResponseStarted: rapid.Bool().Draw(t, "begun"),
@@ -52,28 +52,28 @@
 			return
 		}
 		if attempt.ResponseStarted || (IsLoadRefusal(attempt.Err.Code) && attempt.Waited > time.Second/2) || attempt.Remaining <= 0 || attempt.Number >= maxAttempts {
-			t.Fatalf("%+v is retried", attempt)
+			t.Fatalf("attempt %+v is retriable", attempt)
 		}
 		if !attempt.Err.NotRun() && !attempt.Idempotent {
-			t.Fatalf("%v may have run and is retried", attempt.Err)
+			t.Fatalf("attempt that may have run is retriable after error %v", attempt.Err)
 		}
 	})
 }
 
-func TestARequestGivenUpOnSaysWhenToComeBack(t *testing.T) {
+func TestFinalErrorSetsRetryAfter(t *testing.T) {
 	for _, code := range result.Codes() {
 		err := FinalError(&result.Error{Code: code}, 1<<63)
 		if result.Describe(code).ComeBack != (err.RetryAfter > 0) {
-			t.Errorf("%v: come back after %v", code, err.RetryAfter)
+			t.Errorf("code %v: RetryAfter = %v", code, err.RetryAfter)
 		}
 	}
 	if early := FinalError(&result.Error{Code: result.Overloaded, RetryAfter: time.Second}, 0); early.RetryAfter < time.Second {
-		t.Errorf("told to come back after %v, before the time", early.RetryAfter)
+		t.Errorf("RetryAfter = %v, want at least 1s", early.RetryAfter)
 	}
 }
 
-func TestWorkRefusedByADeadAgentIsRetriedHoweverLongItWaited(t *testing.T) {
-	Convey("Noticing a dead agent takes longer than a queue may", t, func() {
+func TestRetriableAfterLongWaitWhenAgentIsGone(t *testing.T) {
+	Convey("An attempt at an agent that is gone is retriable after any wait, since detecting a dead agent takes longer than the wait allowed in a queue", t, func() {
 		for _, code := range []result.Code{result.NoBackendServer, result.Leaving, result.DataCentreOut} {
 			So(Retriable(Attempt{
 				Number: 1, Err: &result.Error{Code: code}, Waited: 3 * time.Second, Remaining: time.Minute,
--- a/policy/share/home.go
+++ b/policy/share/home.go
@@ -1,11 +1,11 @@
-// Package share holds organisations' rate and concurrency limits across entry
-// instances. Each organisation has one home among the entries, by rendezvous;
-// the home leases small shares to the entries that have requests. An entry
-// that can't reach the home uses a local share, so that the sum over all
-// entries still is the limit.
+// Package share enforces organisations' rate and concurrency limits across entry
+// instances. Rendezvous hashing assigns each organisation to one entry, its home,
+// which leases small shares to the entries that have requests. An entry that
+// can't reach the home falls back to a local share; the local shares of all
+// entries sum to the limit.
 //
 // Invariants, at one home:
-//   - The tokens granted over any time are at most the rate times that time,
+//   - The tokens granted over any period are at most the rate times the period,
 //     plus one burst.
 //   - The unexpired slots of all entries together are at most the concurrency
 //     limit.
@@ -17,91 +17,92 @@
 )
 
 const (
-	// TokenTTL is how long granted tokens last.
+	// TokenTTL is how long granted tokens are valid.
 	TokenTTL = 2 * time.Second
-	// SlotTTL is how long leased slots last without renewal.
+	// SlotTTL is how long leased slots are valid without renewal.
 	SlotTTL = 10 * time.Second
 
-	burstTime     = time.Second // Of the rate that an idle organisation saves up.
-	minBurst      = 10.0        // Tokens that every organisation may save up.
+	burstWindow   = time.Second // An idle organisation saves up the tokens of this time.
+	minBurst      = 10.0        // Tokens that any organisation may save up.
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// Limits are one organisation's; 0 means no limit.
+// Limits are the limits of one organisation; 0 means no limit.
 type Limits struct {
-	Rate        float64 // Requests a second.
-	Concurrency int     // Requests at a time.
+	Rate        float64 // Requests per second.
+	Concurrency int     // Requests in flight.
 }
 
-// Ask asks the home for a share.
+// Ask is a lease request: it asks an organisation's home for tokens and slots.
 type Ask struct {
 	Org    string
 	Entry  string
-	Want   int // Tokens.
-	Unused int // Tokens of the last grant that come back.
-	Slots  int // Slots to hold from now on, in all.
-	InUse  int // Slots under way.
+	Want   int // Tokens requested.
+	Unused int // Unused tokens of the last grant, which are returned.
+	Slots  int // Total slots that the entry wants to hold from now on.
+	InUse  int // Slots in use by requests in flight.
 }
 
-// Grant answers Ask.
+// Grant is the home's answer to an Ask.
 type Grant struct {
 	Tokens     int
 	Slots      int
-	RetryAfter time.Duration // When no token or slot was free.
+	RetryAfter time.Duration // Set when no token or slot was free.
 }
 
-// Home keeps the accounts of the organisations whose home an entry is.
+// Home keeps the accounts of the organisations that an entry is the home of.
 type Home struct {
-	accounts map[string]*account
-	moved    time.Time
+	accounts     map[string]*account
+	reassignedAt time.Time
 }
 
-// NewHome returns a home without accounts; it has just become one.
-func NewHome(now time.Time) *Home { return &Home{accounts: map[string]*account{}, moved: now} }
+// NewHome returns a home without accounts. Leases of former homes may still be
+// valid at now.
+func NewHome(now time.Time) *Home { return &Home{accounts: map[string]*account{}, reassignedAt: now} }
 
-// MarkReassigned tells that organisations may have come from another home, whose leases
-// may still last.
-func (h *Home) MarkReassigned(now time.Time) { h.moved = now }
+// MarkReassigned records that organisations may have moved here from another
+// home, whose leases may still be valid.
+func (h *Home) MarkReassigned(now time.Time) { h.reassignedAt = now }
 
-// account is one organisation's.
+// account holds the tokens and leases of one organisation.
 type account struct {
-	careful time.Time // Until then leases of a former home may still last.
-	filled  time.Time
-	rate    float64
-	tokens  float64
-	leases  map[string]lease
+	restrictedUntil time.Time // Until then leases of a former home may still be valid.
+	refilledAt      time.Time
+	rate            float64
+	tokens          float64
+	leases          map[string]lease
 }
 
 type lease struct {
-	slots int
-	until time.Time
+	slots     int
+	expiresAt time.Time
 }
 
-// Ask leases a share; entries is the number of entry instances.
+// Ask grants a share to an entry; entries is the number of entry instances.
 func (h *Home) Ask(now time.Time, limits Limits, entries int, ask Ask) Grant {
 	a := h.accounts[ask.Org]
 	if a == nil {
-		a = &account{filled: now, tokens: Burst(limits.Rate), leases: map[string]lease{}}
-		if a.careful = h.moved.Add(SlotTTL); now.Before(a.careful) {
+		a = &account{refilledAt: now, tokens: Burst(limits.Rate), leases: map[string]lease{}}
+		if a.restrictedUntil = h.reassignedAt.Add(SlotTTL); now.Before(a.restrictedUntil) {
 			a.tokens = max(1, a.tokens/float64(max(1, entries)))
 		}
 		h.accounts[ask.Org] = a
 	}
-	a.fill(now, limits.Rate, ask.Unused)
+	a.refill(now, limits.Rate, ask.Unused)
 	grant := Grant{Slots: a.lease(now, limits.Concurrency, entries, ask)}
 	if grant.Slots <= ask.InUse && ask.Slots > ask.InUse {
 		grant.RetryAfter = minRetryAfter
 		return grant
 	}
-	grant.Tokens, grant.RetryAfter = a.take(limits.Rate, ask.Want)
+	grant.Tokens, grant.RetryAfter = a.takeTokens(limits.Rate, ask.Want)
 	return grant
 }
 
-// DropIdle drops the accounts that are as good as new: nobody has asked in the
-// time of a lease, and the burst is saved up.
+// DropIdle deletes the accounts that a new account would equal: without a request
+// for longer than SlotTTL, and with the whole burst saved up.
 func (h *Home) DropIdle(now time.Time) {
 	for org, a := range h.accounts {
-		idle := now.Sub(a.filled)
+		idle := now.Sub(a.refilledAt)
 		if idle > SlotTTL && a.tokens+a.rate*idle.Seconds() >= Burst(a.rate) {
 			delete(h.accounts, org)
 		}
@@ -109,15 +110,17 @@
 }
 
 // Burst returns the tokens that an organisation may save up.
-func Burst(rate float64) float64 { return max(minBurst, rate*burstTime.Seconds()) }
+func Burst(rate float64) float64 { return max(minBurst, rate*burstWindow.Seconds()) }
 
-func (a *account) fill(now time.Time, rate float64, unused int) {
-	elapsed := max(0, now.Sub(a.filled).Seconds())
-	a.filled, a.rate = now, rate
+func (a *account) refill(now time.Time, rate float64, unused int) {
+	elapsed := max(0, now.Sub(a.refilledAt).Seconds())
+	a.refilledAt, a.rate = now, rate
 	a.tokens = min(Burst(rate), a.tokens+rate*elapsed+float64(unused))
 }
 
-func (a *account) take(rate float64, want int) (int, time.Duration) {
+// takeTokens grants up to want tokens. If none is available, it returns the time until
+// the next token.
+func (a *account) takeTokens(rate float64, want int) (int, time.Duration) {
 	if rate <= 0 {
 		return want, 0
 	}
@@ -126,11 +129,11 @@
 	if granted > 0 || want == 0 {
 		return granted, 0
 	}
-	missing := time.Duration((1 - a.tokens) / rate * float64(time.Second))
-	return 0, missing
+	wait := time.Duration((1 - a.tokens) / rate * float64(time.Second))
+	return 0, wait
 }
 
-// lease sets how many slots the entry holds and returns them.
+// lease sets the number of slots that the entry holds and returns it.
 func (a *account) lease(now time.Time, limit, entries int, ask Ask) int {
 	if limit <= 0 {
 		return ask.Slots
@@ -138,17 +141,17 @@
 	others := 0
 	for entry, l := range a.leases {
 		switch {
-		case !now.Before(l.until):
+		case !now.Before(l.expiresAt):
 			delete(a.leases, entry)
 		case entry != ask.Entry:
 			others += l.slots
 		}
 	}
 	slots := min(ask.Slots, max(0, limit-others))
-	if now.Before(a.careful) {
+	if now.Before(a.restrictedUntil) {
 		slots = min(slots, max(ask.InUse, 1, limit/max(1, entries)))
 	}
-	a.leases[ask.Entry] = lease{slots: slots, until: now.Add(SlotTTL)}
+	a.leases[ask.Entry] = lease{slots: slots, expiresAt: now.Add(SlotTTL)}
 	return slots
 }
 
@@ -158,8 +161,8 @@
 }
 
 // LocalSlots returns an entry's part of the slots while the home is
-// unreachable; rank is the entry's place among all by rendezvous for the
-// organisation, so that the parts sum up to the limit.
+// unreachable. rank is the entry's position among all entries in the rendezvous
+// order of the organisation; the parts of all ranks sum to the limit.
 func LocalSlots(limits Limits, entries, rank int) int {
 	if limits.Concurrency <= 0 {
 		return math.MaxInt
--- a/policy/share/local.go
+++ b/policy/share/local.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	batchTime    = 200 * time.Millisecond // Of an entry's own demand that one ask covers.
-	demandWeight = 0.2                    // Weight of a new sample of the demand.
-	renewTime    = 4 * time.Second
-	maxBatch     = 1000
-	maxAsks      = 4 // Of one request; the tokens of an answer may go to others.
+	batchWindow      = 200 * time.Millisecond // One lease request covers the entry's demand of this time.
+	demandWeight     = 0.2                    // Weight of a new sample in the moving average of the demand.
+	renewInterval    = 4 * time.Second
+	maxBatch         = 1000
+	maxLeaseRequests = 4 // Per request; the tokens of a grant may go to other requests.
 )
 
 // Local is an entry's share of one organisation's limits.
 type Local struct {
-	tokens   int
-	slots    int
-	held     int // Slots that the home counts as this entry's.
-	inUse    int
-	until    time.Time // End of tokens and slots.
-	renew    time.Time // When slots in use are to be renewed.
-	denied   time.Time // The home has nothing until then.
-	reason   result.Code
-	demand   float64 // Requests a second asked of this entry.
-	last     time.Time
-	fallback float64 // Tokens of the local share, while the home is unreachable.
-	fellBack time.Time
+	tokens          int
+	slots           int
+	leasedSlots     int // Slots that the home has leased to this entry.
+	inUse           int
+	expiresAt       time.Time // When tokens and slots expire.
+	renewAt         time.Time // When to renew the slots in use.
+	deniedUntil     time.Time // The home has nothing to grant until then.
+	deniedCode      result.Code
+	demand          float64 // Requests per second that arrive at this entry.
+	lastRequest     time.Time
+	localTokens     float64 // Tokens of the local share, used while the home is unreachable.
+	localRefilledAt time.Time
 }
 
-// Decision tells what to do with a request.
+// Decision says what to do with a request.
 type Decision int
 
-// Verdicts.
+// Decisions.
 const (
-	Admitted Decision = iota // The request holds a slot until Done.
+	Admitted Decision = iota // The request holds a slot until Release.
 	Refused
-	NeedsLease // Ask the home, then try again.
+	NeedsLease // Send an Ask to the home, then try again.
 )
 
-// TryAdmit tries to admit one request. asks is how often the request has waited for
-// an answer of the home before.
-func (l *Local) TryAdmit(now time.Time, limits Limits, asks int) (Decision, *result.Error) {
-	if asks == 0 {
-		l.observe(now)
+// TryAdmit tries to admit one request. leaseRequests is the number of answers of
+// the home that the request has already waited for.
+func (l *Local) TryAdmit(now time.Time, limits Limits, leaseRequests int) (Decision, *result.Error) {
+	if leaseRequests == 0 {
+		l.observeDemand(now)
 	}
-	if !now.Before(l.until) {
+	if !now.Before(l.expiresAt) {
 		l.tokens, l.slots = 0, 0
 	}
 	if l.tokens > 0 && (limits.Concurrency <= 0 || l.inUse < l.slots) {
@@ -55,91 +55,93 @@
 		l.inUse++
 		return Admitted, nil
 	}
-	if now.Before(l.denied) {
-		return Refused, &result.Error{Code: l.reason, RetryAfter: max(minRetryAfter, l.denied.Sub(now))}
+	if now.Before(l.deniedUntil) {
+		return Refused, &result.Error{Code: l.deniedCode, RetryAfter: max(minRetryAfter, l.deniedUntil.Sub(now))}
 	}
-	if asks < maxAsks {
+	if leaseRequests < maxLeaseRequests {
 		return NeedsLease, nil
 	}
 	return Refused, &result.Error{Code: result.RateLimited, RetryAfter: minRetryAfter}
 }
 
-func (l *Local) observe(now time.Time) {
-	if elapsed := now.Sub(l.last).Seconds(); elapsed > 0 && !l.last.IsZero() {
+// observeDemand updates the moving average of the demand.
+func (l *Local) observeDemand(now time.Time) {
+	if elapsed := now.Sub(l.lastRequest).Seconds(); elapsed > 0 && !l.lastRequest.IsZero() {
 		l.demand += demandWeight * (min(1/elapsed, maxBatch) - l.demand)
 	}
-	l.last = now
+	l.lastRequest = now
 }
 
-// Ask returns what to ask the home for on behalf of the waiting requests and
-// those to come soon. There must be one ask at a time.
+// Ask returns the lease request for the waiting requests and those expected
+// soon. At most one lease request may be in flight.
 func (l *Local) Ask(now time.Time, org, entry string, waiting int) Ask {
-	demand := int(math.Ceil(l.demand * batchTime.Seconds()))
+	demand := int(math.Ceil(l.demand * batchWindow.Seconds()))
 	want := min(maxBatch, max(1, waiting, demand))
 	unused := l.tokens
-	if !now.Before(l.until) {
+	if !now.Before(l.expiresAt) {
 		unused = 0
 	}
 	l.tokens = 0
 	return Ask{Org: org, Entry: entry, Want: want, Unused: unused, Slots: l.inUse + want, InUse: l.inUse}
 }
 
-// ApplyGrant takes in the home's answer.
+// ApplyGrant records the home's answer to a lease request.
 func (l *Local) ApplyGrant(now time.Time, grant Grant) {
-	l.tokens, l.slots, l.held = l.tokens+grant.Tokens, grant.Slots, grant.Slots
-	l.until = now.Add(TokenTTL)
-	l.renew = now.Add(renewTime)
+	l.tokens, l.slots, l.leasedSlots = l.tokens+grant.Tokens, grant.Slots, grant.Slots
+	l.expiresAt = now.Add(TokenTTL)
+	l.renewAt = now.Add(renewInterval)
 	if grant.Tokens > 0 {
 		return
 	}
-	l.denied = now.Add(grant.RetryAfter)
-	l.reason = result.RateLimited
+	l.deniedUntil = now.Add(grant.RetryAfter)
+	l.deniedCode = result.RateLimited
 	if grant.Slots <= l.inUse {
-		l.reason = result.ConcurrencyLimited
+		l.deniedCode = result.ConcurrencyLimited
 	}
 }
 
-// AdmitLocally admits one request by the local share, or refuses it.
+// AdmitLocally admits or refuses one request by the local share, while the home is
+// unreachable.
 func (l *Local) AdmitLocally(now time.Time, limits Limits, entries, rank int) (Decision, *result.Error) {
 	rate := LocalRate(limits, entries)
-	if !l.fellBack.IsZero() {
-		l.fallback = min(max(1, rate*burstTime.Seconds()), l.fallback+rate*now.Sub(l.fellBack).Seconds())
+	if !l.localRefilledAt.IsZero() {
+		l.localTokens = min(max(1, rate*burstWindow.Seconds()), l.localTokens+rate*now.Sub(l.localRefilledAt).Seconds())
 	}
-	l.fellBack = now
+	l.localRefilledAt = now
 	if l.inUse >= LocalSlots(limits, entries, rank) {
 		return Refused, &result.Error{Code: result.ConcurrencyLimited, RetryAfter: time.Second}
 	}
-	if limits.Rate > 0 && l.fallback < 1 {
-		after := time.Duration((1 - l.fallback) / rate * float64(time.Second))
-		return Refused, &result.Error{Code: result.RateLimited, RetryAfter: max(minRetryAfter, after)}
+	if limits.Rate > 0 && l.localTokens < 1 {
+		retryAfter := time.Duration((1 - l.localTokens) / rate * float64(time.Second))
+		return Refused, &result.Error{Code: result.RateLimited, RetryAfter: max(minRetryAfter, retryAfter)}
 	}
-	l.fallback = max(0, l.fallback-1)
+	l.localTokens = max(0, l.localTokens-1)
 	l.inUse++
 	return Admitted, nil
 }
 
-// Release gives back the slot of an admitted request.
+// Release returns the slot of an admitted request.
 func (l *Local) Release() { l.inUse-- }
 
-// NeedsRenewal reports whether slots in use are to be renewed at the home, or
-// others to be given back.
+// NeedsRenewal reports whether slots in use must be renewed at the home or unused
+// ones returned.
 func (l *Local) NeedsRenewal(now time.Time) bool {
-	return l.held > l.inUse || l.inUse > 0 && !now.Before(l.renew)
+	return l.leasedSlots > l.inUse || l.inUse > 0 && !now.Before(l.renewAt)
 }
 
-// RenewalRequest returns what to ask the home for to keep just the slots in use.
+// RenewalRequest returns the lease request that keeps only the slots in use.
 func (l *Local) RenewalRequest(org, entry string) Ask {
 	l.slots = min(l.slots, l.inUse)
 	return Ask{Org: org, Entry: entry, Slots: l.inUse, InUse: l.inUse}
 }
 
-// ApplyRenewal takes in the home's answer to a Renewal.
+// ApplyRenewal records the home's answer to a RenewalRequest.
 func (l *Local) ApplyRenewal(now time.Time, grant Grant) {
-	l.held = grant.Slots
-	l.renew = now.Add(renewTime)
+	l.leasedSlots = grant.Slots
+	l.renewAt = now.Add(renewInterval)
 }
 
-// Idle reports whether the share can be forgotten.
+// Idle reports whether the share can be dropped.
 func (l *Local) Idle(now time.Time) bool {
-	return l.inUse == 0 && l.held == 0 && now.Sub(l.last) > SlotTTL
+	return l.inUse == 0 && l.leasedSlots == 0 && now.Sub(l.lastRequest) > SlotTTL
 }
--- a/policy/share/share_test.go
+++ b/policy/share/share_test.go
@@ -19,7 +19,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-func TestAHomeNeverGrantsMoreThanTheLimits(t *testing.T) {
+func TestHomeGrantsStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Rate: rapid.Float64Range(0.5, 50).Draw(t, "rate"), Concurrency: rapid.IntRange(1, 20).Draw(t, "slots")}
 		home, now, granted, returned := NewHome(epoch.Add(-time.Hour)), epoch, 0, 0
@@ -48,17 +48,17 @@
 				}
 			}
 			if total > limits.Concurrency {
-				t.Fatalf("%d slots leased, limit %d", total, limits.Concurrency)
+				t.Fatalf("%d slots leased; limit is %d", total, limits.Concurrency)
 			}
-			allowed := limits.Rate*now.Sub(epoch).Seconds() + max(minBurst, limits.Rate*burstTime.Seconds())
+			allowed := limits.Rate*now.Sub(epoch).Seconds() + max(minBurst, limits.Rate*burstWindow.Seconds())
 			if float64(granted-returned) > allowed+1e-6 {
-				t.Fatalf("%d tokens granted and %d returned in %v at %v a second", granted, returned, now.Sub(epoch), limits.Rate)
+				t.Fatalf("%d tokens granted and %d returned in %v at %v per second", granted, returned, now.Sub(epoch), limits.Rate)
 			}
 		}
 	})
 }
 
-func TestLocalSharesSumUpToTheLimit(t *testing.T) {
+func TestLocalSlotsSumToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 400).Draw(t, "entries")
 		limits := Limits{Rate: 7, Concurrency: rapid.IntRange(1, 1000).Draw(t, "slots")}
@@ -67,77 +67,79 @@
 			slots += LocalSlots(limits, entries, rank)
 		}
 		if slots != limits.Concurrency {
-			t.Fatalf("local shares sum up to %d slots of %d", slots, limits.Concurrency)
+			t.Fatalf("local shares sum to %d slots, want %d", slots, limits.Concurrency)
 		}
 	})
 }
 
-func TestAnEntryAloneUsesTheWholeLimitAndNoMore(t *testing.T) {
+func TestSingleEntryUsesFullRateAndNoMore(t *testing.T) {
 	limits := Limits{Rate: 20, Concurrency: 1000}
 	home, local, admitted := NewHome(epoch.Add(-time.Hour)), &Local{}, 0
 	for step := range 10_000 {
 		now := epoch.Add(time.Duration(step) * time.Millisecond)
-		verdict, _ := local.TryAdmit(now, limits, 0)
-		if verdict == NeedsLease {
+		decision, _ := local.TryAdmit(now, limits, 0)
+		if decision == NeedsLease {
 			local.ApplyGrant(now, home.Ask(now, limits, 1, local.Ask(now, "org", "entry", 1)))
-			verdict, _ = local.TryAdmit(now, limits, maxAsks)
+			decision, _ = local.TryAdmit(now, limits, maxLeaseRequests)
 		}
-		if verdict == Admitted {
+		if decision == Admitted {
 			admitted++
 			local.Release()
 		}
 	}
 	if admitted < 180 || admitted > 220 {
-		t.Fatalf("admitted %d in 10 s at 20 a second", admitted)
+		t.Fatalf("admitted %d requests in 10 s at 20 per second", admitted)
 	}
 }
 
-func TestWithoutTheHomeAnEntryKeepsToItsPart(t *testing.T) {
+func TestAdmitLocallyKeepsToEntryShare(t *testing.T) {
 	limits, local, admitted := Limits{Rate: 100, Concurrency: 10}, &Local{}, 0
 	for step := range 10_000 {
 		now := epoch.Add(time.Duration(step) * time.Millisecond)
-		verdict, err := local.AdmitLocally(now, limits, 10, 3)
-		if verdict == Admitted {
+		decision, err := local.AdmitLocally(now, limits, 10, 3)
+		if decision == Admitted {
 			admitted++
 			local.Release()
 		} else if err.RetryAfter <= 0 {
-			t.Fatal("a refusal does not say when to come back")
+			t.Fatal("refusal has no RetryAfter")
 		}
 	}
 	if admitted < 90 || admitted > 110 {
-		t.Fatalf("admitted %d in 10 s at a tenth of 100 a second", admitted)
+		t.Fatalf("admitted %d requests in 10 s at a tenth of 100 per second", admitted)
 	}
 }
 
-// A home that follows another is careful while leases of the other may last.
-func TestANewHomeIsCarefulAtFirst(t *testing.T) {
+// A new home limits each entry to its part of the slots while leases of the former
+// home may still be valid.
+func TestNewHomeRestrictsSlotsWhileOldLeasesMayLast(t *testing.T) {
 	limits, home := Limits{Concurrency: 10}, NewHome(epoch)
 	for entry := range 5 {
 		if grant := home.Ask(epoch, limits, 5, Ask{Org: "org", Entry: fmt.Sprint(entry), Slots: 6}); grant.Slots > 2 {
-			t.Fatalf("entry %d got %d slots of 10 at once", entry, grant.Slots)
+			t.Fatalf("entry %d got %d of 10 slots at once, want at most 2", entry, grant.Slots)
 		}
 	}
 	later := epoch.Add(SlotTTL)
 	if grant := home.Ask(later, limits, 5, Ask{Org: "org", Entry: "0", Slots: 6}); grant.Slots != 6 {
-		t.Fatalf("got %d slots", grant.Slots)
+		t.Fatalf("got %d slots after the old leases expired, want 6", grant.Slots)
 	}
 }
 
-func TestAnAccountIsForgottenOnlyWhenItsBurstIsSavedUp(t *testing.T) {
+func TestDropIdleKeepsAccountUntilBurstIsSavedUp(t *testing.T) {
 	limits, home := Limits{Rate: 0.1}, NewHome(epoch.Add(-time.Hour))
 	ask := Ask{Org: "org", Entry: "0", Want: 20}
 	if grant := home.Ask(epoch, limits, 1, ask); grant.Tokens != minBurst {
-		t.Fatalf("got %d tokens at first", grant.Tokens)
+		t.Fatalf("got %d tokens in the first grant", grant.Tokens)
 	}
 	later := epoch.Add(2 * SlotTTL)
 	home.DropIdle(later)
 	if grant := home.Ask(later, limits, 1, ask); grant.Tokens > 2 {
-		t.Fatalf("got %d tokens after %v at 0.1 a second", grant.Tokens, 2*SlotTTL)
+		t.Fatalf("got %d tokens after %v at 0.1 per second", grant.Tokens, 2*SlotTTL)
 	}
 }
 
-// A large organisation far below its limit is not refused when its home moves.
-func TestALargeOrganisationIsServedByANewHomeAtOnce(t *testing.T) {
+// An organisation that is far below a large limit is not refused when its home
+// changes.
+func TestNewHomeServesLargeOrganisationAtOnce(t *testing.T) {
 	limits, home, now := Limits{Rate: 10_000, Concurrency: 10_000}, NewHome(epoch), epoch
 	for request := range 100 {
 		grant := home.Ask(now, limits, 3, Ask{Org: "org", Entry: "0", Want: 1, Slots: request + 1, InUse: request})
--- a/policy/view/view.go
+++ b/policy/view/view.go
@@ -1,5 +1,5 @@
 // Package view reduces what a process knows about the configuration: the
-// snapshot in force, the newest revision heard of, and the latest time at
+// snapshot in force, the newest revision known to exist, and the latest time at
 // which the snapshot in force was known to be the newest accepted one.
 //
 // Invariant: the revision in force never decreases.
@@ -13,83 +13,80 @@
 )
 
 const (
-	// EntryPollAfter is the age of an entry's knowledge at which it reads the
+	// EntryPollAfter is the age of State.CurrentAt at which an entry reads the
 	// table service.
 	EntryPollAfter = 1500 * time.Millisecond
-	// AgentPollAfter is the same for an agent; it hears from entries before.
+	// AgentPollAfter is the same for an agent. It is longer because an agent
+	// normally learns from entries first.
 	AgentPollAfter = 3 * time.Second
 
-	pollJitter      = 500 * time.Millisecond
-	behindRetry     = 200 * time.Millisecond
-	maxBehindRetry  = 3 * time.Second
-	maxRetryDoubles = 4
-	outageRetry     = 2500 * time.Millisecond
+	pollJitter          = 500 * time.Millisecond
+	behindRetryDelay    = 200 * time.Millisecond
+	maxBehindRetryDelay = 3 * time.Second
+	maxRetryDoublings   = 4
+	outageRetryDelay    = 2500 * time.Millisecond
 )
 
 // State is what a process knows about the configuration.
 type State struct {
 	InForce      *config.Snapshot // Nil until the first snapshot is installed.
-	RevisionSeen uint64           // Newest revision heard of.
+	RevisionSeen uint64           // Newest revision known to exist.
 	// CurrentAt is the latest known start of a read of the table service, of
 	// this process or another, that showed InForce as the newest.
 	CurrentAt time.Time
-	PollAfter time.Duration // Age of CurrentAt at which to read the store.
+	PollAfter time.Duration // Age of CurrentAt at which to read the table service.
 
 	Fetching  bool
 	NextFetch time.Time
-	Failures  int // Fetches that failed in a row.
+	Failures  int // Consecutive failed fetches.
 }
 
-// RevisionSeen tells that a peer has the revision in force.
+// RevisionSeen reports the revision that a peer has in force.
 type RevisionSeen struct{ Revision uint64 }
 
-// EventName implements reduce.Event.
 func (RevisionSeen) EventName() string { return "view.heard" }
 
-// Fetched brings a snapshot, read from the store or from a peer.
+// Fetched delivers a snapshot that was read from the table service or received
+// from a peer.
 type Fetched struct{ Snapshot *config.Snapshot }
 
-// EventName implements reduce.Event.
 func (Fetched) EventName() string { return "view.fetched" }
 
-// StoreRead tells the newest accepted revision according to a read of the
-// table service that began at the time.
+// StoreRead reports the newest accepted revision according to a read of the
+// table service that began at BeganAt.
 type StoreRead struct {
 	Revision uint64
 	BeganAt  time.Time
 }
 
-// EventName implements reduce.Event.
 func (StoreRead) EventName() string { return "view.store_read" }
 
 // FetchDone ends a Fetch.
 type FetchDone struct{ Failed bool }
 
-// EventName implements reduce.Event.
 func (FetchDone) EventName() string { return "view.fetch_done" }
 
-// ExchangeAnswered is a peer's answer to an exchange that this process began at the time.
-// Messages that the peer sent by itself are no ExchangeAnswered: their age is unknown.
+// ExchangeAnswered is a peer's answer to an exchange that this process began at
+// BeganAt. It is not used for messages that a peer sends unasked, since their
+// age is unknown.
 type ExchangeAnswered struct {
 	Peer       string
 	DataCentre string
-	Revision   uint64 // In force at the peer, 0 for none.
+	Revision   uint64 // Revision in force at the peer, 0 for none.
 	BeganAt    time.Time
-	Current    bool          // The peer knows when its revision was the newest.
-	Age        time.Duration // Time since then, at the peer's answer.
-	Started    bool          // The peer's start-up bit.
+	Current    bool          // Whether the peer knows when its revision was the newest.
+	Age        time.Duration // Time since then, when the peer answered.
+	Started    bool          // The peer's evidence.State.Started.
 }
 
-// EventName implements reduce.Event.
 func (ExchangeAnswered) EventName() string { return "view.met" }
 
-// Fetch asks for the newest snapshot; the answer is any number of Fetched and
-// StoreRead, then one FetchDone.
+// Fetch requests the newest snapshot. It is answered by any number of Fetched
+// and StoreRead events, then one FetchDone.
 type Fetch struct {
-	PeersFirst bool // A peer has it: spare the store.
+	PeersFirst bool // A peer has the newer snapshot: ask peers first to reduce load on the table service.
 }
 
-// EffectName implements reduce.Effect.
 func (Fetch) EffectName() string { return "view.fetch" }
 
 // Step reduces one input.
@@ -100,11 +97,11 @@
 	case Fetched:
 		state = install(state, event.Snapshot)
 	case StoreRead:
-		state = current(state, event.Revision, event.BeganAt)
+		state = markCurrent(state, event.Revision, event.BeganAt)
 	case ExchangeAnswered:
-		state = meet(state, event)
+		state = applyExchange(state, event)
 	case FetchDone:
-		state = finish(state, event, input)
+		state = finishFetch(state, event, input)
 	case reduce.Tick:
 	default:
 		return state, nil
@@ -121,10 +118,10 @@
 	return state
 }
 
-// current takes in that the revision was the newest at the time. The time is
-// kept when a newer revision is installed: nothing newer than that one was
-// accepted by then either.
-func current(state State, revision uint64, at time.Time) State {
+// markCurrent records that the revision was the newest one at the given time.
+// CurrentAt remains valid when a newer revision is installed: nothing newer
+// than that revision had been accepted by then either.
+func markCurrent(state State, revision uint64, at time.Time) State {
 	state.RevisionSeen = max(state.RevisionSeen, revision)
 	if revision == state.Revision() && revision > 0 && at.After(state.CurrentAt) {
 		state.CurrentAt = at
@@ -132,9 +129,9 @@
 	return state
 }
 
-func meet(state State, event ExchangeAnswered) State {
+func applyExchange(state State, event ExchangeAnswered) State {
 	if event.Current {
-		return current(state, event.Revision, event.BeganAt.Add(-event.Age))
+		return markCurrent(state, event.Revision, event.BeganAt.Add(-event.Age))
 	}
 	state.RevisionSeen = max(state.RevisionSeen, event.Revision)
 	return state
@@ -148,13 +145,16 @@
 	return s.InForce.Revision
 }
 
-// Behind reports whether a newer revision than the one in force is known.
+// Behind reports whether a revision newer than the one in force is known.
 func (s State) Behind() bool { return s.RevisionSeen > s.Revision() }
 
 // Age returns the time since the snapshot in force was known to be the newest.
 func (s State) Age(now time.Time) time.Duration { return now.Sub(s.CurrentAt) }
 
-func finish(state State, event FetchDone, input reduce.Input) State {
+// finishFetch schedules the next fetch: with exponential backoff while the
+// process is behind or has no snapshot, and at a fixed delay otherwise, each
+// with jitter.
+func finishFetch(state State, event FetchDone, input reduce.Input) State {
 	state.Fetching = false
 	if !event.Failed {
 		state.Failures = 0
@@ -162,11 +162,11 @@
 		return state
 	}
 	state.Failures++
-	wait := outageRetry
+	delay := outageRetryDelay
 	if state.Behind() || state.InForce == nil {
-		wait = min(behindRetry<<min(state.Failures, maxRetryDoubles), maxBehindRetry)
+		delay = min(behindRetryDelay<<min(state.Failures, maxRetryDoublings), maxBehindRetryDelay)
 	}
-	state.NextFetch = input.Now.Add(wait + jitter(input.Random, wait))
+	state.NextFetch = input.Now.Add(delay + jitter(input.Random, delay))
 	return state
 }
 
--- a/policy/view/view_test.go
+++ b/policy/view/view_test.go
@@ -20,12 +20,12 @@
 	os.Exit(m.Run())
 }
 
-// TestStepMachine feeds events in any order, repeated and late. The oracle:
-// the store's history of accepted revisions with the times of acceptance.
+// TestStepMachine feeds events in any order, duplicated and delayed. It compares
+// the state with the history of accepted revisions and their times of acceptance.
 func TestStepMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000, 0)
-		acceptedAt := []time.Time{now} // By revision, from 0.
+		acceptedAt := []time.Time{now} // Indexed by revision, from 0.
 		state := State{PollAfter: AgentPollAfter}
 		outstanding := false
 		highest := uint64(0)
@@ -44,24 +44,24 @@
 			state, effects = Step(state, reduce.Input{Now: now, Random: rapid.Uint64().Draw(t, "random"), Event: event})
 			for _, effect := range effects {
 				if _, ok := effect.(Fetch); ok && outstanding {
-					t.Fatal("two fetches at a time")
+					t.Fatal("second fetch requested while one is outstanding")
 				} else if ok {
 					outstanding = true
 				}
 			}
 			highest = max(highest, installs)
 			if state.Revision() < before || state.Revision() != highest {
-				t.Fatalf("revision %d in force after %d; the highest received is %d", state.Revision(), before, highest)
+				t.Fatalf("revision in force = %d after %d; highest received = %d", state.Revision(), before, highest)
 			}
 			if state.Revision() > 0 && state.Revision() < newest && state.CurrentAt.After(acceptedAt[state.Revision()+1]) {
-				t.Fatalf("revision %d counts as newest at %v, but the next was accepted at %v", state.Revision(), state.CurrentAt, acceptedAt[state.Revision()+1])
+				t.Fatalf("revision %d taken as the newest at %v, but the next one was accepted at %v", state.Revision(), state.CurrentAt, acceptedAt[state.Revision()+1])
 			}
 		}
 	})
 }
 
-// drawEvent returns an event that a correct store and correct peers could
-// cause, possibly late, and the revision that it installs.
+// drawEvent returns an event that a correct table service and correct peers could
+// cause, possibly delayed, and the revision that it installs.
 func drawEvent(t *rapid.T, now time.Time, acceptedAt []time.Time, outstanding bool) (reduce.Event, uint64) {
 	revision := uint64(rapid.IntRange(0, len(acceptedAt)-1).Draw(t, "revision"))
 	// A time at which the revision was the newest.
@@ -91,7 +91,7 @@
 }
 
 func TestPolling(t *testing.T) {
-	Convey("Given an agent that knows its configuration to be current", t, func() {
+	Convey("Given an agent that knows that its configuration is current", t, func() {
 		now := time.Unix(1_000, 0)
 		state := State{PollAfter: AgentPollAfter}
 		step := func(event reduce.Event) []reduce.Effect {
@@ -104,21 +104,21 @@
 		step(StoreRead{Revision: 1, BeganAt: now})
 		step(FetchDone{})
 
-		Convey("it spares the store while peers tell it so", func() {
+		Convey("it does not read the store while peers confirm it", func() {
 			for range 100 {
 				now = now.Add(time.Second)
 				So(step(ExchangeAnswered{Revision: 1, BeganAt: now, Current: true, Age: 1500 * time.Millisecond}), ShouldBeEmpty)
 			}
 		})
-		Convey("it reads the store when nobody does", func() {
+		Convey("it reads the store when no peer confirms it", func() {
 			now = now.Add(AgentPollAfter)
 			So(step(reduce.Tick{}), ShouldResemble, []reduce.Effect{Fetch{}})
 		})
-		Convey("it asks peers first when it hears of a newer revision", func() {
+		Convey("it asks peers first when a peer has a newer revision", func() {
 			now = now.Add(time.Second)
 			So(step(RevisionSeen{Revision: 2}), ShouldResemble, []reduce.Effect{Fetch{PeersFirst: true}})
 		})
-		Convey("it tries less and less often while it stays behind", func() {
+		Convey("it backs off between failed fetches while it is behind", func() {
 			fetches := 0
 			step(RevisionSeen{Revision: 2})
 			for range 600 {
--- a/policy/wholesystem/message_test.go
+++ b/policy/wholesystem/message_test.go
@@ -7,43 +7,45 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
-// table is the address of the table service.
-const table = -1
+// tableAddress is the address of the table service in message.from and message.to.
+const tableAddress = -1
 
-// kind tells what a message asks or answers.
+// kind is the type of a message.
 type kind int
 
 const (
-	local         kind = iota // An event from beside the process.
-	exchangeAsk               // Tells the sender's revision, asks for the same.
-	exchangeReply             // Its answer, a view.Met.
-	peerAsk                   // Asks a peer for its configuration.
+	localEvent      kind = iota // An event from the process's own host, such as a request or the backend server's progress.
+	exchangeRequest             // Reports the sender's revision and asks for the receiver's.
+	exchangeReply               // The answer, a view.ExchangeAnswered.
+	peerRequest                 // Asks a peer for its configuration.
 	peerReply
-	readAsk // Asks the table for its head.
+	readRequest // Asks the table for its head.
 	readReply
-	submitAsk // Asks the table for a compare-and-set.
+	submitRequest // Asks the table for a compare-and-set.
 	submitReply
-	offer // A configuration that nobody asked for.
+	offer // A configuration sent without a request.
 )
 
-// message is pending in the bag, or waits at a paused process.
+// message is in flight, or deferred at a paused process.
 type message struct {
 	kind     kind
-	from, to int // Index of the process, or table.
-	boot     int // Of the process that asked: it hears no answer to another.
-	began    time.Time
-	fetch    int // Which fetch asked.
+	from, to int // Index of the process, or tableAddress.
+	boot     int // Boot number of the process that asked; answers to an earlier boot are ignored.
+	beganAt  time.Time
+	fetch    int // Number of the fetch that sent the request.
 	revision uint64
 	snapshot *config.Snapshot
 	event    reduce.Event
 	change   change
-	failed   bool // The table is down.
+	failed   bool // The table is unavailable.
 }
 
-// isReply reports whether the message goes back over its asker's connection.
+// isReply reports whether the message is delivered only to the boot that asked for
+// it: replies return over the connection of the request, and local events belong
+// to one boot.
 func (m message) isReply() bool {
 	switch m.kind {
-	case exchangeReply, peerReply, readReply, submitReply, local:
+	case exchangeReply, peerReply, readReply, submitReply, localEvent:
 		return true
 	}
 	return false
--- a/policy/wholesystem/network_test.go
+++ b/policy/wholesystem/network_test.go
@@ -10,67 +10,67 @@
 const fetchPeers = 3 // Peers asked by one fetch.
 
 func (w *world) dataCentre(address int) string {
-	if address == table {
+	if address == tableAddress {
 		return ""
 	}
 	return w.processes[address].self.DataCentre
 }
 
-// isCut reports whether the message can't arrive.
+// isCut reports whether the link that the message uses is cut.
 func (w *world) isCut(m message) bool {
 	from, to := w.dataCentre(m.from), w.dataCentre(m.to)
 	return w.cut[[2]string{min(from, to), max(from, to)}]
 }
 
-// deliver brings the pending message to its receiver unless the link is cut.
+// deliver passes message i to its receiver unless the link is cut.
 func (w *world) deliver(i int) {
-	if w.isCut(w.bag[i]) {
+	if w.isCut(w.inFlight[i]) {
 		return
 	}
-	m := w.drop(i)
-	if m.to == table {
-		w.answer(m)
+	m := w.removeMessage(i)
+	if m.to == tableAddress {
+		w.answerAsTable(m)
 		return
 	}
-	w.take(w.processes[m.to], m)
+	w.receive(w.processes[m.to], m)
 }
 
-// answer is the table's side.
-func (w *world) answer(m message) {
-	reply := message{kind: readReply, from: table, to: m.from, boot: m.boot, began: m.began, fetch: m.fetch, failed: !w.store.up}
-	if m.kind == submitAsk {
+// answerAsTable handles a request at the table and sends the reply.
+func (w *world) answerAsTable(m message) {
+	reply := message{kind: readReply, from: tableAddress, to: m.from, boot: m.boot, beganAt: m.beganAt, fetch: m.fetch, failed: !w.store.up}
+	if m.kind == submitRequest {
 		reply.kind = submitReply
 		if w.store.up {
 			reply.revision = w.store.submit(m.change)
 		}
 		if p := w.processes[m.from]; reply.revision > 0 && p.boot == m.boot {
-			p.unsettled = append(p.unsettled, reply.revision)
+			p.unacknowledged = append(p.unacknowledged, reply.revision)
 		}
 	}
 	reply.snapshot = w.store.head()
 	w.send(reply)
 }
 
-// handle processes a message at a running process.
+// handle processes a message at a process that is not paused.
 func (w *world) handle(p *process, m message) {
 	switch m.kind {
-	case local:
+	case localEvent:
 		w.step(p, m.event)
-	case exchangeAsk:
-		w.hear(p, m.revision)
+	case exchangeRequest:
+		w.observeRevision(p, m.revision)
 		w.send(w.exchangeAnswer(p, m))
 	case exchangeReply:
-		w.hear(p, m.revision)
+		w.observeRevision(p, m.revision)
 		w.step(p, m.event)
-	case peerAsk:
+	case peerRequest:
 		w.send(message{kind: peerReply, from: p.index, to: m.from, boot: m.boot, fetch: m.fetch, snapshot: p.state.View.InForce})
 	case peerReply:
-		w.endPeerRead(p, m)
+		w.finishPeerRead(p, m)
 	case readReply:
-		w.endRead(p, m)
+		w.finishTableRead(p, m)
 	case submitReply:
 		if m.revision > 0 {
-			w.settle(p, m.revision)
+			w.acknowledgeChange(p, m.revision)
 			w.step(p, view.Fetched{Snapshot: m.snapshot})
 			w.offerAll(p)
 		}
@@ -79,7 +79,7 @@
 	}
 }
 
-func (w *world) hear(p *process, revision uint64) {
+func (w *world) observeRevision(p *process, revision uint64) {
 	if revision > p.state.View.Revision() {
 		w.step(p, view.RevisionSeen{Revision: revision})
 	}
@@ -87,68 +87,68 @@
 
 func (w *world) exchangeAnswer(p *process, m message) message {
 	known := p.state.View
-	met := view.ExchangeAnswered{
-		Peer: p.self.ID, DataCentre: p.self.DataCentre, Revision: known.Revision(), BeganAt: m.began,
+	answer := view.ExchangeAnswered{
+		Peer: p.self.ID, DataCentre: p.self.DataCentre, Revision: known.Revision(), BeganAt: m.beganAt,
 		Current: !known.CurrentAt.IsZero(), Started: p.state.Evidence.Started,
 	}
-	if met.Current {
-		met.Age = known.Age(w.now)
+	if answer.Current {
+		answer.Age = known.Age(w.now)
 	}
-	return message{kind: exchangeReply, from: p.index, to: m.from, boot: m.boot, revision: met.Revision, event: met}
+	return message{kind: exchangeReply, from: p.index, to: m.from, boot: m.boot, revision: answer.Revision, event: answer}
 }
 
-func (w *world) endPeerRead(p *process, m message) {
+func (w *world) finishPeerRead(p *process, m message) {
 	if m.snapshot == nil {
 		return
 	}
 	newer := m.snapshot.Revision > p.state.View.Revision()
 	w.step(p, view.Fetched{Snapshot: m.snapshot})
 	if newer {
-		w.endFetch(p, m.fetch, false)
+		w.finishFetch(p, m.fetch, false)
 	}
 }
 
-// endRead takes in the table's head, which also settles changes whose answers
-// were lost.
-func (w *world) endRead(p *process, m message) {
+// finishTableRead applies the table's head, which also acknowledges changes whose
+// answers were lost.
+func (w *world) finishTableRead(p *process, m message) {
 	if !m.failed {
 		w.step(p, view.Fetched{Snapshot: m.snapshot})
-		w.step(p, view.StoreRead{Revision: m.snapshot.Revision, BeganAt: m.began})
-		for _, revision := range append([]uint64(nil), p.unsettled...) {
+		w.step(p, view.StoreRead{Revision: m.snapshot.Revision, BeganAt: m.beganAt})
+		for _, revision := range append([]uint64(nil), p.unacknowledged...) {
 			if revision <= m.snapshot.Revision {
-				w.settle(p, revision)
+				w.acknowledgeChange(p, revision)
 			}
 		}
 	}
-	w.endStoreRead(p, m.fetch, m.failed)
+	w.finishTableFetch(p, m.fetch, m.failed)
 }
 
-// endStoreRead ends the fetch; where the table failed, peers are asked too.
-func (w *world) endStoreRead(p *process, fetch int, failed bool) {
-	if failed && p.fetching && fetch == p.fetches {
+// finishTableFetch ends the fetch; if the table failed, peers are asked as well.
+func (w *world) finishTableFetch(p *process, fetch int, failed bool) {
+	if failed && p.fetching && fetch == p.lastFetchID {
 		w.askPeers(p)
 	}
-	w.endFetch(p, fetch, failed)
+	w.finishFetch(p, fetch, failed)
 }
 
-func (w *world) endFetch(p *process, fetch int, failed bool) {
-	if p.fetching && fetch == p.fetches {
+func (w *world) finishFetch(p *process, fetch int, failed bool) {
+	if p.fetching && fetch == p.lastFetchID {
 		p.fetching = false
 		w.step(p, view.FetchDone{Failed: failed})
 	}
 }
 
-// settle tells the operator that the change is accepted.
-func (w *world) settle(p *process, revision uint64) {
+// acknowledgeChange tells the operator that the change was accepted.
+func (w *world) acknowledgeChange(p *process, revision uint64) {
 	w.counts.accepted++
-	w.store.tell(revision, w.now)
-	left := p.unsettled[:0]
-	for _, other := range p.unsettled {
+	w.store.acknowledge(revision, w.now)
+	left := p.unacknowledged[:0]
+	for _, other := range p.unacknowledged {
 		if other != revision {
 			left = append(left, other)
 		}
 	}
-	p.unsettled = left
+	p.unacknowledged = left
 }
 
 func (w *world) offerAll(p *process) {
@@ -173,12 +173,11 @@
 	}
 }
 
-// fetch asks the table, and some peers at once where these are to be asked
-// first.
+// fetch asks the table and, if peersFirst is set, some peers at the same time.
 func (w *world) fetch(p *process, peersFirst bool) {
-	p.fetches++
-	p.fetching, p.fetchFrom = true, w.now
-	w.send(message{kind: readAsk, from: p.index, to: table, boot: p.boot, began: w.now, fetch: p.fetches})
+	p.lastFetchID++
+	p.fetching, p.fetchBeganAt = true, w.now
+	w.send(message{kind: readRequest, from: p.index, to: tableAddress, boot: p.boot, beganAt: w.now, fetch: p.lastFetchID})
 	if peersFirst {
 		w.askPeers(p)
 	}
@@ -186,27 +185,28 @@
 
 func (w *world) askPeers(p *process) {
 	for range fetchPeers {
-		if peer := w.pick(p, ""); peer != nil {
-			w.send(message{kind: peerAsk, from: p.index, to: peer.index, boot: p.boot, fetch: p.fetches})
+		if peer := w.pickPeer(p, ""); peer != nil {
+			w.send(message{kind: peerRequest, from: p.index, to: peer.index, boot: p.boot, fetch: p.lastFetchID})
 		}
 	}
 }
 
-// exchange asks one peer in each data centre, any one for none.
+// exchange asks one peer in each of the data centres, or one peer anywhere if none
+// is given.
 func (w *world) exchange(p *process, names []string) {
 	if len(names) == 0 {
 		names = []string{""}
 	}
 	for _, name := range names {
-		if peer := w.pick(p, name); peer != nil {
-			w.send(message{kind: exchangeAsk, from: p.index, to: peer.index, boot: p.boot, began: w.now, revision: p.state.View.Revision()})
+		if peer := w.pickPeer(p, name); peer != nil {
+			w.send(message{kind: exchangeRequest, from: p.index, to: peer.index, boot: p.boot, beganAt: w.now, revision: p.state.View.Revision()})
 		}
 	}
 }
 
-// pick returns a peer in the data centre, anywhere for "": an entry where there
-// is one; nil for none.
-func (w *world) pick(p *process, dataCentre string) *process {
+// pickPeer returns a random peer in the data centre, or in any data centre for "".
+// It prefers entries to agents and returns nil if there is no peer.
+func (w *world) pickPeer(p *process, dataCentre string) *process {
 	var entries, agents []*process
 	for _, other := range w.processes {
 		switch {
@@ -223,5 +223,5 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	return entries[w.next()%uint64(len(entries))]
+	return entries[w.nextRandom()%uint64(len(entries))]
 }
--- a/policy/wholesystem/returned_test.go
+++ b/policy/wholesystem/returned_test.go
@@ -2,33 +2,35 @@
 
 import "testing"
 
-// A data centre is returned, which the others don't hear, since the answer is
-// lost and the links are cut; at once another one is taken out through it, and
-// the table goes down. To those who lack the return it is no needed witness.
+// Data centre b is returned, but the other data centres don't learn of it because
+// the answer is lost and the links are cut. Right after that, data centre a is
+// taken out through b and the table goes down. Processes that lack the return don't
+// require a contact in b as evidence, so an agent in a can start work although its
+// data centre has been taken out.
 func TestTakeOutThroughADataCentreJustReturned(t *testing.T) {
 	if !*knownRedFlag {
 		t.Skip("listed in KNOWN-RED.txt; run it with -wholesystem.known-red")
 	}
 	w := newWorld(3, 3, 1, 0, new(counts))
 	w.warmUp(10)
-	w.apply(w.processes[0], "b", true)
-	w.pass(40, true)
-	w.apply(w.processes[2], "b", false)
-	w.loseAnswer()
+	w.submitChange(w.processes[0], "b", true)
+	w.advance(40, true)
+	w.submitChange(w.processes[2], "b", false)
+	w.loseSubmitReply()
 	for _, pair := range [][2]string{{"", "a"}, {"", "c"}, {"a", "b"}, {"b", "c"}} {
 		w.cut[pair] = true
 	}
-	w.pass(40, true)
-	w.apply(w.processes[1], "a", true)
-	w.pass(2, true)
-	if last := w.store.revisions[len(w.store.revisions)-1]; !last.told || !last.snapshot.DataCentres["a"].TakenOut {
-		t.Fatal("the take-out was not accepted")
+	w.advance(40, true)
+	w.submitChange(w.processes[1], "a", true)
+	w.advance(2, true)
+	if last := w.store.revisions[len(w.store.revisions)-1]; !last.acknowledged || !last.snapshot.DataCentres["a"].TakenOut {
+		t.Fatal("take-out of data centre a was not accepted")
 	}
 	w.store.up = false
-	w.pass(105, true)
-	w.ask(w.processes[3], 2)
-	w.pass(2, true)
-	if w.fault != nil {
-		t.Fatal(w.fault)
+	w.advance(105, true)
+	w.sendRequests(w.processes[3], 2)
+	w.advance(2, true)
+	if w.violation != nil {
+		t.Fatal(w.violation)
 	}
 }
--- a/policy/wholesystem/server_test.go
+++ b/policy/wholesystem/server_test.go
@@ -12,74 +12,77 @@
 const (
 	fullLimit = 8
 	coldLimit = 2
-	warmAfter = 4 // Completed pieces of work until a cold backend server is warm.
+	warmAfter = 4 // Completed work items until a cold backend server is warm.
 
-	warmFirst = 40 * time.Millisecond  // Until the first piece.
-	coldFirst = 600 * time.Millisecond // The same in cold start.
-	maxReport = 64                     // Load reports kept.
+	warmFirstOutput = 40 * time.Millisecond  // Time until the first output.
+	coldFirstOutput = 600 * time.Millisecond // Time until the first output in cold start.
+	maxReport       = 64                     // Load reports kept.
 )
 
-// piece is one piece of work at a backend server.
-type piece struct {
-	ticket        uint64
-	boot          int // Of the agent that started it.
-	turn          int // Cold turns before its start.
-	cold, begun   bool
-	first, finish time.Time
+// workItem is one request in flight at a backend server.
+type workItem struct {
+	ticket                  uint64
+	boot                    int // Boot number of the agent that started it.
+	coldPeriod              int // Value of server.coldPeriods at its start.
+	cold, begun             bool
+	firstOutputAt, finishAt time.Time
 }
 
-// server is a backend server. It counts as the stand-in engine does: work
-// started while cold, since the last cold turn, may not exceed the cold limit.
+// server simulates a backend server. It counts like the stand-in engine: the work
+// started while cold, since the last cold period began, may not exceed the cold
+// limit.
 type server struct {
-	cold      bool
-	turns     int
-	completed int
-	work      []piece
-	reports   []admission.Reported
+	cold        bool
+	coldPeriods int
+	completed   int
+	work        []workItem
+	reports     []admission.Reported
 }
 
 func (s *server) coldRunning() int {
 	count := 0
 	for _, p := range s.work {
-		if p.cold && p.turn == s.turns {
+		if p.cold && p.coldPeriod == s.coldPeriods {
 			count++
 		}
 	}
 	return count
 }
 
-func (s *server) turnCold() {
+func (s *server) startColdPeriod() {
 	s.cold, s.completed = true, 0
-	s.turns++
+	s.coldPeriods++
 }
 
-// submit starts work; it fails where a cold backend server would fall over.
-func (s *server) submit(ticket uint64, boot int, now time.Time, lasts time.Duration) error {
+// submit starts work. It returns an error if a cold backend server would be
+// overloaded.
+func (s *server) submit(ticket uint64, boot int, now time.Time, duration time.Duration) error {
 	if running := s.coldRunning(); s.cold && running >= coldLimit {
-		return fmt.Errorf("work started at a cold backend server that runs %d, of at most %d", running, coldLimit)
+		return fmt.Errorf("work started at a cold backend server that already runs %d, limit is %d", running, coldLimit)
 	}
-	first := now.Add(warmFirst)
+	firstOutputAt := now.Add(warmFirstOutput)
 	if s.cold {
-		first = now.Add(coldFirst)
+		firstOutputAt = now.Add(coldFirstOutput)
 	}
-	s.work = append(s.work, piece{ticket: ticket, boot: boot, turn: s.turns, cold: s.cold, first: first, finish: first.Add(lasts)})
+	s.work = append(s.work, workItem{ticket: ticket, boot: boot, coldPeriod: s.coldPeriods, cold: s.cold, firstOutputAt: firstOutputAt, finishAt: firstOutputAt.Add(duration)})
 	return nil
 }
 
-// advance returns what the agent of that boot hears by now.
+// advance moves the work on to now and returns the events for the agent of that
+// boot.
 func (s *server) advance(boot int, now time.Time) []reduce.Event {
 	var events []reduce.Event
 	for i := range s.work {
 		p := &s.work[i]
-		if !p.begun && !now.Before(p.first) {
+		if !p.begun && !now.Before(p.firstOutputAt) {
 			p.begun = true
 			if p.boot == boot {
 				events = append(events, admission.Begun{Ticket: p.ticket})
 			}
 		}
 	}
-	s.work = slices.DeleteFunc(s.work, func(p piece) bool {
-		if now.Before(p.finish) {
+	s.work = slices.DeleteFunc(s.work, func(p workItem) bool {
+		if now.Before(p.finishAt) {
 			return false
 		}
 		if s.completed++; s.completed >= warmAfter {
@@ -95,7 +98,7 @@
 	return events
 }
 
-// load returns the report of the moment that lies the lag back.
+// load returns the newest load report that is at least lag old, or the oldest one.
 func (s *server) load(now time.Time, lag time.Duration) admission.Reported {
 	visible := s.reports[0]
 	for _, report := range s.reports {
--- a/policy/wholesystem/wholesystem_test.go
+++ b/policy/wholesystem/wholesystem_test.go
@@ -1,5 +1,5 @@
-// Package wholesystem drives the control states of entries and agents together
-// through faults, against one oracle; see docs/design/whole-system-fuzz.md.
+// Package wholesystem tests the control states of entries and agents together
+// under injected faults, against one oracle; see docs/design/whole-system-fuzz.md.
 package wholesystem
 
 import (
@@ -18,7 +18,7 @@
 	seedFlag   = flag.Uint64("wholesystem.seed", 0, "run this seed alone")
 	seedsFlag  = flag.Uint64("wholesystem.seeds", 5, "run the seeds from 1 to this one")
 	checksFlag = flag.Int("wholesystem.checks", 20, "runs of each seed")
-	// knownRedFlag adds the check that is listed in KNOWN-RED.txt.
+	// knownRedFlag enables the check that is listed in KNOWN-RED.txt.
 	knownRedFlag = flag.Bool("wholesystem.known-red", false, "check too that a restarted process installs no lower revision than it had")
 )
 
@@ -28,9 +28,10 @@
 	os.Exit(m.Run())
 }
 
-const maxActions = 400 // Of one run; small numbers are drawn more often.
+const maxActions = 400 // Per run; rapid draws small numbers more often.
 
-// actions names what rapid draws; repeated names are drawn more often.
+// actions lists the actions that rapid draws from; a repeated name is drawn more
+// often.
 var actions = []string{
 	"pass", "pass", "pass", "pass", "flow", "flow", "flow", "long", "long",
 	"ask", "ask", "ask", "ask", "deliver", "deliver", "drop", "duplicate", "lose answer",
@@ -50,7 +51,7 @@
 			_ = flag.Set("rapid.checks", fmt.Sprint(*checksFlag))
 			t.Cleanup(func() {
 				if t.Failed() {
-					t.Logf("repeat with: go test ./policy/wholesystem -run '^TestWholeSystem$' -wholesystem.seed=%d -wholesystem.checks=%d -wholesystem.known-red=%t", seed, *checksFlag, *knownRedFlag)
+					t.Logf("reproduce with: go test ./policy/wholesystem -run '^TestWholeSystem$' -wholesystem.seed=%d -wholesystem.checks=%d -wholesystem.known-red=%t", seed, *checksFlag, *knownRedFlag)
 				}
 			})
 			rapid.Check(t, func(t *rapid.T) { run(t, &total) })
@@ -67,19 +68,19 @@
 	for range rapid.IntRange(1, maxActions).Draw(t, "actions") {
 		total.actions++
 		w.act(t, rapid.SampledFrom(actions).Draw(t, "action"))
-		if w.fault != nil {
-			t.Fatal(w.fault)
+		if w.violation != nil {
+			t.Fatal(w.violation)
 		}
 	}
 }
 
-// warmUp serves until the backend servers may be warm.
+// warmUp serves requests until the backend servers may be warm.
 func (w *world) warmUp(rounds int) {
 	for range rounds {
-		w.pass(4, true)
+		w.advance(4, true)
 		for _, p := range w.processes {
 			if p.server != nil {
-				w.ask(p, 4)
+				w.sendRequests(p, 4)
 			}
 		}
 	}
@@ -88,13 +89,13 @@
 func (w *world) act(t *rapid.T, action string) {
 	switch action {
 	case "pass":
-		w.pass(rapid.IntRange(1, 10).Draw(t, "ticks"), false)
+		w.advance(rapid.IntRange(1, 10).Draw(t, "ticks"), false)
 	case "flow":
-		w.pass(rapid.IntRange(1, 20).Draw(t, "ticks"), true)
+		w.advance(rapid.IntRange(1, 20).Draw(t, "ticks"), true)
 	case "long":
-		w.pass(rapid.IntRange(90, 130).Draw(t, "ticks"), rapid.Bool().Draw(t, "flow"))
+		w.advance(rapid.IntRange(90, 130).Draw(t, "ticks"), rapid.Bool().Draw(t, "flow"))
 	case "ask":
-		w.ask(w.drawAgent(t), rapid.IntRange(1, 8).Draw(t, "requests"))
+		w.sendRequests(w.drawAgent(t), rapid.IntRange(1, 8).Draw(t, "requests"))
 	case "deliver", "drop", "duplicate", "lose answer":
 		w.actOnMessage(t, action)
 	case "take out", "return", "race":
@@ -108,39 +109,39 @@
 			w.cut[[2]string{min(one, two), max(one, two)}] = action == "cut"
 		}
 	case "cold":
-		w.counts.coldTurns++
-		w.drawAgent(t).server.turnCold()
+		w.counts.coldPeriods++
+		w.drawAgent(t).server.startColdPeriod()
 	case "leave":
 		p := w.drawAgent(t)
-		w.take(p, message{kind: local, boot: p.boot, event: control.Leave{}})
+		w.receive(p, message{kind: localEvent, boot: p.boot, event: control.Leave{}})
 	default:
 		w.actOnProcess(t, action)
 	}
 }
 
 func (w *world) actOnMessage(t *rapid.T, action string) {
-	if len(w.bag) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.bag)-1).Draw(t, "message")
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message")
 	switch action {
 	case "deliver":
 		w.deliver(i)
 	case "drop":
-		w.drop(i)
+		w.removeMessage(i)
 	case "duplicate":
-		w.send(w.bag[i])
+		w.send(w.inFlight[i])
 	case "lose answer":
-		w.loseAnswer()
+		w.loseSubmitReply()
 	}
 }
 
-// loseAnswer loses the answer to a change after its write took effect.
-func (w *world) loseAnswer() {
-	for i, m := range w.bag {
-		if m.kind == submitAsk && !w.isCut(m) {
+// loseSubmitReply drops the answer to a change after its write took effect.
+func (w *world) loseSubmitReply() {
+	for i, m := range w.inFlight {
+		if m.kind == submitRequest && !w.isCut(m) {
 			w.deliver(i)
-			w.drop(len(w.bag) - 1)
+			w.removeMessage(len(w.inFlight) - 1)
 			return
 		}
 	}
@@ -148,14 +149,14 @@
 
 func (w *world) actAsOperator(t *rapid.T, action string) {
 	dataCentre := rapid.SampledFrom(dataCentres).Draw(t, "data centre")
-	w.apply(w.drawEntry(t), dataCentre, action != "return")
+	w.submitChange(w.drawEntry(t), dataCentre, action != "return")
 	if action == "race" {
-		w.apply(w.drawEntry(t), rapid.SampledFrom(dataCentres).Draw(t, "data centre"), rapid.Bool().Draw(t, "out"))
+		w.submitChange(w.drawEntry(t), rapid.SampledFrom(dataCentres).Draw(t, "data centre"), rapid.Bool().Draw(t, "out"))
 	}
 }
 
 func (w *world) actOnProcess(t *rapid.T, action string) {
-	p := w.draw(t, func(*process) bool { return true })
+	p := w.drawProcess(t, func(*process) bool { return true })
 	switch action {
 	case "pause":
 		p.paused = true
@@ -169,17 +170,17 @@
 }
 
 func (w *world) drawAgent(t *rapid.T) *process {
-	return w.draw(t, func(p *process) bool { return p.server != nil })
+	return w.drawProcess(t, func(p *process) bool { return p.server != nil })
 }
 
 func (w *world) drawEntry(t *rapid.T) *process {
-	return w.draw(t, func(p *process) bool { return p.server == nil })
+	return w.drawProcess(t, func(p *process) bool { return p.server == nil })
 }
 
-func (w *world) draw(t *rapid.T, among func(*process) bool) *process {
+func (w *world) drawProcess(t *rapid.T, match func(*process) bool) *process {
 	var found []*process
 	for _, p := range w.processes {
-		if among(p) {
+		if match(p) {
 			found = append(found, p)
 		}
 	}
--- a/policy/wholesystem/world_test.go
+++ b/policy/wholesystem/world_test.go
@@ -14,51 +14,52 @@
 const (
 	takeOutBound = 5 * time.Second
 	tickEvery    = 50 * time.Millisecond
-	pollEvery    = 2 // Ticks between two readings of a load report.
+	pollEvery    = 2 // Ticks between two reads of a load report.
 	fetchTimeout = 4 * time.Second
 	maxPending   = 400
 )
 
 var dataCentres = []string{"a", "b", "c"}
 
-// process is an entry or an agent with what its executors hold.
+// process is an entry or an agent, with the state that its effect executors keep.
 type process struct {
-	index   int
-	self    control.Self
-	state   control.State
-	server  *server // Agents only.
-	boot    int
-	started time.Time
-	paused  bool
-	waiting []message // Inputs of a paused process.
-	highest uint64    // Revision that it ever had in force.
-
-	fetches   int // Number of the latest fetch.
-	fetching  bool
-	fetchFrom time.Time
-	unsettled []uint64 // Revisions written by its changes whose answers it lacks.
-}
-
-// counts tells what the runs reached.
-type counts struct{ runs, actions, steps, started, refused, accepted, coldTurns, restarts int }
-
-// world is the whole system: every choice in it is drawn or counted.
+	index           int
+	self            control.Self
+	state           control.State
+	server          *server // Set for agents only.
+	boot            int
+	started         time.Time
+	paused          bool
+	deferred        []message // Messages received while paused.
+	highestRevision uint64    // Highest revision that it has ever had in force.
+
+	lastFetchID    int // Number of the latest fetch.
+	fetching       bool
+	fetchBeganAt   time.Time
+	unacknowledged []uint64 // Revisions written by its changes for which the answer has not arrived.
+}
+
+// counts records how often the runs reached each event.
+type counts struct{ runs, actions, steps, started, refused, accepted, coldPeriods, restarts int }
+
+// world is the whole simulated system. Every choice is drawn by rapid or comes from
+// nextRandom, so that a seed reproduces a run.
 type world struct {
 	now       time.Time
 	random    uint64
 	store     store
 	processes []*process
-	bag       []message
-	cut       map[[2]string]bool // Pairs of data centres; "" is the table's.
-	lag       time.Duration      // Of load reports.
+	inFlight  []message
+	cut       map[[2]string]bool // Pairs of data centres; "" stands for the table.
+	reportLag time.Duration      // Delay of load reports.
 	ticks     int
 	tickets   uint64
 	counts    *counts
-	fault     error // The first breach of the oracle.
+	violation error // The first violation found by the oracle.
 }
 
-func newWorld(entries, agents int, random uint64, lag time.Duration, counts *counts) *world {
-	w := &world{now: time.Unix(1_700_000_000, 0), random: random, lag: lag, cut: map[[2]string]bool{}, counts: counts}
+func newWorld(entries, agents int, random uint64, reportLag time.Duration, counts *counts) *world {
+	w := &world{now: time.Unix(1_700_000_000, 0), random: random, reportLag: reportLag, cut: map[[2]string]bool{}, counts: counts}
 	first := &config.Snapshot{Revision: 1, DataCentres: map[string]config.DataCentre{}, BackendServers: map[string]config.BackendServer{}}
 	for _, name := range dataCentres {
 		first.DataCentres[name] = config.DataCentre{Name: name}
@@ -73,7 +74,7 @@
 		}
 		w.add(self, &server{cold: true})
 	}
-	w.store = store{up: true, revisions: []accepted{{snapshot: first}}}
+	w.store = store{up: true, revisions: []acceptedRevision{{snapshot: first}}}
 	return w
 }
 
@@ -81,83 +82,86 @@
 	w.processes = append(w.processes, &process{index: len(w.processes), self: self, state: control.New(self), server: s, started: w.now})
 }
 
-// next returns the next counted random number.
-func (w *world) next() uint64 {
+// nextRandom returns the next number of a deterministic generator (SplitMix64).
+func (w *world) nextRandom() uint64 {
 	w.random += 0x9e3779b97f4a7c15
 	z := (w.random ^ (w.random >> 30)) * 0xbf58476d1ce4e5b9
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
 	return z ^ (z >> 31)
 }
 
-func (w *world) breach(format string, arguments ...any) {
-	if w.fault == nil {
-		w.fault = fmt.Errorf(format, arguments...)
+func (w *world) reportViolation(format string, arguments ...any) {
+	if w.violation == nil {
+		w.violation = fmt.Errorf(format, arguments...)
 	}
 }
 
-// step reduces one event at a running process and carries out the effects.
+// step reduces one event at a process that is not paused and executes the effects.
 func (w *world) step(p *process, event reduce.Event) {
 	w.counts.steps++
 	before := p.state.View.Revision()
 	var effects []reduce.Effect
-	p.state, effects = control.Step(p.state, reduce.Input{Now: w.now, Random: w.next(), Event: event})
+	p.state, effects = control.Step(p.state, reduce.Input{Now: w.now, Random: w.nextRandom(), Event: event})
 	w.checkRevision(p, before)
 	for _, effect := range effects {
 		w.execute(p, effect)
 	}
 }
 
-// checkRevision is the oracle's first line.
+// checkRevision is the oracle's first check: the revision in force never decreases
+// at a process and, with knownRedFlag, not across its restarts either.
 func (w *world) checkRevision(p *process, before uint64) {
 	revision := p.state.View.Revision()
 	if revision < before {
-		w.breach("%s: revision %d in force after %d", p.self.ID, revision, before)
+		w.reportViolation("%s: revision %d in force after %d", p.self.ID, revision, before)
 	}
-	if *knownRedFlag && revision > 0 && revision < p.highest {
-		w.breach("%s: revision %d in force after its restart, %d before", p.self.ID, revision, p.highest)
+	if *knownRedFlag && revision > 0 && revision < p.highestRevision {
+		w.reportViolation("%s: revision %d in force after its restart, %d before", p.self.ID, revision, p.highestRevision)
 	}
-	p.highest = max(p.highest, revision)
+	p.highestRevision = max(p.highestRevision, revision)
 }
 
-// start gives admitted work to the backend server; it holds the oracle's
-// second and third line.
+// start submits admitted work to the backend server. It holds the oracle's other
+// checks: no new work at a leaving agent, none in a data centre that was taken out
+// longer than takeOutBound ago, and no overload of a cold backend server.
 func (w *world) start(p *process, ticket uint64) {
 	w.counts.started++
 	if p.state.Leaving {
-		w.breach("%s started work although it leaves", p.self.ID)
+		w.reportViolation("%s started work while leaving", p.self.ID)
 	}
-	if revision := w.store.overdue(p.self.DataCentre, w.now); revision > 0 {
-		w.breach("%s with revision %d started work more than %v after revision %d took out data centre %q",
+	if revision := w.store.overdueTakeOut(p.self.DataCentre, w.now); revision > 0 {
+		w.reportViolation("%s with revision %d started work more than %v after revision %d took out data centre %q",
 			p.self.ID, p.state.View.Revision(), takeOutBound, revision, p.self.DataCentre)
 	}
-	lasts := time.Duration(w.next()%400) * time.Millisecond
-	if err := p.server.submit(ticket, p.boot, w.now, lasts); err != nil {
-		w.breach("%s: %v", p.self.ID, err)
+	duration := time.Duration(w.nextRandom()%400) * time.Millisecond
+	if err := p.server.submit(ticket, p.boot, w.now, duration); err != nil {
+		w.reportViolation("%s: %v", p.self.ID, err)
 	}
 }
 
-// take hands a message to the process, which answers it at once unless paused.
-func (w *world) take(p *process, m message) {
+// receive passes a message to the process, which handles it at once unless paused.
+func (w *world) receive(p *process, m message) {
 	if m.isReply() && m.boot != p.boot {
 		return
 	}
 	if p.paused {
-		p.waiting = append(p.waiting, m)
+		p.deferred = append(p.deferred, m)
 		return
 	}
 	w.handle(p, m)
 }
 
-// pass lets the time pass, with or without the flow of messages.
-func (w *world) pass(ticks int, flow bool) {
+// advance moves the time on by ticks and, if deliverAll is set, delivers messages after
+// each tick.
+func (w *world) advance(ticks int, deliverAll bool) {
 	for range ticks {
 		w.now = w.now.Add(tickEvery)
 		w.ticks++
 		for _, p := range w.processes {
 			w.tick(p)
 		}
-		if flow {
-			w.flow()
+		if deliverAll {
+			w.deliverAll()
 		}
 	}
 }
@@ -165,80 +169,81 @@
 func (w *world) tick(p *process) {
 	if p.server != nil {
 		for _, event := range p.server.advance(p.boot, w.now) {
-			w.take(p, message{kind: local, boot: p.boot, event: event})
+			w.receive(p, message{kind: localEvent, boot: p.boot, event: event})
 		}
 	}
 	if p.paused {
 		return
 	}
 	if p.server != nil && w.ticks%pollEvery == 0 {
-		report := p.server.load(w.now, w.lag)
+		report := p.server.load(w.now, w.reportLag)
 		report.AgentStarted = p.started
 		w.step(p, report)
 	}
-	if p.fetching && w.now.Sub(p.fetchFrom) >= fetchTimeout {
-		w.endStoreRead(p, p.fetches, true)
+	if p.fetching && w.now.Sub(p.fetchBeganAt) >= fetchTimeout {
+		w.finishTableFetch(p, p.lastFetchID, true)
 	}
 	w.step(p, reduce.Tick{})
 }
 
-// flow delivers what is pending now and can be, in counted order.
-func (w *world) flow() {
-	for range len(w.bag) {
-		if len(w.bag) > 0 {
-			w.deliver(int(w.next() % uint64(len(w.bag))))
+// deliverAll delivers the messages that are in flight now and not on a cut link, in an
+// order that nextRandom determines.
+func (w *world) deliverAll() {
+	for range len(w.inFlight) {
+		if len(w.inFlight) > 0 {
+			w.deliver(int(w.nextRandom() % uint64(len(w.inFlight))))
 		}
 	}
 }
 
-// ask brings callers' requests to the agent.
-func (w *world) ask(p *process, count int) {
+// sendRequests sends callers' requests to the agent.
+func (w *world) sendRequests(p *process, count int) {
 	for range count {
 		w.tickets++
-		w.take(p, message{kind: local, boot: p.boot, event: admission.Asked{Ticket: w.tickets, Org: "o", Deadline: w.now.Add(time.Minute)}})
+		w.receive(p, message{kind: localEvent, boot: p.boot, event: admission.Asked{Ticket: w.tickets, Org: "o", Deadline: w.now.Add(time.Minute)}})
 	}
 }
 
-// restart loses the process's state; what runs at its backend server goes on.
+// restart discards the process's state; work at its backend server continues.
 func (w *world) restart(p *process) {
 	w.counts.restarts++
 	p.boot++
 	p.state, p.started = control.New(p.self), w.now
-	p.paused, p.waiting = false, nil
-	p.fetching, p.unsettled = false, nil
-	if p.server != nil && w.next()%2 == 0 {
-		w.pass(1, true) // Callers ask before it knows its backend server.
-		w.ask(p, 2*coldLimit)
+	p.paused, p.deferred = false, nil
+	p.fetching, p.unacknowledged = false, nil
+	if p.server != nil && w.nextRandom()%2 == 0 {
+		w.advance(1, true) // Requests arrive before the agent knows its backend server.
+		w.sendRequests(p, 2*coldLimit)
 	}
 }
 
 func (w *world) resume(p *process) {
 	p.paused = false
-	waiting := p.waiting
-	p.waiting = nil
-	for _, m := range waiting {
+	deferred := p.deferred
+	p.deferred = nil
+	for _, m := range deferred {
 		w.handle(p, m)
 	}
 }
 
-// apply sends an operator's change through the entry.
-func (w *world) apply(p *process, dataCentre string, out bool) {
+// submitChange sends an operator's change through the entry.
+func (w *world) submitChange(p *process, dataCentre string, takeOut bool) {
 	if p.paused || p.state.View.InForce == nil {
 		return
 	}
-	w.send(message{kind: submitAsk, from: p.index, to: table, boot: p.boot, change: change{
-		base: p.state.View.Revision(), through: p.self.DataCentre, dataCentre: dataCentre, out: out,
+	w.send(message{kind: submitRequest, from: p.index, to: tableAddress, boot: p.boot, change: change{
+		base: p.state.View.Revision(), entryDataCentre: p.self.DataCentre, dataCentre: dataCentre, takeOut: takeOut,
 	}})
 }
 
 func (w *world) send(m message) {
-	if len(w.bag) < maxPending {
-		w.bag = append(w.bag, m)
+	if len(w.inFlight) < maxPending {
+		w.inFlight = append(w.inFlight, m)
 	}
 }
 
-func (w *world) drop(i int) message {
-	m := w.bag[i]
-	w.bag = slices.Delete(w.bag, i, i+1)
+func (w *world) removeMessage(i int) message {
+	m := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	return m
 }
