--- a/policy/control/control.go
+++ b/policy/control/control.go
@@ -44,24 +44,24 @@
 
 // Step reduces one input.
 func Step(state State, input reduce.Input) (State, []reduce.Effect) {
-	var effects, more []reduce.Effect
-	_, leaves := input.Event.(Leave)
-	state.Leaving = state.Leaving || leaves
+	var effects, moreEffects []reduce.Effect
+	_, leaving := input.Event.(Leave)
+	state.Leaving = state.Leaving || leaving
 	wasTakenOut := state.takenOut()
 	state, effects = stepConfiguration(state, input)
 	server := state.backendServer()
 	state.Admission = state.Admission.Configure(admission.Settings{Full: server.FullLimit, Cold: server.ColdLimit, Reports: server.Model != ""})
 	if wasTakenOut && !state.takenOut() {
-		state.Admission, more = admission.Step(state.Admission, reduce.Input{Now: input.Now, Event: admission.Returned{}})
-		effects = append(effects, more...)
+		state.Admission, moreEffects = admission.Step(state.Admission, reduce.Input{Now: input.Now, Event: admission.Returned{}})
+		effects = append(effects, moreEffects...)
 	}
-	if leaves {
+	if leaving {
 		effects = append(effects, Announce{})
 	}
-	state, more = stepMember(state, server, input)
-	effects = append(effects, more...)
-	state, more = stepAdmission(state, input)
-	return state, append(effects, more...)
+	state, moreEffects = stepMember(state, server, input)
+	effects = append(effects, moreEffects...)
+	state, moreEffects = stepAdmission(state, input)
+	return state, append(effects, moreEffects...)
 }
 
 // stepAdmission passes the input to admission control. While CheckNewWork
--- a/policy/wholesystem/network_test.go
+++ b/policy/wholesystem/network_test.go
@@ -16,15 +16,15 @@
 	return w.processes[address].self.DataCentre
 }
 
-// isCut reports whether the link that the message uses is cut.
-func (w *world) isCut(m message) bool {
+// isLinkCut reports whether the link that the message uses is cut.
+func (w *world) isLinkCut(m message) bool {
 	from, to := w.dataCentre(m.from), w.dataCentre(m.to)
-	return w.cut[[2]string{min(from, to), max(from, to)}]
+	return w.cutLinks[[2]string{min(from, to), max(from, to)}]
 }
 
 // deliver passes message i to its receiver unless the link is cut.
 func (w *world) deliver(i int) {
-	if w.isCut(w.inFlight[i]) {
+	if w.isLinkCut(w.inFlight[i]) {
 		return
 	}
 	m := w.removeMessage(i)
--- a/policy/wholesystem/returned_test.go
+++ b/policy/wholesystem/returned_test.go
@@ -18,7 +18,7 @@
 	w.submitChange(w.processes[2], "b", false)
 	w.loseSubmitReply()
 	for _, pair := range [][2]string{{"", "a"}, {"", "c"}, {"a", "b"}, {"b", "c"}} {
-		w.cut[pair] = true
+		w.cutLinks[pair] = true
 	}
 	w.advance(40, true)
 	w.submitChange(w.processes[1], "a", true)
--- a/policy/wholesystem/server_test.go
+++ b/policy/wholesystem/server_test.go
@@ -16,7 +16,7 @@
 
 	warmFirstOutput = 40 * time.Millisecond  // Time until the first output.
 	coldFirstOutput = 600 * time.Millisecond // Time until the first output in cold start.
-	maxReport       = 64                     // Load reports kept.
+	maxReports      = 64                     // Load reports kept.
 )
 
 // workItem is one request in flight at a backend server.
@@ -24,7 +24,7 @@
 	ticket                  uint64
 	boot                    int // Boot number of the agent that started it.
 	coldPeriod              int // Value of server.coldPeriods at its start.
-	cold, begun             bool
+	cold, outputStarted     bool
 	firstOutputAt, finishAt time.Time
 }
 
@@ -74,8 +74,8 @@
 	var events []reduce.Event
 	for i := range s.work {
 		p := &s.work[i]
-		if !p.begun && !now.Before(p.firstOutputAt) {
-			p.begun = true
+		if !p.outputStarted && !now.Before(p.firstOutputAt) {
+			p.outputStarted = true
 			if p.boot == boot {
 				events = append(events, admission.Begun{Ticket: p.ticket})
 			}
@@ -94,7 +94,7 @@
 		return true
 	})
 	s.reports = append(s.reports, admission.Reported{BootID: "boot", Running: len(s.work), Cold: s.cold, At: now})
-	s.reports = s.reports[max(0, len(s.reports)-maxReport):]
+	s.reports = s.reports[max(0, len(s.reports)-maxReports):]
 	return events
 }
 
--- a/policy/wholesystem/store_test.go
+++ b/policy/wholesystem/store_test.go
@@ -25,7 +25,7 @@
 // change is an operator's take-out or return of a data centre, made through an
 // entry.
 type change struct {
-	base            uint64
+	baseRevision    uint64
 	entryDataCentre string // Data centre of the entry.
 	dataCentre      string
 	takeOut         bool
@@ -35,7 +35,7 @@
 // a conflict or for a change through a data centre that is taken out.
 func (s *store) submit(c change) uint64 {
 	head := s.head()
-	if head.Revision != c.base || head.DataCentres[c.entryDataCentre].TakenOut {
+	if head.Revision != c.baseRevision || head.DataCentres[c.entryDataCentre].TakenOut {
 		return 0
 	}
 	next := &config.Snapshot{Revision: head.Revision + 1, BackendServers: head.BackendServers}
--- a/policy/wholesystem/wholesystem_test.go
+++ b/policy/wholesystem/wholesystem_test.go
@@ -67,7 +67,7 @@
 	w.warmUp(rapid.IntRange(0, 40).Draw(t, "warm-up"))
 	for range rapid.IntRange(1, maxActions).Draw(t, "actions") {
 		total.actions++
-		w.act(t, rapid.SampledFrom(actions).Draw(t, "action"))
+		w.performAction(t, rapid.SampledFrom(actions).Draw(t, "action"))
 		if w.violation != nil {
 			t.Fatal(w.violation)
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (w *world) act(t *rapid.T, action string) {
+func (w *world) performAction(t *rapid.T, action string) {
 	switch action {
 	case "pass":
 		w.advance(rapid.IntRange(1, 10).Draw(t, "ticks"), false)
@@ -106,7 +106,7 @@
 		names := append([]string{""}, dataCentres...)
 		one, two := rapid.SampledFrom(names).Draw(t, "end"), rapid.SampledFrom(names).Draw(t, "end")
 		if one != two {
-			w.cut[[2]string{min(one, two), max(one, two)}] = action == "cut"
+			w.cutLinks[[2]string{min(one, two), max(one, two)}] = action == "cut"
 		}
 	case "cold":
 		w.counts.coldPeriods++
@@ -139,7 +139,7 @@
 // loseSubmitReply drops the answer to a change after its write took effect.
 func (w *world) loseSubmitReply() {
 	for i, m := range w.inFlight {
-		if m.kind == submitRequest && !w.isCut(m) {
+		if m.kind == submitRequest && !w.isLinkCut(m) {
 			w.deliver(i)
 			w.removeMessage(len(w.inFlight) - 1)
 			return
--- a/policy/wholesystem/world_test.go
+++ b/policy/wholesystem/world_test.go
@@ -28,7 +28,7 @@
 	state           control.State
 	server          *server // Set for agents only.
 	boot            int
-	started         time.Time
+	bootedAt        time.Time
 	paused          bool
 	deferred        []message // Messages received while paused.
 	highestRevision uint64    // Highest revision that it has ever had in force.
@@ -50,7 +50,7 @@
 	store     store
 	processes []*process
 	inFlight  []message
-	cut       map[[2]string]bool // Pairs of data centres; "" stands for the table.
+	cutLinks  map[[2]string]bool // Pairs of data centres; "" stands for the table.
 	reportLag time.Duration      // Delay of load reports.
 	ticks     int
 	tickets   uint64
@@ -59,7 +59,7 @@
 }
 
 func newWorld(entries, agents int, random uint64, reportLag time.Duration, counts *counts) *world {
-	w := &world{now: time.Unix(1_700_000_000, 0), random: random, reportLag: reportLag, cut: map[[2]string]bool{}, counts: counts}
+	w := &world{now: time.Unix(1_700_000_000, 0), random: random, reportLag: reportLag, cutLinks: map[[2]string]bool{}, counts: counts}
 	first := &config.Snapshot{Revision: 1, DataCentres: map[string]config.DataCentre{}, BackendServers: map[string]config.BackendServer{}}
 	for _, name := range dataCentres {
 		first.DataCentres[name] = config.DataCentre{Name: name}
@@ -79,7 +79,7 @@
 }
 
 func (w *world) add(self control.Self, s *server) {
-	w.processes = append(w.processes, &process{index: len(w.processes), self: self, state: control.New(self), server: s, started: w.now})
+	w.processes = append(w.processes, &process{index: len(w.processes), self: self, state: control.New(self), server: s, bootedAt: w.now})
 }
 
 // nextRandom returns the next number of a deterministic generator (SplitMix64).
@@ -177,7 +177,7 @@
 	}
 	if p.server != nil && w.ticks%pollEvery == 0 {
 		report := p.server.load(w.now, w.reportLag)
-		report.AgentStarted = p.started
+		report.AgentStarted = p.bootedAt
 		w.step(p, report)
 	}
 	if p.fetching && w.now.Sub(p.fetchBeganAt) >= fetchTimeout {
@@ -208,7 +208,7 @@
 func (w *world) restart(p *process) {
 	w.counts.restarts++
 	p.boot++
-	p.state, p.started = control.New(p.self), w.now
+	p.state, p.bootedAt = control.New(p.self), w.now
 	p.paused, p.deferred = false, nil
 	p.fetching, p.unacknowledged = false, nil
 	if p.server != nil && w.nextRandom()%2 == 0 {
@@ -232,7 +232,7 @@
 		return
 	}
 	w.send(message{kind: submitRequest, from: p.index, to: tableAddress, boot: p.boot, change: change{
-		base: p.state.View.Revision(), entryDataCentre: p.self.DataCentre, dataCentre: dataCentre, takeOut: takeOut,
+		baseRevision: p.state.View.Revision(), entryDataCentre: p.self.DataCentre, dataCentre: dataCentre, takeOut: takeOut,
 	}})
 }
 
