--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -19,30 +19,30 @@
 	os.Exit(m.Run())
 }
 
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget, requests, retries := NewBudget(), 0, 0
 		for _, request := range rapid.SliceOfN(rapid.Bool(), 1, 500).Draw(t, "requests") {
 			if request {
 				requests++
-				budget = budget.Request()
+				budget = budget.Deposit()
 				continue
 			}
 			var ok bool
-			if budget, ok = budget.Spend(); ok {
+			if budget, ok = budget.Withdraw(); ok {
 				retries++
 			}
 		}
-		if float64(retries) > Share*float64(requests)+Reserve {
-			t.Fatalf("%d retries for %d requests", retries, requests)
+		if float64(retries) > TokenRatio*float64(requests)+MaxTokens {
+			t.Fatalf("%d retries for %d requests exceed the budget", retries, requests)
 		}
 	})
 }
 
-func TestOnlyHarmlessAttemptsAreRetried(t *testing.T) {
+func TestRetriableOnlyForSafeAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := Attempt{
-			Number: rapid.IntRange(1, 5).Draw(t, "number"), Begun: rapid.Bool().Draw(t, "begun"),
+			Number: rapid.IntRange(1, 5).Draw(t, "number"), ResponseStarted: rapid.Bool().Draw(t, "begun"),
 			Idempotent: rapid.Bool().Draw(t, "idempotent"),
 			Err:        &result.Error{Code: rapid.SampledFrom(result.Codes()).Draw(t, "code")},
 			Waited:     time.Duration(rapid.IntRange(0, 1000).Draw(t, "waited")) * time.Millisecond,
@@ -51,29 +51,29 @@
 		if !Retriable(attempt) {
 			return
 		}
-		if attempt.Begun || (ByLoad(attempt.Err.Code) && attempt.Waited > time.Second/2) || attempt.Remaining <= 0 || attempt.Number >= maxAttempts {
-			t.Fatalf("%+v is retried", attempt)
+		if attempt.ResponseStarted || (IsLoadRefusal(attempt.Err.Code) && attempt.Waited > time.Second/2) || attempt.Remaining <= 0 || attempt.Number >= maxAttempts {
+			t.Fatalf("attempt %+v is retriable", attempt)
 		}
 		if !attempt.Err.NotRun() && !attempt.Idempotent {
-			t.Fatalf("%v may have run and is retried", attempt.Err)
+			t.Fatalf("attempt that may have run is retriable after error %v", attempt.Err)
 		}
 	})
 }
 
-func TestARequestGivenUpOnSaysWhenToComeBack(t *testing.T) {
+func TestFinalErrorSetsRetryAfter(t *testing.T) {
 	for _, code := range result.Codes() {
-		err := GivenUp(&result.Error{Code: code}, 1<<63)
+		err := FinalError(&result.Error{Code: code}, 1<<63)
 		if result.Describe(code).Retryable != (err.RetryAfter > 0) {
-			t.Errorf("%v: come back after %v", code, err.RetryAfter)
+			t.Errorf("code %v: RetryAfter = %v", code, err.RetryAfter)
 		}
 	}
-	if early := GivenUp(&result.Error{Code: result.Overloaded, RetryAfter: time.Second}, 0); early.RetryAfter < time.Second {
-		t.Errorf("told to come back after %v, before the time", early.RetryAfter)
+	if early := FinalError(&result.Error{Code: result.Overloaded, RetryAfter: time.Second}, 0); early.RetryAfter < time.Second {
+		t.Errorf("RetryAfter = %v, want at least 1s", early.RetryAfter)
 	}
 }
 
-func TestWorkRefusedByADeadAgentIsRetriedHoweverLongItWaited(t *testing.T) {
-	Convey("Noticing a dead agent takes longer than a queue may", t, func() {
+func TestRetriableAfterLongWaitWhenAgentIsGone(t *testing.T) {
+	Convey("An attempt at an agent that is gone is retriable after any wait, since detecting a dead agent takes longer than the wait allowed in a queue", t, func() {
 		for _, code := range []result.Code{result.NoBackendServer, result.Leaving, result.DataCentreOut} {
 			So(Retriable(Attempt{
 				Number: 1, Err: &result.Error{Code: code}, Waited: 3 * time.Second, Remaining: time.Minute,
