--- a/server/deployed/agent.go
+++ b/server/deployed/agent.go
@@ -50,12 +50,12 @@
 	}
 	engine := platform.NewEngine(a.settings.BackendServer, upstream.Dial)
 	maps := &mapcontrol.Agent{
-		Self: a.settings.Instance, Engine: engine, Store: a.store,
-		Direct:  directEngines(),
-		Follow:  a.follow,
-		Members: a.members, Model: a.model, Log: a.log, Metrics: mapcontrol.NewMetrics(a.registry),
+		Instance: a.settings.Instance, Engine: engine, Store: a.store,
+		DirectEngine:   directEngines(),
+		FollowTopology: a.follow,
+		Members:        a.members, EngineModel: a.model, Log: a.log, Metrics: mapcontrol.NewMetrics(a.registry),
 	}
-	maps.Prepare()
+	maps.Init()
 	publisher := loadreport.NewPublisher(reports)
 	read := func() (topology.RankState, bool) {
 		state, err := engine.Report(ctx)
--- a/server/doccheck/doccheck_test.go
+++ b/server/doccheck/doccheck_test.go
@@ -120,9 +120,9 @@
 	t.Helper()
 	registry := prometheus.NewRegistry()
 	gatewayMetrics := gateway.NewMetrics(registry)
-	gatewayMetrics.Ended(result.OK, 0)
+	gatewayMetrics.ObserveRequest(result.OK, 0)
 	mapMetrics := mapcontrol.NewMetrics(registry)
-	mapMetrics.Entered("idle")
+	mapMetrics.CountPhase("idle")
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/server/gateway/deliver.go
+++ b/server/gateway/deliver.go
@@ -142,6 +142,6 @@
 			c.gateway.metrics.predictionError.Observe(c.firstAt.Sub(c.expectedAt).Abs().Seconds())
 		}
 	}
-	c.gateway.metrics.Ended(code, time.Since(c.arrived))
+	c.gateway.metrics.ObserveRequest(code, time.Since(c.arrived))
 	logevent.Write(c.log, logevent.RequestEnded, fields)
 }
--- a/server/gateway/metrics.go
+++ b/server/gateway/metrics.go
@@ -45,8 +45,8 @@
 	return m
 }
 
-// Ended counts a request that has ended.
-func (m *Metrics) Ended(code result.Code, elapsed time.Duration) {
+// ObserveRequest counts a request that has ended.
+func (m *Metrics) ObserveRequest(code result.Code, elapsed time.Duration) {
 	m.requests.WithLabelValues(strconv.Itoa(int(code))).Inc()
 	m.duration.Observe(elapsed.Seconds())
 }
--- a/server/mapcontrol/agent.go
+++ b/server/mapcontrol/agent.go
@@ -54,22 +54,22 @@
 	return m
 }
 
-// Entered counts a phase that a change of the map has entered.
-func (m *Metrics) Entered(phase string) { m.phases.WithLabelValues(phase).Inc() }
+// CountPhase counts a phase that a change of the map has entered.
+func (m *Metrics) CountPhase(phase string) { m.phases.WithLabelValues(phase).Inc() }
 
 // Agent takes part in a group's map for the rank beside it.
 type Agent struct {
-	Self   string // Name of this instance.
-	Engine Engine
-	Direct func(address string) Engine // For ranks whose agent is away.
-	Store  Store
-	// Follow keeps Members and Model up to date until ctx ends. Only a coordinator
+	Instance     string // Name of this instance.
+	Engine       Engine
+	DirectEngine func(address string) Engine // For ranks whose agent is away.
+	Store        Store
+	// FollowTopology keeps Members and Model up to date until ctx ends. Only a coordinator
 	// needs them: calls to the store are priced.
-	Follow  func(ctx context.Context)
-	Members func() []Member // Of the group, leaving ones included.
-	Model   func() *topology.Engine
-	Log     *logrus.Entry
-	Metrics *Metrics
+	FollowTopology func(ctx context.Context)
+	Members        func() []Member // Of the group, leaving ones included.
+	EngineModel    func() *topology.Engine
+	Log            *logrus.Entry
+	Metrics        *Metrics
 
 	rank  *Rank
 	peers *rpc.Pool
@@ -80,9 +80,9 @@
 	return rpc.Serve(listener, map[string]any{receiverName: a.rank}, a.Log)
 }
 
-// Prepare makes the agent ready to serve and run.
-func (a *Agent) Prepare() {
-	a.rank = NewRank(a.Engine, a.Direct)
+// Init makes the agent ready to serve and run.
+func (a *Agent) Init() {
+	a.rank = NewRank(a.Engine, a.DirectEngine)
 	a.peers = rpc.NewPool(nil)
 }
 
@@ -109,7 +109,7 @@
 		if silence < silenceLimit+time.Duration(state.Rank)*rankStagger {
 			continue
 		}
-		fence, err := takeLease(ctx, a.Store, state.Group, a.Self, seen)
+		fence, err := takeLease(ctx, a.Store, state.Group, a.Instance, seen)
 		if err != nil {
 			notBefore = time.Now().Add(retryInterval)
 			if !errors.Is(err, errLeaseLost) {
@@ -125,11 +125,11 @@
 
 func (a *Agent) coordinate(ctx context.Context, state topology.RankState, fence uint64) {
 	c := &coordinator{
-		fence: fence, group: state.Group, members: a.Members, peers: a.peers, direct: a.Direct, log: a.Log,
-		planner: newPlanner(a.Model, state.Group, a.Log, a.Metrics), counters: a.Metrics,
+		fence: fence, group: state.Group, members: a.Members, peers: a.peers, direct: a.DirectEngine, log: a.Log,
+		planner: newPlanner(a.EngineModel, state.Group, a.Log, a.Metrics), counters: a.Metrics,
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go a.Follow(ctx)
+	go a.FollowTopology(ctx)
 	c.run(ctx, state.Rank)
 }
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -286,7 +286,7 @@
 		logevent.Write(c.log, logevent.LeaseSucceeded, logrus.Fields{"group": c.group, "fence": c.fence, "version": effect.Version})
 		c.fenced()
 	case mapswitch.PhaseChanged:
-		c.counters.Entered(effect.To.String())
+		c.counters.CountPhase(effect.To.String())
 		logevent.Write(c.log, logevent.MapPhase, logrus.Fields{
 			"group": c.group, "epoch": effect.Epoch, "version": effect.Version, "pass": effect.Pass,
 			"phase": effect.To.String(), "from": effect.From.String(), "after_ms": effect.TimeInPhase.Milliseconds(), "reason": effect.Reason,
