--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	notReadyRetryAfter = 500 * time.Millisecond // A restarted entry reads its tables faster.
-	usualBodyBytes     = 4 << 20                // Where the configuration names no limit.
-	// groupRetryAfter is told to callers whose group takes no work: a rank that
+	notReadyRetryAfter  = 500 * time.Millisecond // A restarted entry reads its tables faster.
+	defaultMaxBodyBytes = 4 << 20                // Where the configuration names no limit.
+	// groupClosedRetryAfter is told to callers whose group takes no work: a rank that
 	// was cut off is back after some seconds.
-	groupRetryAfter = 2 * time.Second
+	groupClosedRetryAfter = 2 * time.Second
 	// maxSends bounds how often one request is sent, refusals by busy servers
 	// included.
 	maxSends = 5
 
 	// Callers leave a stream after the longest of three gaps without an event.
-	streamPatience    = 2 * time.Second
-	objectivePatience = 4 // Times the objective.
-	pausePatience     = 8 // Times the longest allowed pause.
-	// firstEventTime is what a placed stream needs until its first event: about
+	minStreamTimeout        = 2 * time.Second
+	objectiveTimeoutFactor  = 4 // Times the objective.
+	interTokenTimeoutFactor = 8 // Times the longest allowed pause.
+	// minFirstEventTime is what a placed stream needs until its first event: about
 	// three passes of a busy group.
-	firstEventTime = 300 * time.Millisecond
+	minFirstEventTime = 300 * time.Millisecond
 )
 
 // call is one caller's request on its way.
@@ -53,19 +53,19 @@
 	organisation *topology.Organisation // Nil for public routes.
 	deadline     time.Time              // The caller's, or the route's timeout if that is sooner.
 
-	sends      int    // Attempts that reached a connection.
-	runs       int    // Attempts that may have run.
-	tried      bool   // The request has found its group closed.
-	refused    bool   // The desk has refused; no attempt follows.
-	avoid      string // The server of the last failed attempt.
-	server     string // The server of the last attempt, for the log.
-	begun      bool   // The caller has had the head of the answer.
-	lastEvent  string // Id of the last event that the caller has.
-	events     int
-	firstAt    time.Time
-	expectedAt time.Time     // When the first event was predicted for; zero for no prediction.
-	longestGap time.Duration // Between two events of one server.
-	fallback   *answer       // A server's own failure, delivered unless a retry succeeds.
+	sends                 int    // Attempts that reached a connection.
+	possibleRuns          int    // Attempts that may have run.
+	foundClosed           bool   // The request has found its group closed.
+	refused               bool   // The desk has refused; no attempt follows.
+	avoidServer           string // The server of the last failed attempt.
+	server                string // The server of the last attempt, for the log.
+	responseStarted       bool   // The caller has had the head of the answer.
+	lastEventID           string // Id of the last event that the caller has.
+	events                int
+	firstByteAt           time.Time
+	predictedFirstEventAt time.Time     // When the first event was predicted for; zero for no prediction.
+	longestEventGap       time.Duration // Between two events of one server.
+	fallbackAnswer        *answer       // A server's own failure, delivered unless a retry succeeds.
 }
 
 // answer is a backend server's whole answer.
@@ -77,51 +77,51 @@
 
 // run makes attempts until one is answered or none may follow.
 func (c *call) run() {
-	c.gateway.earnRetry()
+	c.gateway.creditRetryBudget()
 	ctx, cancel := context.WithDeadline(c.http.Context(), c.deadline)
 	defer cancel()
 	service := c.route.PickService(rand.Float64())
-	c.lastEvent = c.request.LastEventID
+	c.lastEventID = c.request.LastEventID
 	for number := 1; ; number++ {
 		failure := c.attempt(ctx, service)
 		if failure == nil {
-			c.ended(nil)
+			c.recordEnd(nil)
 			return
 		}
 		if c.http.Context().Err() != nil {
-			c.ended(result.Errorf(result.Cancelled, "the caller has left"))
+			c.recordEnd(result.Errorf(result.Cancelled, "the caller has left"))
 			c.abort()
 			return
 		}
-		if !c.again(number, failure) {
-			c.give(c.final(failure))
+		if !c.shouldRetry(number, failure) {
+			c.fail(c.finalError(failure))
 			return
 		}
 	}
 }
 
-// again reports whether another attempt follows the failed one.
-func (c *call) again(number int, failure *result.Error) bool {
+// shouldRetry reports whether another attempt follows the failed one.
+func (c *call) shouldRetry(number int, failure *result.Error) bool {
 	reason := ""
 	switch {
 	case c.refused:
 		reason = "refused_by_desk"
-	case c.sends >= maxSends || c.runs >= c.route.MaxAttempts:
+	case c.sends >= maxSends || c.possibleRuns >= c.route.MaxAttempts:
 		reason = "attempts_used_up"
 	case !retry.Retriable(retry.Attempt{
-		Number: max(1, c.runs), Err: failure, // Refusals are bounded by maxSends.
-		Begun:      c.begun && !c.resumable(),
+		Number: max(1, c.possibleRuns), Err: failure, // Refusals are bounded by maxSends.
+		Begun:      c.responseStarted && !c.resumable(),
 		Idempotent: c.route.Repeatable(),
 		Waited:     time.Since(c.arrived),
 		Remaining:  time.Until(c.deadline),
 	}):
 		reason = "not_retriable"
-	case !retry.Free(failure.Code) && !c.gateway.spendRetry():
+	case !retry.Free(failure.Code) && !c.gateway.spendRetryBudget():
 		reason = "budget_used_up"
 	}
 	logevent.Write(c.log, logevent.AttemptFailed, logrus.Fields{
 		"server": c.server, "attempt": number, "code": int(failure.Code), "error": failure.Error(),
-		"again": reason == "", "reason": reason, "runs": c.runs, "begun": c.begun,
+		"again": reason == "", "reason": reason, "runs": c.possibleRuns, "begun": c.responseStarted,
 		"config": c.snapshot.Config.Version,
 	})
 	return reason == ""
@@ -132,9 +132,9 @@
 	return c.route.Kind == topology.Stream && c.route.Resumable
 }
 
-// final returns what the caller is told after the last attempt.
-func (c *call) final(failure *result.Error) *result.Error {
-	if c.runs > 0 && failure.NotRun() {
+// finalError returns what the caller is told after the last attempt.
+func (c *call) finalError(failure *result.Error) *result.Error {
+	if c.possibleRuns > 0 && failure.NotRun() {
 		// An earlier attempt may have run, so the promise of the last one doesn't hold.
 		return result.Errorf(result.BackendFailed, "an earlier attempt may have run; the last: %v", failure)
 	}
@@ -143,9 +143,9 @@
 
 // attempt sends the request to one backend server and delivers its answer.
 func (c *call) attempt(ctx context.Context, service string) *result.Error {
-	decision, err := c.gateway.desks.ask(ctx, service, c.ticket(), c.logDecision)
+	decision, err := c.gateway.dispatchers.acquire(ctx, service, c.ticket(), c.logDecision)
 	if err != nil {
-		if c.runs == 0 {
+		if c.possibleRuns == 0 {
 			return result.Errorf(result.DeadlineTooShort, "no place within the time left")
 		}
 		return result.Errorf(result.DeadlineExceeded, "no place within the time left")
@@ -158,19 +158,19 @@
 		return refusal
 	}
 	c.server = decision.Server.ID
-	if decision.PredictedFirstEvent > 0 && !c.begun {
-		c.expectedAt = time.Now().Add(decision.PredictedFirstEvent)
+	if decision.PredictedFirstEvent > 0 && !c.responseStarted {
+		c.predictedFirstEventAt = time.Now().Add(decision.PredictedFirstEvent)
 	}
-	outcome, failure := c.exchange(ctx, service, decision.Server)
-	closed := c.gateway.desks.done(service, decision.Server.ID, outcome)
+	outcome, failure := c.sendMigratable(ctx, service, decision.Server)
+	closed := c.gateway.dispatchers.release(service, decision.Server.ID, outcome)
 	if failure == nil {
 		return nil
 	}
-	c.avoid = decision.Server.ID
+	c.avoidServer = decision.Server.ID
 	if closed && outcome == dispatch.Busy {
-		c.tried = true
+		c.foundClosed = true
 		failure = result.Errorf(result.GroupWaiting, "%s", failure.Detail)
-		failure.RetryAfter = groupRetryAfter
+		failure.RetryAfter = groupClosedRetryAfter
 	}
 	return failure
 }
@@ -181,19 +181,19 @@
 		priority = c.organisation.Priority
 	}
 	return dispatch.Ticket{
-		Arrived: c.arrived, SLODeadline: c.arrived.Add(c.route.Objective), Deadline: c.lastStart(),
-		Priority: priority, Avoid: c.avoid, FoundClosed: c.tried,
+		Arrived: c.arrived, SLODeadline: c.arrived.Add(c.route.Objective), Deadline: c.latestStart(),
+		Priority: priority, Avoid: c.avoidServer, FoundClosed: c.foundClosed,
 	}
 }
 
-// lastStart is when starting the request is of no use any more: callers leave a
+// latestStart is when starting the request is of no use any more: callers leave a
 // stream whose first event, or next one, takes too long.
-func (c *call) lastStart() time.Time {
+func (c *call) latestStart() time.Time {
 	if c.route.Kind != topology.Stream {
 		return c.deadline
 	}
-	patience := max(streamPatience, objectivePatience*c.route.Objective, pausePatience*c.route.InterTokenTarget)
-	last := c.arrived.Add(patience - firstEventTime)
+	patience := max(minStreamTimeout, objectiveTimeoutFactor*c.route.Objective, interTokenTimeoutFactor*c.route.InterTokenTarget)
+	last := c.arrived.Add(patience - minFirstEventTime)
 	if last.After(c.deadline) {
 		return c.deadline
 	}
@@ -203,20 +203,20 @@
 // The causes of an exchange that ends so that its stream goes on at another
 // server.
 var (
-	errMoved       = errors.New("moved off its server")
-	errMovedSlow   = fmt.Errorf("%w, which holds up its group", errMoved)
-	errMovedSilent = fmt.Errorf("%w, which is silent while its group goes on", errMoved)
+	errMigrated       = errors.New("moved off its server")
+	errMigratedSlow   = fmt.Errorf("%w, which holds up its group", errMigrated)
+	errMigratedSilent = fmt.Errorf("%w, which is silent while its group goes on", errMigrated)
 )
 
-// exchange sends the request and relays the answer. The outcome is what it says
+// sendMigratable sends the request and relays the answer. The outcome is what it says
 // of the server. A resumable stream may be moved off the server meanwhile.
-func (c *call) exchange(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
-	if !c.resumable() || c.runs+1 >= c.route.MaxAttempts {
+func (c *call) sendMigratable(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
+	if !c.resumable() || c.possibleRuns+1 >= c.route.MaxAttempts {
 		return c.send(ctx, service, server)
 	}
 	ctx, move := context.WithCancelCause(ctx)
 	defer move(nil)
-	forbid := c.gateway.desks.allowMove(service, server.ID, c, move)
+	forbid := c.gateway.dispatchers.registerStream(service, server.ID, c, move)
 	defer forbid()
 	return c.send(ctx, service, server)
 }
@@ -231,10 +231,10 @@
 		return dispatch.Unreachable, result.Errorf(result.NoBackendServer, "%v", err)
 	}
 	c.sends++
-	exchange, err := c.gateway.pool.Do(ctx, conn, c.forward(server))
+	exchange, err := c.gateway.pool.Do(ctx, conn, c.upstreamRequest(server))
 	if err != nil {
-		c.runs++
-		return c.broken(ctx, err)
+		c.possibleRuns++
+		return c.classifyFailure(ctx, err)
 	}
 	said := platform.DecodeResponse(exchange.Response.StatusCode, exchange.Response.Header)
 	if said.NotRun {
@@ -246,8 +246,8 @@
 		}
 		return dispatch.Busy, refusal
 	}
-	c.runs++
-	c.gateway.desks.accepted(service)
+	c.possibleRuns++
+	c.gateway.dispatchers.accepted(service)
 	if said.Encoded || !said.Stamped {
 		exchange.Abort()
 		return dispatch.Failed, result.Errorf(result.BackendFailed, "status %d, stamped %t, encoded %t", exchange.Response.StatusCode, said.Stamped, said.Encoded)
@@ -255,11 +255,11 @@
 	if c.route.Kind == topology.Stream && exchange.Response.StatusCode < http.StatusMultipleChoices {
 		return c.relayStream(ctx, service, server.ID, exchange)
 	}
-	return c.relayWhole(ctx, exchange)
+	return c.relayBuffered(ctx, exchange)
 }
 
-func (c *call) forward(server topology.Candidate) upstream.Request {
-	forward := platform.Forward{Server: server.ID, Remaining: time.Until(c.deadline), LastEventID: c.lastEvent}
+func (c *call) upstreamRequest(server topology.Candidate) upstream.Request {
+	forward := platform.Forward{Server: server.ID, Remaining: time.Until(c.deadline), LastEventID: c.lastEventID}
 	if c.organisation != nil {
 		forward.Organisation = c.organisation.Name
 	}
@@ -272,12 +272,12 @@
 	}
 }
 
-// broken says what an exchange that ended without an answer means.
-func (c *call) broken(ctx context.Context, err error) (dispatch.Outcome, *result.Error) {
+// classifyFailure says what an exchange that ended without an answer means.
+func (c *call) classifyFailure(ctx context.Context, err error) (dispatch.Outcome, *result.Error) {
 	switch {
 	case c.http.Context().Err() != nil:
 		return dispatch.CallerLeft, result.Errorf(result.Cancelled, "the caller has left")
-	case errors.Is(context.Cause(ctx), errMoved):
+	case errors.Is(context.Cause(ctx), errMigrated):
 		return dispatch.CallerLeft, result.Errorf(result.CutAnswer, "%v", context.Cause(ctx))
 	case ctx.Err() != nil:
 		return dispatch.CallerLeft, result.Errorf(result.DeadlineExceeded, "no whole answer within the time left")
--- a/server/gateway/deliver.go
+++ b/server/gateway/deliver.go
@@ -16,31 +16,31 @@
 	"persimmonwind.dev/server/upstream"
 )
 
-// maxWholeBytes bounds an answer that is held until it is whole.
-const maxWholeBytes = 16 << 20
+// maxBufferedBytes bounds an answer that is held until it is whole.
+const maxBufferedBytes = 16 << 20
 
-// relayWhole reads the whole answer before the caller gets a byte of it.
-func (c *call) relayWhole(ctx context.Context, exchange *upstream.Exchange) (dispatch.Outcome, *result.Error) {
-	body, err := io.ReadAll(io.LimitReader(exchange.Response.Body, maxWholeBytes+1))
-	if err != nil || len(body) > maxWholeBytes {
+// relayBuffered reads the whole answer before the caller gets a byte of it.
+func (c *call) relayBuffered(ctx context.Context, exchange *upstream.Exchange) (dispatch.Outcome, *result.Error) {
+	body, err := io.ReadAll(io.LimitReader(exchange.Response.Body, maxBufferedBytes+1))
+	if err != nil || len(body) > maxBufferedBytes {
 		exchange.Abort()
 		if err == nil {
-			return dispatch.Failed, result.Errorf(result.BackendFailed, "answer of more than %d bytes", maxWholeBytes)
+			return dispatch.Failed, result.Errorf(result.BackendFailed, "answer of more than %d bytes", maxBufferedBytes)
 		}
-		outcome, failure := c.broken(ctx, err)
+		outcome, failure := c.classifyFailure(ctx, err)
 		if outcome == dispatch.Failed {
 			failure = result.Errorf(result.CutAnswer, "%v", err)
 		}
 		return outcome, failure
 	}
 	exchange.Finish()
-	if c.begun {
+	if c.responseStarted {
 		// The caller has had a part of a stream; another answer can't follow it.
 		return dispatch.Failed, result.Errorf(result.CutAnswer, "the stream was to go on, and the server answered status %d", exchange.Response.StatusCode)
 	}
 	whole := &answer{status: exchange.Response.StatusCode, header: platform.EndToEnd(exchange.Response.Header), body: body}
 	if whole.status >= http.StatusInternalServerError && c.route.Repeatable() {
-		c.fallback = whole
+		c.fallbackAnswer = whole
 		return dispatch.Failed, result.Errorf(result.BackendFailed, "server answered status %d", whole.status)
 	}
 	if whole.status >= http.StatusInternalServerError {
@@ -53,8 +53,8 @@
 
 // deliver writes a backend server's whole answer to the caller.
 func (c *call) deliver(whole *answer) {
-	c.firstAt = time.Now()
-	c.begun = true
+	c.firstByteAt = time.Now()
+	c.responseStarted = true
 	header := c.writer.Header()
 	copyHeader(header, whole.header)
 	header.Set("Content-Length", strconv.Itoa(len(whole.body)))
@@ -84,40 +84,40 @@
 	}
 }
 
-// give ends a call that no backend server has answered.
-func (c *call) give(failure *result.Error) {
-	if c.begun {
-		c.ended(failure)
+// fail ends a call that no backend server has answered.
+func (c *call) fail(failure *result.Error) {
+	if c.responseStarted {
+		c.recordEnd(failure)
 		c.abort()
 		return
 	}
-	if c.fallback != nil {
-		c.deliver(c.fallback)
-		c.ended(failure)
+	if c.fallbackAnswer != nil {
+		c.deliver(c.fallbackAnswer)
+		c.recordEnd(failure)
 		return
 	}
-	c.refuse(failure)
+	c.respondError(failure)
 }
 
-// refuse answers with the system's own status.
-func (c *call) refuse(failure *result.Error) {
+// respondError answers with the system's own status.
+func (c *call) respondError(failure *result.Error) {
 	info := result.Describe(failure.Code)
 	header := c.writer.Header()
 	platform.Answered(header, c.request.AttemptID, failure.RetryAfter)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	c.writer.WriteHeader(info.HTTPStatus)
 	c.write([]byte(failure.Error() + "\n"))
-	c.ended(failure)
+	c.recordEnd(failure)
 }
 
 // abort closes the caller's connection, so that an unfinished answer does not
 // look complete.
 func (c *call) abort() { panic(http.ErrAbortHandler) }
 
-// ended logs and counts how the call went.
-func (c *call) ended(failure *result.Error) {
+// recordEnd logs and counts how the call went.
+func (c *call) recordEnd(failure *result.Error) {
 	code := result.OK
-	fields := logrus.Fields{"sends": c.sends, "runs": c.runs, "server": c.server, "total_ms": time.Since(c.arrived).Milliseconds()}
+	fields := logrus.Fields{"sends": c.sends, "runs": c.possibleRuns, "server": c.server, "total_ms": time.Since(c.arrived).Milliseconds()}
 	if failure != nil {
 		code = failure.Code
 		fields["error"] = failure.Error()
@@ -131,15 +131,15 @@
 		fields["config"] = c.snapshot.Config.Version
 	}
 	fields["route"] = route
-	if !c.firstAt.IsZero() {
-		fields["first_ms"] = c.firstAt.Sub(c.arrived).Milliseconds()
-		c.gateway.metrics.firstAnswer.Observe(c.firstAt.Sub(c.arrived).Seconds())
+	if !c.firstByteAt.IsZero() {
+		fields["first_ms"] = c.firstByteAt.Sub(c.arrived).Milliseconds()
+		c.gateway.metrics.firstAnswer.Observe(c.firstByteAt.Sub(c.arrived).Seconds())
 	}
 	if c.events > 0 {
-		fields["events"], fields["longest_gap_ms"] = c.events, c.longestGap.Milliseconds()
-		if !c.expectedAt.IsZero() {
-			fields["predicted_first_ms"] = c.expectedAt.Sub(c.arrived).Milliseconds()
-			c.gateway.metrics.predictionError.Observe(c.firstAt.Sub(c.expectedAt).Abs().Seconds())
+		fields["events"], fields["longest_gap_ms"] = c.events, c.longestEventGap.Milliseconds()
+		if !c.predictedFirstEventAt.IsZero() {
+			fields["predicted_first_ms"] = c.predictedFirstEventAt.Sub(c.arrived).Milliseconds()
+			c.gateway.metrics.predictionError.Observe(c.firstByteAt.Sub(c.predictedFirstEventAt).Abs().Seconds())
 		}
 	}
 	c.gateway.metrics.ObserveRequest(code, time.Since(c.arrived))
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -29,20 +29,20 @@
 	// assumedEntries splits what all entries share: a few more than the largest
 	// number of entries on the machines of today with their spares.
 	assumedEntries = 8
-	// budgetShare of the allowed retries is used, so that arrivals which the
+	// retryBudgetShare of the allowed retries is used, so that arrivals which the
 	// entries don't count, like repeats after a lost answer, stay within it.
-	budgetShare = 0.6
-	// usualDeadline holds for callers that name none.
-	usualDeadline = 30 * time.Second
+	retryBudgetShare = 0.6
+	// defaultDeadline holds for callers that name none.
+	defaultDeadline = 30 * time.Second
 )
 
 // Gateway is the http.Handler for callers.
 type Gateway struct {
-	snapshot atomic.Pointer[topology.Snapshot]
-	desks    *desks
-	pool     *upstream.Pool
-	log      *logrus.Entry
-	metrics  *Metrics
+	snapshot    atomic.Pointer[topology.Snapshot]
+	dispatchers *dispatchers
+	pool        *upstream.Pool
+	log         *logrus.Entry
+	metrics     *Metrics
 
 	mu     sync.Mutex
 	budget retry.Budget
@@ -51,22 +51,22 @@
 // New returns a gateway that knows nothing yet.
 func New(settings platform.Settings, log *logrus.Entry, metrics *Metrics) *Gateway {
 	return &Gateway{
-		desks: newDesks(dispatch.WarmUpLimit{
+		dispatchers: newDispatchers(dispatch.WarmUpLimit{
 			OverloadFactor: settings.WarmUpOvershoot, Allowance: settings.WarmUpAllowance, Entries: assumedEntries,
 		}, log),
 		pool:    upstream.NewPool(upstream.Dial),
 		log:     log,
 		metrics: metrics,
 		budget: retry.NewBudgetOf(
-			settings.RetryRatio*budgetShare,
-			max(1, settings.RetryReserve*budgetShare/assumedEntries)),
+			settings.RetryRatio*retryBudgetShare,
+			max(1, settings.RetryReserve*retryBudgetShare/assumedEntries)),
 	}
 }
 
 // Install puts a snapshot in force for new requests.
 func (g *Gateway) Install(snapshot *topology.Snapshot) {
 	g.snapshot.Store(snapshot)
-	g.desks.configure(snapshot)
+	g.dispatchers.configure(snapshot)
 }
 
 // Ready reports whether the gateway can serve requests.
@@ -84,7 +84,7 @@
 	for name := range snapshot.Config.Services {
 		for _, candidate := range snapshot.Candidates(name) {
 			if candidate.Address == report.Server {
-				g.desks.report(name, candidate.ID, dispatch.Report{
+				g.dispatchers.report(name, candidate.ID, dispatch.Report{
 					Queued: report.Queued, Active: report.Active, Open: report.Open, Pace: report.Pace,
 				})
 			}
@@ -95,7 +95,7 @@
 // Run looks at waiting requests and idle connections until ctx ends.
 func (g *Gateway) Run(ctx context.Context) {
 	go g.closeIdle(ctx)
-	g.desks.run(ctx)
+	g.dispatchers.pollQueues(ctx)
 }
 
 func (g *Gateway) closeIdle(ctx context.Context) {
@@ -107,12 +107,12 @@
 		case <-ctx.Done():
 			return
 		}
-		g.pool.CloseIdle(g.inUse())
+		g.pool.CloseIdle(g.usableAddresses())
 	}
 }
 
-// inUse returns a check whether an address is a usable server's.
-func (g *Gateway) inUse() func(string) bool {
+// usableAddresses returns a check whether an address is a usable server's.
+func (g *Gateway) usableAddresses() func(string) bool {
 	addresses := map[string]bool{}
 	if snapshot := g.snapshot.Load(); snapshot != nil && snapshot.Config != nil {
 		for name := range snapshot.Config.Services {
@@ -134,11 +134,11 @@
 	}
 	call := &call{gateway: g, writer: w, http: r, request: request, log: log, arrived: arrived}
 	if refusal := call.authorize(g.snapshot.Load()); refusal != nil {
-		call.refuse(refusal)
+		call.respondError(refusal)
 		return
 	}
 	if refusal := call.readBody(); refusal != nil {
-		call.refuse(refusal)
+		call.respondError(refusal)
 		return
 	}
 	call.run()
@@ -165,7 +165,7 @@
 	}
 	limit := c.request.Deadline
 	if limit <= 0 {
-		limit = usualDeadline
+		limit = defaultDeadline
 	}
 	if c.route.Timeout > 0 && c.route.Timeout < limit {
 		limit = c.route.Timeout
@@ -178,7 +178,7 @@
 func (c *call) readBody() *result.Error {
 	limit := c.snapshot.Config.Limits.BodyBytes
 	if limit <= 0 {
-		limit = usualBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	if c.http.ContentLength > limit {
 		return result.Errorf(result.BodyTooLarge, "%d bytes, allowed are %d", c.http.ContentLength, limit)
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// spendRetry takes one further attempt out of the budget.
-func (g *Gateway) spendRetry() bool {
+// spendRetryBudget takes one further attempt out of the budget.
+func (g *Gateway) spendRetryBudget() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	budget, ok := g.budget.Spend()
@@ -207,8 +207,8 @@
 	return ok
 }
 
-// earnRetry adds a new request's share to the budget.
-func (g *Gateway) earnRetry() {
+// creditRetryBudget adds a new request's share to the budget.
+func (g *Gateway) creditRetryBudget() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.budget = g.budget.Request()
--- a/server/gateway/gateway_test.go
+++ b/server/gateway/gateway_test.go
@@ -76,14 +76,14 @@
 	_, _ = io.WriteString(w, body)
 }
 
-func notRun(w http.ResponseWriter) {
+func refuseUnexecuted(w http.ResponseWriter) {
 	w.Header().Set(header.NotExecuted, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// firstAsked is the script of several servers: the first request that any of them
+// firstThenRest is the script of several servers: the first request that any of them
 // gets is served by first, all others by the rest.
-func firstAsked(first, rest http.HandlerFunc) func(int, http.ResponseWriter, *http.Request) {
+func firstThenRest(first, rest http.HandlerFunc) func(int, http.ResponseWriter, *http.Request) {
 	var asked atomic.Bool
 	return func(_ int, w http.ResponseWriter, r *http.Request) {
 		if asked.CompareAndSwap(false, true) {
@@ -252,8 +252,8 @@
 		sends      int
 		retryAfter bool
 	}{
-		{"refusal, idempotent", notRun, "/safe/x", 200, 2, false},
-		{"refusal, non-idempotent", notRun, "/once/x", 200, 2, false},
+		{"refusal, idempotent", refuseUnexecuted, "/safe/x", 200, 2, false},
+		{"refusal, non-idempotent", refuseUnexecuted, "/once/x", 200, 2, false},
 		{"reset, idempotent", func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, "/safe/x", 200, 2, false},
 		{"reset, non-idempotent", func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, "/once/x", 502, 1, false},
 		{"no signature, idempotent", func(w http.ResponseWriter) { w.WriteHeader(200) }, "/safe/x", 200, 2, false},
@@ -264,7 +264,7 @@
 	}
 	for _, c := range cases {
 		Convey("After a server's "+c.name, t, func() {
-			script := firstAsked(
+			script := firstThenRest(
 				func(w http.ResponseWriter, _ *http.Request) { c.misbehave(w) },
 				func(w http.ResponseWriter, _ *http.Request) { stamped(w, 200, "answer") },
 			)
@@ -288,7 +288,7 @@
 		So(response.Header.Get(header.Stamp), ShouldEqual, "signed")
 	})
 	Convey("A refusal by all is passed on with a time to come back", t, func() {
-		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { notRun(w) })
+		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { refuseUnexecuted(w) })
 		s := newSystem(b)
 		defer s.close(b)
 		response, _, err := s.send("POST", "/once/x", "", nil)
@@ -340,7 +340,7 @@
 
 func TestStreams(t *testing.T) {
 	Convey("A stream that breaks off goes on at another server, each event once", t, func() {
-		script := firstAsked(
+		script := firstThenRest(
 			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
 			func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get(header.LastEvent) != "3" {
@@ -362,7 +362,7 @@
 	Convey("A stream that can't go on is shown as cut", t, func() {
 		b := newBackend("b1", func(n int, w http.ResponseWriter, _ *http.Request) {
 			if n > 1 {
-				notRun(w)
+				refuseUnexecuted(w)
 				return
 			}
 			events(w, 1, 3, false)
@@ -375,7 +375,7 @@
 	})
 	for _, status := range []int{500, 404, 200} {
 		Convey("A begun stream that another server answers with something else is shown as cut", t, func() {
-			script := firstAsked(
+			script := firstThenRest(
 				func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
 				func(w http.ResponseWriter, _ *http.Request) {
 					if status == 200 {
@@ -407,7 +407,7 @@
 		So(ids(body), ShouldResemble, []string{"13", "14"})
 	})
 	Convey("Events that the caller has had are not passed on twice", t, func() {
-		script := firstAsked(
+		script := firstThenRest(
 			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
 			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, true) },
 		)
--- a/server/gateway/stream.go
+++ b/server/gateway/stream.go
@@ -24,9 +24,9 @@
 const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLarge = errors.New("event is too large")
-	errEventGap      = errors.New("event ids are out of order")
-	errHalfEvent     = errors.New("stream ended inside an event")
+	errEventTooLarge  = errors.New("event is too large")
+	errEventOrder     = errors.New("event ids are out of order")
+	errTruncatedEvent = errors.New("stream ended inside an event")
 )
 
 // relayStream passes whole events on as they come. A stream that goes on at
@@ -38,15 +38,15 @@
 		event, id, err := readEvent(reader)
 		if errors.Is(err, io.EOF) {
 			exchange.Finish()
-			c.beginStream(exchange.Response)
+			c.startStream(exchange.Response)
 			return dispatch.Served, nil
 		}
 		if err == nil {
-			err = c.follows(id)
+			err = c.checkEventOrder(id)
 		}
 		if err != nil {
 			exchange.Abort()
-			outcome, failure := c.broken(ctx, err)
+			outcome, failure := c.classifyFailure(ctx, err)
 			if outcome == dispatch.Failed {
 				failure = result.Errorf(result.CutAnswer, "after %d events: %v", c.events, err)
 			}
@@ -54,50 +54,50 @@
 		}
 		now := time.Now()
 		if lastAt.IsZero() {
-			c.gateway.desks.heard(service, server)
+			c.gateway.dispatchers.observeFirstEvent(service, server)
 		} else {
-			c.gateway.desks.gap(service, server, now.Sub(lastAt))
-			c.longestGap = max(c.longestGap, now.Sub(lastAt))
+			c.gateway.dispatchers.observeGap(service, server, now.Sub(lastAt))
+			c.longestEventGap = max(c.longestEventGap, now.Sub(lastAt))
 		}
 		lastAt = now
-		c.beginStream(exchange.Response)
-		c.passEvent(event, id)
+		c.startStream(exchange.Response)
+		c.relayEvent(event, id)
 	}
 }
 
-// follows checks that the event with the id comes after those that the caller
+// checkEventOrder checks that the event with the id comes after those that the caller
 // has.
-func (c *call) follows(id string) error {
+func (c *call) checkEventOrder(id string) error {
 	next, nextErr := strconv.ParseInt(id, 10, 64)
-	last, lastErr := strconv.ParseInt(c.lastEvent, 10, 64)
+	last, lastErr := strconv.ParseInt(c.lastEventID, 10, 64)
 	if nextErr != nil || lastErr != nil {
 		return nil // Ids that aren't numbers can't be compared.
 	}
 	if next <= last {
-		return fmt.Errorf("%w: %d after %d", errEventGap, next, last)
+		return fmt.Errorf("%w: %d after %d", errEventOrder, next, last)
 	}
 	return nil
 }
 
-// beginStream sends the head of the first answer.
-func (c *call) beginStream(response *http.Response) {
-	if c.begun {
+// startStream sends the head of the first answer.
+func (c *call) startStream(response *http.Response) {
+	if c.responseStarted {
 		return
 	}
-	c.begun = true
-	c.firstAt = time.Now()
+	c.responseStarted = true
+	c.firstByteAt = time.Now()
 	copyHeader(c.writer.Header(), platform.EndToEnd(response.Header))
 	c.writer.WriteHeader(response.StatusCode)
 }
 
-func (c *call) passEvent(event []byte, id string) {
+func (c *call) relayEvent(event []byte, id string) {
 	c.write(event)
 	if err := http.NewResponseController(c.writer).Flush(); err != nil {
 		logevent.Write(c.log, logevent.CallerGone, logrus.Fields{"error": err.Error()})
 	}
 	c.events++
 	if id != "" {
-		c.lastEvent = id
+		c.lastEventID = id
 	}
 }
 
@@ -114,7 +114,7 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(event) > 0 {
-			return nil, "", errHalfEvent
+			return nil, "", errTruncatedEvent
 		}
 		if err != nil {
 			return nil, "", err
