--- a/server/deployed/agent.go
+++ b/server/deployed/agent.go
@@ -50,10 +50,10 @@
 	}
 	engine := platform.NewEngine(a.settings.BackendServer, upstream.Dial)
 	maps := &mapcontrol.Agent{
-		Instance: a.settings.Instance, Engine: engine, Store: a.store,
+		InstanceName: a.settings.Instance, Engine: engine, Store: a.store,
 		DirectEngine:   directEngines(),
-		FollowTopology: a.follow,
-		Members:        a.members, EngineModel: a.model, Log: a.log, Metrics: mapcontrol.NewMetrics(a.registry),
+		FollowTopology: a.followTopology,
+		Members:        a.members, EngineModel: a.engineModel, Log: a.log, Metrics: mapcontrol.NewMetrics(a.registry),
 	}
 	maps.Init()
 	publisher := loadreport.NewPublisher(reports)
@@ -65,8 +65,8 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var group run.Group
-	group.Add(func() error { return maps.Serve(calls) }, closer(calls))
-	group.Add(publisher.Serve, closer(reports))
+	group.Add(func() error { return maps.Serve(calls) }, closeOnInterrupt(calls))
+	group.Add(publisher.Serve, closeOnInterrupt(reports))
 	group.Add(func() error { publisher.Run(ctx, a.settings.BackendServer, read); return nil }, func(error) { stop() })
 	group.Add(func() error { maps.Run(ctx); return nil }, func(error) { stop() })
 	addServer(&group, &http.Server{Handler: metricsHandler(a.registry), ErrorLog: serverLog(a.log)}, metrics)
@@ -89,8 +89,8 @@
 	}
 }
 
-// follow follows the store until ctx ends.
-func (a *Agent) follow(ctx context.Context) {
+// followTopology follows the store until ctx ends.
+func (a *Agent) followTopology(ctx context.Context) {
 	follower := newFollower(a.store, agentSettle, a.log, func(*topology.Snapshot) {})
 	a.follower.Store(follower)
 	// A follower ends without an error when its context does.
@@ -121,8 +121,8 @@
 	return members
 }
 
-// model returns the cost model of the own service's engines, nil while unknown.
-func (a *Agent) model() *topology.Engine {
+// engineModel returns the cost engineModel of the own service's engines, nil while unknown.
+func (a *Agent) engineModel() *topology.Engine {
 	snapshot := a.snapshot()
 	if snapshot == nil || snapshot.Config == nil {
 		return nil
@@ -140,8 +140,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// closer returns an interrupt that closes a listener or socket; its actor ends
+// closeOnInterrupt returns an interrupt that closes a listener or socket; its actor ends
 // by that, whatever closing returns.
-func closer(c interface{ Close() error }) func(error) {
+func closeOnInterrupt(c interface{ Close() error }) func(error) {
 	return func(error) { _ = c.Close() }
 }
--- a/server/deployed/entry.go
+++ b/server/deployed/entry.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	// unnoticedPeriod is how long the balancer may go on sending new connections
+	// readinessLag is how long the balancer may go on sending new connections
 	// after readiness is withdrawn: two checks a second apart, and the way.
-	unnoticedPeriod = 3 * time.Second
-	// stopMargin is left of the grace period when waiting for requests ends.
-	stopMargin = 200 * time.Millisecond
+	readinessLag = 3 * time.Second
+	// graceMargin is left of the grace period when waiting for requests ends.
+	graceMargin = 200 * time.Millisecond
 
 	headerTimeout  = 3 * time.Second  // The users' configurations name the same.
 	idleTimeout    = 60 * time.Second // Over the time for which the users' callers reuse a connection.
@@ -41,7 +41,7 @@
 	gateway  *gateway.Gateway
 	follower *follower
 	registry *prometheus.Registry
-	leaving  atomic.Bool
+	draining atomic.Bool
 }
 
 // NewEntry returns an entry that has not started.
@@ -84,18 +84,18 @@
 	addServer(&group, callers, front)
 	stop := make(chan struct{})
 	group.Add(func() error { return e.drain(ctx, callers, stop) }, func(error) { close(stop) })
-	addServer(&group, &http.Server{Handler: http.HandlerFunc(e.answerReady), ErrorLog: serverLog(e.log)}, ready)
+	addServer(&group, &http.Server{Handler: http.HandlerFunc(e.serveReady), ErrorLog: serverLog(e.log)}, ready)
 	addServer(&group, &http.Server{Handler: metricsHandler(e.registry), ErrorLog: serverLog(e.log)}, metrics)
 	group.Add(func() error { return e.follower.run(control) }, func(error) { stopControl() })
 	group.Add(func() error { e.gateway.Run(control); return nil }, func(error) { stopControl() })
-	group.Add(func() error { return subscriber.Serve(e.gateway.ReportLoad) }, closer(reports))
-	group.Add(func() error { subscriber.Run(control, e.agents); return nil }, func(error) { stopControl() })
+	group.Add(func() error { return subscriber.Serve(e.gateway.ReportLoad) }, closeOnInterrupt(reports))
+	group.Add(func() error { subscriber.Run(control, e.agentAddresses); return nil }, func(error) { stopControl() })
 	logevent.Write(e.log, logevent.ProcessReady, logrus.Fields{"callers": e.settings.FrontListen, "metrics_port": metricsPort})
 	return group.Run()
 }
 
-// agents returns where the agents beside model engines listen.
-func (e *Entry) agents() []string {
+// agentAddresses returns where the agentAddresses beside model engines listen.
+func (e *Entry) agentAddresses() []string {
 	snapshot := e.follower.snapshot()
 	if snapshot == nil || snapshot.Config == nil {
 		return nil
@@ -112,8 +112,8 @@
 	return addresses
 }
 
-func (e *Entry) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if e.leaving.Load() || !e.gateway.Ready() {
+func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
+	if e.draining.Load() || !e.gateway.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -128,11 +128,11 @@
 	case <-stop:
 		return nil
 	}
-	end := time.Now().Add(e.settings.Grace - stopMargin)
-	e.leaving.Store(true)
+	end := time.Now().Add(e.settings.Grace - graceMargin)
+	e.draining.Store(true)
 	logevent.Write(e.log, logevent.ProcessLeaving, logrus.Fields{"grace_ms": e.settings.Grace.Milliseconds()})
 	callers.SetKeepAlivesEnabled(false)
-	wait.For(context.Background(), unnoticedPeriod)
+	wait.For(context.Background(), readinessLag)
 	closing, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	err := callers.Shutdown(closing)
--- a/server/mapcontrol/agent.go
+++ b/server/mapcontrol/agent.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// silenceLimit is how long no coordinator has called before an agent tries
+	// coordinatorTimeout is how long no coordinator has called before an agent tries
 	// to take the lease: several rounds of reads.
-	silenceLimit = 700 * time.Millisecond
+	coordinatorTimeout = 700 * time.Millisecond
 	// rankStagger keeps the ranks of a group from trying all at once: a new
 	// coordinator reads the list of servers before its first calls.
 	rankStagger = 100 * time.Millisecond
-	// watchInterval is how often an agent looks at the coordinator's silence.
-	watchInterval = 50 * time.Millisecond
-	// retryInterval follows a try for the lease that failed.
-	retryInterval = 500 * time.Millisecond
+	// coordinatorCheckInterval is how often an agent checks how long ago a coordinator called.
+	coordinatorCheckInterval = 50 * time.Millisecond
+	// leaseRetryInterval follows a try for the lease that failed.
+	leaseRetryInterval = 500 * time.Millisecond
 )
 
 // Metrics counts what a coordinator does.
@@ -59,7 +59,7 @@
 
 // Agent takes part in a group's map for the rank beside it.
 type Agent struct {
-	Instance     string // Name of this instance.
+	InstanceName string // Name of this instance.
 	Engine       Engine
 	DirectEngine func(address string) Engine // For ranks whose agent is away.
 	Store        Store
@@ -89,7 +89,7 @@
 // Run coordinates the group whenever no other agent does, until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.peers.Close()
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(coordinatorCheckInterval)
 	defer ticker.Stop()
 	var notBefore time.Time
 	for {
@@ -98,26 +98,26 @@
 		case <-ctx.Done():
 			return
 		}
-		silence, seen := a.rank.silence()
-		if silence < silenceLimit || time.Now().Before(notBefore) {
+		sinceLastCall, seen := a.rank.sinceLastCall()
+		if sinceLastCall < coordinatorTimeout || time.Now().Before(notBefore) {
 			continue
 		}
 		state, err := a.Engine.Report(ctx)
 		if err != nil || !state.Open || state.Group == "" {
 			continue
 		}
-		if silence < silenceLimit+time.Duration(state.Rank)*rankStagger {
+		if sinceLastCall < coordinatorTimeout+time.Duration(state.Rank)*rankStagger {
 			continue
 		}
-		fence, err := takeLease(ctx, a.Store, state.Group, a.Instance, seen)
+		fence, err := acquireLease(ctx, a.Store, state.Group, a.InstanceName, seen)
 		if err != nil {
-			notBefore = time.Now().Add(retryInterval)
+			notBefore = time.Now().Add(leaseRetryInterval)
 			if !errors.Is(err, errLeaseLost) {
-				logevent.Write(a.Log, logevent.LeaseFailed, logrus.Fields{"group": state.Group, "silence_ms": silence.Milliseconds(), "error": err.Error()})
+				logevent.Write(a.Log, logevent.LeaseFailed, logrus.Fields{"group": state.Group, "silence_ms": sinceLastCall.Milliseconds(), "error": err.Error()})
 			}
 			continue
 		}
-		logevent.Write(a.Log, logevent.LeaseTaken, logrus.Fields{"group": state.Group, "fence": fence, "silence_ms": silence.Milliseconds()})
+		logevent.Write(a.Log, logevent.LeaseTaken, logrus.Fields{"group": state.Group, "fence": fence, "silence_ms": sinceLastCall.Milliseconds()})
 		a.coordinate(ctx, state, fence)
 		logevent.Write(a.Log, logevent.LeaseLeft, logrus.Fields{"group": state.Group, "fence": fence})
 	}
@@ -125,8 +125,8 @@
 
 func (a *Agent) coordinate(ctx context.Context, state topology.RankState, fence uint64) {
 	c := &coordinator{
-		fence: fence, group: state.Group, members: a.Members, peers: a.peers, direct: a.DirectEngine, log: a.Log,
-		planner: newPlanner(a.EngineModel, state.Group, a.Log, a.Metrics), counters: a.Metrics,
+		fence: fence, group: state.Group, members: a.Members, peers: a.peers, directEngine: a.DirectEngine, log: a.Log,
+		planner: newPlanner(a.EngineModel, state.Group, a.Log, a.Metrics), metrics: a.Metrics,
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/server/mapcontrol/bench_test.go
+++ b/server/mapcontrol/bench_test.go
@@ -41,8 +41,8 @@
 	return e
 }
 
-// begin begins a pass unless a rank holds it.
-func (e *modelEngines) begin(random *rand.Rand) {
+// beginPass begins a pass unless a rank holds it.
+func (e *modelEngines) beginPass(random *rand.Rand) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, state := range e.states {
@@ -133,7 +133,7 @@
 	for b.Loop() {
 		engines := newModelEngines(63, model)
 		byAddress := map[string]Engine{}
-		direct := func(address string) Engine { return byAddress[address] }
+		directEngine := func(address string) Engine { return byAddress[address] }
 		var members []Member
 		var listeners []net.Listener
 		for rank := range engines.size {
@@ -142,26 +142,26 @@
 				b.Fatal(err)
 			}
 			listeners = append(listeners, listener)
-			receiver := NewRank(modelEngine{engines, rank}, direct)
+			receiver := NewRank(modelEngine{engines, rank}, directEngine)
 			go func() {
 				_ = rpc.Serve(listener, map[string]any{receiverName: receiver}, logrus.NewEntry(logger))
 			}()
 			byAddress[listener.Addr().String()] = modelEngine{engines, rank}
 			members = append(members, Member{Server: listener.Addr().String(), Agent: listener.Addr().String()})
 		}
-		metrics := NewMetrics(prometheus.NewRegistry())
+		testMetrics := NewMetrics(prometheus.NewRegistry())
 		log := logrus.NewEntry(logger)
 		c := &coordinator{
-			fence: 1, group: "g", members: func() []Member { return members }, peers: rpc.NewPool(nil), log: log, counters: metrics,
-			planner: newPlanner(func() *topology.Engine { return &model }, "g", log, metrics),
-			direct:  direct,
+			fence: 1, group: "g", members: func() []Member { return members }, peers: rpc.NewPool(nil), log: log, metrics: testMetrics,
+			planner:      newPlanner(func() *topology.Engine { return &model }, "g", log, testMetrics),
+			directEngine: directEngine,
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		go func() {
 			random := rand.New(rand.NewPCG(1, 1))
 			for ctx.Err() == nil {
 				time.Sleep(70 * time.Millisecond)
-				engines.begin(random)
+				engines.beginPass(random)
 			}
 		}()
 		c.run(ctx, 0)
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -23,24 +23,24 @@
 const (
 	// callTimeout bounds one call to an agent with its calls to the engine.
 	callTimeout = 300 * time.Millisecond
-	// countedRanks is how many ranks' counts are read in one round. Requests are
+	// countedRanksPerRound is how many ranks' counts are read in one round. Requests are
 	// spread over all ranks alike, so a part of a large group tells the demand of
 	// all, and the link of the coordinator's machine holds it.
-	countedRanks = 12
-	// listsInterval bounds how often an engine's lists are read from afar, which
+	countedRanksPerRound = 12
+	// remoteListsInterval bounds how often an engine's lists are read from afar, which
 	// makes its group pause.
-	listsInterval = time.Second
+	remoteListsInterval = time.Second
 	// readInterval is how often every rank is read, which tells the agents too
 	// that the coordinator lives.
 	readInterval = 100 * time.Millisecond
-	// changeReadInterval holds while a change is under way, for each rank: 24 ms
+	// changeReadIntervalPerRank holds while a change is under way, for each rank: 24 ms
 	// in a group of twelve, and never more calls a second in a larger one.
-	changeReadInterval = 2 * time.Millisecond
-	// foreignLife is how long a member that has shown another group is not read again;
+	changeReadIntervalPerRank = 2 * time.Millisecond
+	// foreignMemberTTL is how long a member that has shown another group is not read again;
 	// soughtLife is the same while ranks of the own group are missing. Servers join
 	// other groups only when they restart, which takes seconds.
-	foreignLife = 5 * time.Second
-	soughtLife  = 500 * time.Millisecond
+	foreignMemberTTL               = 5 * time.Second
+	foreignMemberTTLWhileSearching = 500 * time.Millisecond
 	// maxUnknownReads bounds how many members of unknown groups are read in a round. A
 	// large service has dozens of groups, each with a coordinator that looks for its
 	// ranks; each read of another machine opens a connection.
@@ -51,25 +51,25 @@
 
 // coordinator runs the map of one group under one lease.
 type coordinator struct {
-	fence    uint64
-	group    string
-	members  func() []Member
-	peers    *rpc.Pool
-	direct   func(address string) Engine
-	log      *logrus.Entry
-	loop     *loop.Loop[mapswitch.State, view]
-	planner  *planner
-	fenced   context.CancelFunc
-	counters *Metrics
+	fence        uint64
+	group        string
+	members      func() []Member
+	peers        *rpc.Pool
+	directEngine func(address string) Engine
+	log          *logrus.Entry
+	loop         *loop.Loop[mapswitch.State, view]
+	planner      *planner
+	stop         context.CancelFunc
+	metrics      *Metrics
 
-	mu        sync.Mutex
-	addresses map[int]Member       // Of the ranks of the epoch.
-	foreign   map[string]time.Time // When members showed another group, by server.
+	mu           sync.Mutex
+	addresses    map[int]Member       // Of the ranks of the epoch.
+	foreignSince map[string]time.Time // When members showed another group, by server.
 
-	nextUnknown int // Index of the listed member from which unknown ones are read.
-	epoch       int64
-	listsAt     time.Time // When an engine's lists were last read from afar.
-	copying     GiveArgs  // The latest order to copy, as changes.
+	nextUnknown     int // Index of the listed member from which unknown ones are read.
+	epoch           int64
+	remoteListsAt   time.Time // When an engine's lists were last read from afar.
+	latestCopyOrder GiveArgs  // The latest order to copy, as changes.
 }
 
 // Member is a backend server of a group and the agent beside it.
@@ -90,14 +90,14 @@
 	Requests int       // At all ranks, waiting ones included.
 }
 
-// filled returns the share of the group's places that are taken.
-func (v view) filled(engine *topology.Engine) float64 {
+// slotUtilization returns the share of the group's places that are taken.
+func (v view) slotUtilization(engine *topology.Engine) float64 {
 	return float64(v.Requests) / float64(max(1, v.Size*engine.Slots))
 }
 
-// arming reports whether the group may soon rest until its ranks are armed. Counts
+// mayPauseForArming reports whether the group may soon rest until its ranks are armed. Counts
 // would then fill the link on which the orders go out.
-func (v view) arming() bool {
+func (v view) mayPauseForArming() bool {
 	switch v.Phase {
 	case mapswitch.Holding, mapswitch.Arming, mapswitch.Releasing:
 		return true
@@ -108,9 +108,9 @@
 
 // run coordinates until ctx ends or a newer coordinator has called an agent.
 func (c *coordinator) run(ctx context.Context, ownRank int) {
-	ctx, c.fenced = context.WithCancel(ctx)
-	defer c.fenced()
-	c.addresses, c.foreign = map[int]Member{}, map[string]time.Time{}
+	ctx, c.stop = context.WithCancel(ctx)
+	defer c.stop()
+	c.addresses, c.foreignSince = map[int]Member{}, map[string]time.Time{}
 	c.loop = loop.New(mapswitch.Step, func(s mapswitch.State) view {
 		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.Current, Lists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
 	}, func(effect reduce.Effect) { c.execute(ctx, effect) }, nil)
@@ -130,19 +130,19 @@
 			now = *known
 		}
 		if now.Phase != mapswitch.Idle && now.Phase != mapswitch.Survey {
-			interval = min(interval, time.Duration(now.Size)*changeReadInterval)
+			interval = min(interval, time.Duration(now.Size)*changeReadIntervalPerRank)
 		}
-		counts := time.Since(countsAt) >= readInterval-interval/2 && !now.arming()
+		counts := time.Since(countsAt) >= readInterval-interval/2 && !now.mayPauseForArming()
 		if counts {
 			countsAt = time.Now()
 		}
 		members := c.membersToRead(now.Size)
 		for i, member := range members {
-			counted := counts && (i+len(members)-round)%len(members) < countedRanks
+			counted := counts && (i+len(members)-round)%len(members) < countedRanksPerRound
 			go c.read(ctx, member, now.Lists, counted)
 		}
 		if counts && len(members) > 0 {
-			round = (round + countedRanks) % len(members)
+			round = (round + countedRanksPerRound) % len(members)
 		}
 		wait.For(ctx, interval)
 	}
@@ -161,15 +161,15 @@
 		ranks[member.Server] = true
 		members = append(members, member)
 	}
-	life := foreignLife
+	life := foreignMemberTTL
 	if len(c.addresses) < size {
-		life = soughtLife
+		life = foreignMemberTTLWhileSearching
 	}
 	unknown := 0
 	for i := range listed {
 		// Members that never answer must not keep the others from being read.
 		member := listed[(c.nextUnknown+i)%len(listed)]
-		if ranks[member.Server] || time.Since(c.foreign[member.Server]) < life {
+		if ranks[member.Server] || time.Since(c.foreignSince[member.Server]) < life {
 			continue
 		}
 		if unknown == maxUnknownReads {
@@ -193,39 +193,39 @@
 	if err := c.call(ctx, member.Agent, methodRead, args, &reply); err != nil {
 		// A successor must read every rank before it knows them, also one whose
 		// agent is away: the group may rest until it has.
-		if c.resigned(err) || !lists && !c.isRank(member) {
+		if c.stopIfFenced(err) || !lists && !c.isRank(member) {
 			return
 		}
 		// Counts read from afar make the group pause, and so do lists.
 		reply, isDirect = ReadReply{}, true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		if err := readInto(callCtx, c.direct(member.Server), lists && c.mayReadLists(), &reply); err != nil {
+		if err := readEngine(callCtx, c.directEngine(member.Server), lists && c.allowRemoteLists(), &reply); err != nil {
 			return // Nothing is concluded from silence.
 		}
 	}
-	c.learn(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: asked, Direct: isDirect})
+	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: asked, Direct: isDirect})
 	if reply.Gains != nil {
-		c.planner.observe(rankGains{packed: reply.Gains, elapsed: reply.Elapsed})
+		c.planner.enqueue(rankGains{packed: reply.Gains, elapsed: reply.Elapsed})
 	}
 }
 
-// mayReadLists reports whether an engine's lists may be read from afar now.
-func (c *coordinator) mayReadLists() bool {
+// allowRemoteLists reports whether an engine's lists may be read from afar now.
+func (c *coordinator) allowRemoteLists() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.listsAt) < listsInterval {
+	if time.Since(c.remoteListsAt) < remoteListsInterval {
 		return false
 	}
-	c.listsAt = time.Now()
+	c.remoteListsAt = time.Now()
 	return true
 }
 
-// learn passes a rank's report on.
-func (c *coordinator) learn(member Member, read mapswitch.RankRead) {
+// recordReport passes a rank's report on.
+func (c *coordinator) recordReport(member Member, read mapswitch.RankRead) {
 	state := read.State
 	if state.Group != "" && state.Group != c.group {
-		c.leaveOut(member)
+		c.markForeign(member)
 	}
 	if state.Group != c.group || !state.Open {
 		return
@@ -242,11 +242,11 @@
 	c.loop.Post(read)
 }
 
-// leaveOut notes that the member belongs to another group, and closes the connection
+// markForeign notes that the member belongs to another group, and closes the connection
 // to its agent.
-func (c *coordinator) leaveOut(member Member) {
+func (c *coordinator) markForeign(member Member) {
 	c.mu.Lock()
-	c.foreign[member.Server] = time.Now()
+	c.foreignSince[member.Server] = time.Now()
 	c.mu.Unlock()
 	c.peers.Drop(member.Agent)
 }
@@ -284,9 +284,9 @@
 		}
 	case mapswitch.Superseded:
 		logevent.Write(c.log, logevent.LeaseSucceeded, logrus.Fields{"group": c.group, "fence": c.fence, "version": effect.Version})
-		c.fenced()
+		c.stop()
 	case mapswitch.PhaseChanged:
-		c.counters.CountPhase(effect.To.String())
+		c.metrics.CountPhase(effect.To.String())
 		logevent.Write(c.log, logevent.MapPhase, logrus.Fields{
 			"group": c.group, "epoch": effect.Epoch, "version": effect.Version, "pass": effect.Pass,
 			"phase": effect.To.String(), "from": effect.From.String(), "after_ms": effect.TimeInPhase.Milliseconds(), "reason": effect.Reason,
@@ -303,34 +303,34 @@
 	read := mapswitch.RankRead{RequestedAt: asked}
 	defer func() { c.loop.Post(given) }()
 	var reply GiveReply
-	if err := c.pass(ctx, member, through, give, &reply); err != nil {
-		if c.resigned(err) || order.Kind == topology.Hold || order.Kind == topology.Release {
-			c.logOrder(member, order, err.Error())
+	if err := c.giveThroughAgent(ctx, member, through, give, &reply); err != nil {
+		if c.stopIfFenced(err) || order.Kind == topology.Hold || order.Kind == topology.Release {
+			c.logOrderFailure(member, order, err.Error())
 			return
 		}
 		read.Direct = true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		if err := giveInto(callCtx, c.direct(member.Server), order, &reply); err != nil {
-			c.logOrder(member, order, err.Error())
+		if err := giveAndReport(callCtx, c.directEngine(member.Server), order, &reply); err != nil {
+			c.logOrderFailure(member, order, err.Error())
 			return
 		}
 	}
 	given.Answered = true
 	if reply.Problem != "" {
-		c.logOrder(member, order, reply.Problem)
+		c.logOrderFailure(member, order, reply.Problem)
 	}
 	if through != member {
 		go c.read(ctx, member, false, false) // Only its own agent reads it fresh.
 		return
 	}
 	read.State = reply.State
-	c.learn(member, read)
+	c.recordReport(member, read)
 }
 
-// pass passes an order to a rank's agent: where the agent knows the map in use,
+// giveThroughAgent passes an order to a rank's agent: where the agent knows the map in use,
 // what changes in it.
-func (c *coordinator) pass(ctx context.Context, member, through Member, give mapswitch.SendOrder, reply *GiveReply) error {
+func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, give mapswitch.SendOrder, reply *GiveReply) error {
 	whole := GiveArgs{Caller: c.caller(), Order: give.Order}
 	if through != member {
 		whole.Server = member.Server
@@ -340,7 +340,7 @@
 		return c.call(ctx, member.Agent, methodGive, whole, reply)
 	}
 	args := c.copyOrder(give)
-	if !args.builds() {
+	if !args.hasChanges() {
 		return c.call(ctx, member.Agent, methodGive, whole, reply)
 	}
 	if err := c.call(ctx, member.Agent, methodGive, args, reply); err != nil || !reply.UnknownBase {
@@ -356,9 +356,9 @@
 func (c *coordinator) copyOrder(give mapswitch.SendOrder) GiveArgs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.copying.Order
-	if known.Version == give.Order.Version && known.Epoch == give.Order.Epoch && c.copying.Base == give.BaseVersion {
-		return c.copying
+	known := c.latestCopyOrder.Order
+	if known.Version == give.Order.Version && known.Epoch == give.Order.Epoch && c.latestCopyOrder.Base == give.BaseVersion {
+		return c.latestCopyOrder
 	}
 	args := GiveArgs{
 		Caller: c.caller(), Order: give.Order,
@@ -366,11 +366,11 @@
 	}
 	args.InTurn, _ = mapswitch.DealtInTurn(give.BaseMap)
 	args.Order.Map = nil
-	c.copying = args
+	c.latestCopyOrder = args
 	return args
 }
 
-func (c *coordinator) logOrder(member Member, order topology.Order, problem string) {
+func (c *coordinator) logOrderFailure(member Member, order topology.Order, problem string) {
 	logevent.Write(c.log, logevent.MapOrderFailed, logrus.Fields{
 		"group": c.group, "server": member.Server, "order": order.Kind.String(),
 		"epoch": order.Epoch, "version": order.Version, "pass": order.Pass, "error": problem,
@@ -387,13 +387,13 @@
 	return err
 }
 
-// resigned reports whether the error says that a newer coordinator has called,
+// stopIfFenced reports whether the error says that a newer coordinator has called,
 // and ends this one then.
-func (c *coordinator) resigned(err error) bool {
+func (c *coordinator) stopIfFenced(err error) bool {
 	// net/rpc passes errors on as text.
 	if !strings.HasPrefix(err.Error(), errFenced.Error()) {
 		return false
 	}
-	c.fenced()
+	c.stop()
 	return true
 }
--- a/server/mapcontrol/lease.go
+++ b/server/mapcontrol/lease.go
@@ -13,9 +13,9 @@
 // leaseTable holds a row a group: who coordinates its expert map.
 const leaseTable = "map_leases"
 
-// firstCalls is how long an agent that has taken the lease needs at most until it
+// maxFirstCallDelay is how long an agent that has taken the lease needs at most until it
 // has called all others: it reads the list of servers before.
-const firstCalls = 800 * time.Millisecond
+const maxFirstCallDelay = 800 * time.Millisecond
 
 // errLeaseLost means that another agent took the lease first, or a moment ago.
 var errLeaseLost = errors.New("another agent took the lease")
@@ -34,18 +34,18 @@
 	TakenMS int64  `json:"taken_ms"` // On the store's steady clock, as read before the write.
 }
 
-// justTaken reports whether another agent took the lease so shortly before the time
+// recentlyAcquired reports whether another agent took the lease so shortly before the time
 // of the store that it may not have called anyone yet. A clock that has started
 // anew proves nothing.
-func (r leaseRow) justTaken(self string, now time.Duration) bool {
+func (r leaseRow) recentlyAcquired(self string, now time.Duration) bool {
 	age := now - time.Duration(r.TakenMS)*time.Millisecond
-	return r.Holder != self && r.TakenMS > 0 && age >= 0 && age < firstCalls
+	return r.Holder != self && r.TakenMS > 0 && age >= 0 && age < maxFirstCallDelay
 }
 
-// takeLease takes the group's lease and returns its number, which is higher
+// acquireLease takes the group's lease and returns its number, which is higher
 // than every number before. It fails with errLeaseLost where another agent was
 // faster, or took it a moment ago.
-func takeLease(ctx context.Context, store Store, group, self string, seen uint64) (uint64, error) {
+func acquireLease(ctx context.Context, store Store, group, self string, seen uint64) (uint64, error) {
 	row, err := store.Get(ctx, leaseTable, group)
 	if err != nil {
 		return 0, fmt.Errorf("read lease: %w", err)
@@ -56,7 +56,7 @@
 			return 0, fmt.Errorf("decode lease of group %q: %w", group, err)
 		}
 	}
-	if current.justTaken(self, row.ReadAt) {
+	if current.recentlyAcquired(self, row.ReadAt) {
 		return 0, errLeaseLost
 	}
 	next := leaseRow{Holder: self, Fence: max(current.Fence, seen) + 1, TakenMS: row.ReadAt.Milliseconds()}
--- a/server/mapcontrol/mapcontrol_test.go
+++ b/server/mapcontrol/mapcontrol_test.go
@@ -22,10 +22,10 @@
 
 // rowStore holds one row; lose makes the answer of the next write get lost.
 type rowStore struct {
-	mu   sync.Mutex
-	now  time.Duration
-	row  platform.Row
-	lose bool
+	mu         sync.Mutex
+	now        time.Duration
+	row        platform.Row
+	loseAnswer bool
 }
 
 func (s *rowStore) Get(context.Context, string, string) (platform.Row, error) {
@@ -44,8 +44,8 @@
 	}
 	row.Version++
 	s.row = row
-	if s.lose {
-		s.lose = false
+	if s.loseAnswer {
+		s.loseAnswer = false
 		return 0, errors.New("answer lost")
 	}
 	return row.Version, nil
@@ -57,35 +57,35 @@
 		store := &rowStore{}
 		last := uint64(0)
 		for range 5 {
-			fence, err := takeLease(ctx, store, "g", "a", 0)
+			fence, err := acquireLease(ctx, store, "g", "a", 0)
 			So(err, ShouldBeNil)
 			So(fence, ShouldBeGreaterThan, last)
 			last = fence
 		}
 	})
 	Convey("The number exceeds any that was heard of, and a lost answer uses one up", t, func() {
-		store := &rowStore{lose: true}
-		_, err := takeLease(ctx, store, "g", "a", 7)
+		store := &rowStore{loseAnswer: true}
+		_, err := acquireLease(ctx, store, "g", "a", 7)
 		So(err, ShouldNotBeNil)
-		fence, err := takeLease(ctx, store, "g", "b", 0)
+		fence, err := acquireLease(ctx, store, "g", "b", 0)
 		So(err, ShouldBeNil)
 		So(fence, ShouldEqual, 9)
 	})
 	Convey("An agent leaves the lease to one that took it a moment ago, whatever clocks do", t, func() {
 		store := &rowStore{now: time.Hour}
-		first, err := takeLease(ctx, store, "g", "a", 0)
+		first, err := acquireLease(ctx, store, "g", "a", 0)
 		So(err, ShouldBeNil)
-		store.now += firstCalls / 2
-		_, err = takeLease(ctx, store, "g", "b", 0)
+		store.now += maxFirstCallDelay / 2
+		_, err = acquireLease(ctx, store, "g", "b", 0)
 		So(errors.Is(err, errLeaseLost), ShouldBeTrue)
-		_, err = takeLease(ctx, store, "g", "a", 0) // It has started again.
+		_, err = acquireLease(ctx, store, "g", "a", 0) // It has started again.
 		So(err, ShouldBeNil)
-		store.now += 2 * firstCalls
-		second, err := takeLease(ctx, store, "g", "b", 0)
+		store.now += 2 * maxFirstCallDelay
+		second, err := acquireLease(ctx, store, "g", "b", 0)
 		So(err, ShouldBeNil)
 		So(second, ShouldBeGreaterThan, first)
 		store.now = time.Minute // The store has started again.
-		_, err = takeLease(ctx, store, "g", "c", 0)
+		_, err = acquireLease(ctx, store, "g", "c", 0)
 		So(err, ShouldBeNil)
 	})
 	Convey("Of agents that race, one wins", t, func() {
@@ -94,7 +94,7 @@
 		fences := make(chan uint64, 20)
 		for range 20 {
 			wg.Go(func() {
-				if fence, err := takeLease(ctx, store, "g", "a", 0); err == nil {
+				if fence, err := acquireLease(ctx, store, "g", "a", 0); err == nil {
 					fences <- fence
 				}
 			})
@@ -177,10 +177,10 @@
 	Convey("A call of a succeeded coordinator does not count as a sign of life", t, func() {
 		rank := NewRank(&countingEngine{}, nil)
 		rank.fence = 5
-		before := rank.heardAt
+		before := rank.lastCallAt
 		var read ReadReply
 		So(rank.Read(ReadArgs{Caller: Caller{Fence: 4}}, &read), ShouldNotBeNil)
-		So(rank.heardAt, ShouldEqual, before)
+		So(rank.lastCallAt, ShouldEqual, before)
 	})
 }
 
@@ -194,7 +194,7 @@
 		log.SetOutput(io.Discard)
 		c := &coordinator{
 			group: "g-20", members: func() []Member { return members }, peers: rpc.NewPool(nil), log: logrus.NewEntry(log),
-			addresses: map[int]Member{}, foreign: map[string]time.Time{},
+			addresses: map[int]Member{}, foreignSince: map[string]time.Time{},
 		}
 		c.loop = loop.New(mapswitch.Step, func(mapswitch.State) view { return view{} }, func(reduce.Effect) {}, nil)
 		answer := func(read []Member) {
@@ -205,7 +205,7 @@
 				if number%2 == 1 && number/64 != 20 {
 					continue // Its machine is away.
 				}
-				c.learn(member, mapswitch.RankRead{State: topology.RankState{
+				c.recordReport(member, mapswitch.RankRead{State: topology.RankState{
 					Group: fmt.Sprint("g-", number/64), Open: true, Epoch: 1, Rank: number % 64, Size: 64,
 				}})
 			}
@@ -236,14 +236,14 @@
 	})
 }
 
-func TestAgentAway(t *testing.T) {
+func TestReadRankWithUnreachableAgent(t *testing.T) {
 	Convey("A successor reads a rank whose agent is away from the engine itself", t, func() {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		c := &coordinator{
 			fence: 2, group: "g", peers: rpc.NewPool(nil), log: logrus.NewEntry(log), addresses: map[int]Member{},
-			direct: func(string) Engine { return &countingEngine{} },
-			fenced: func() {},
+			directEngine: func(string) Engine { return &countingEngine{} },
+			stop:         func() {},
 		}
 		c.loop = loop.New(mapswitch.Step, func(mapswitch.State) view { return view{} }, func(reduce.Effect) {}, nil)
 		away := Member{Server: "127.0.0.1:1", Agent: "127.0.0.1:1"}
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -18,14 +18,14 @@
 	// planInterval is how often a new map is considered while none is under way: a
 	// fraction of a pass.
 	planInterval = 20 * time.Millisecond
-	// copyPeriod is how long a rank may copy for one change, so that several
+	// copyTimeBudget is how long a rank may copy for one change, so that several
 	// changes fit between two jumps of demand.
-	copyPeriod = 200 * time.Millisecond
+	copyTimeBudget = 200 * time.Millisecond
 	// maxCopies bounds the experts that one change brings to a rank: more were never
 	// worth waiting for, and considering them takes the planner's time.
 	maxCopies = 4
-	// takeUp is the time in which the control goroutine takes a plan up.
-	takeUp = 60 * time.Millisecond
+	// planHandoverTime is the time in which the control goroutine takes a plan up.
+	planHandoverTime = 60 * time.Millisecond
 	// expertPassShare is the share of a busy group's pass that experts take: a
 	// step of the users' engines has 4.8 ms besides, and 3 to 5 ms of token work,
 	// most of it the experts'.
@@ -37,15 +37,15 @@
 
 // planner turns the ranks' counts into maps.
 type planner struct {
-	engine func() *topology.Engine
-	log    *logrus.Entry
-	group  string
-	gains  chan rankGains
-	gauges *Metrics
+	engine  func() *topology.Engine
+	log     *logrus.Entry
+	group   string
+	gains   chan rankGains
+	metrics *Metrics
 
-	demand   *hotexperts.Demand
-	postedAt time.Time // When the latest plan was handed over.
-	planned  bool      // A plan was considered for the demand as it is.
+	demand         *hotexperts.Demand
+	lastPostedAt   time.Time // When the latest plan was handed over.
+	planConsidered bool      // A plan was considered for the demand as it is.
 }
 
 // rankGains is what the counts of one rank have gained.
@@ -54,14 +54,14 @@
 	elapsed time.Duration
 }
 
-func newPlanner(engine func() *topology.Engine, group string, log *logrus.Entry, gauges *Metrics) *planner {
+func newPlanner(engine func() *topology.Engine, group string, log *logrus.Entry, metrics *Metrics) *planner {
 	const queued = 256 // A few rounds of a large group.
-	return &planner{engine: engine, group: group, log: log, gains: make(chan rankGains, queued), gauges: gauges}
+	return &planner{engine: engine, group: group, log: log, gains: make(chan rankGains, queued), metrics: metrics}
 }
 
-// observe takes in a rank's gains. Where the planner is far behind they are left
+// enqueue takes in a rank's gains. Where the planner is far behind they are left
 // out; others tell the same demand.
-func (p *planner) observe(gains rankGains) {
+func (p *planner) enqueue(gains rankGains) {
 	select {
 	case p.gains <- gains:
 	default:
@@ -74,7 +74,7 @@
 	for {
 		select {
 		case gains := <-p.gains:
-			p.take(gains)
+			p.applyGains(gains)
 		case <-ticker.C:
 			p.plan(control)
 		case <-ctx.Done():
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *planner) take(gains rankGains) {
+func (p *planner) applyGains(gains rankGains) {
 	engine := p.engine()
 	if engine == nil {
 		return
@@ -96,8 +96,8 @@
 	if p.demand == nil {
 		p.demand = hotexperts.NewDemand(engine.Sets, engine.Experts)
 	}
-	if p.demand.Observe(counts, gains.elapsed, countedRanks) {
-		p.planned = false
+	if p.demand.Observe(counts, gains.elapsed, countedRanksPerRound) {
+		p.planConsidered = false
 	}
 }
 
@@ -107,21 +107,21 @@
 	if state == nil || engine == nil || p.demand == nil || state.Phase != mapswitch.Idle || state.Current == nil {
 		return
 	}
-	if p.planned || p.demand.Choices() < minChoices || time.Since(p.postedAt) < takeUp {
+	if p.planConsidered || p.demand.Choices() < minChoices || time.Since(p.lastPostedAt) < planHandoverTime {
 		return
 	}
-	p.planned = true
+	p.planConsidered = true
 	shape := hotexperts.Shape{
 		Ranks: state.Size, Places: engine.Places, Experts: engine.Experts, NewPerSet: engine.NewPerSet,
 		Slowness: state.Slowness,
 	}
 	plan := hotexperts.DecideSoonest(shape, state.Current, p.demand.Load(), copyBudget(engine), engine.CopyTime())
-	p.gauges.skew.Set(plan.SkewBefore)
-	if !plan.Pays(hotexperts.Costs{CopyTime: engine.CopyTime(), ExpertShare: expertPassShare, Filled: state.filled(engine)}) {
+	p.metrics.skew.Set(plan.SkewBefore)
+	if !plan.Pays(hotexperts.Costs{CopyTime: engine.CopyTime(), ExpertShare: expertPassShare, Filled: state.slotUtilization(engine)}) {
 		return
 	}
-	p.postedAt = time.Now()
-	p.gauges.copies.Add(float64(plan.Copies))
+	p.lastPostedAt = time.Now()
+	p.metrics.copies.Add(float64(plan.Copies))
 	logevent.Write(p.log, logevent.MapPlanned, logrus.Fields{
 		"group": p.group, "epoch": state.Epoch, "copies": plan.Copies, "most_copies": plan.MostCopies,
 		"skew_before": plan.SkewBefore, "skew_after": plan.SkewAfter, "slowest": slices.Max(state.Slowness), "choices": p.demand.Choices(),
@@ -131,5 +131,5 @@
 
 // copyBudget is the number of experts that one change may bring to a rank.
 func copyBudget(engine *topology.Engine) int {
-	return min(maxCopies, max(1, int(copyPeriod/max(time.Millisecond, engine.CopyTime()))))
+	return min(maxCopies, max(1, int(copyTimeBudget/max(time.Millisecond, engine.CopyTime()))))
 }
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -67,8 +67,8 @@
 	Changes []mapswitch.Change
 }
 
-// builds reports whether the order holds changes.
-func (a GiveArgs) builds() bool { return a.Base != 0 || a.InTurn.Sets != 0 }
+// hasChanges reports whether the order holds changes.
+func (a GiveArgs) hasChanges() bool { return a.Base != 0 || a.InTurn.Sets != 0 }
 
 // GiveReply is the rank's state after the order.
 type GiveReply struct {
@@ -82,25 +82,25 @@
 
 // Rank answers a coordinator's calls; its methods are called over RPC.
 type Rank struct {
-	engine Engine
-	direct func(address string) Engine // For orders to other engines.
+	engine       Engine
+	directEngine func(address string) Engine // For orders to other engines.
 
-	mu      sync.Mutex
-	fence   uint64 // The highest seen.
-	heardAt time.Time
-	counts  topology.RankCounts // As last read.
-	readAt  time.Time
-	maps    map[int64]mapswitch.Map // By version: the last two that were to be copied.
+	mu           sync.Mutex
+	fence        uint64 // The highest seen.
+	lastCallAt   time.Time
+	counts       topology.RankCounts // As last read.
+	countsReadAt time.Time
+	maps         map[int64]mapswitch.Map // By version: the last two that were to be copied.
 }
 
-// NewRank returns the receiver for the engine; direct returns other engines.
-func NewRank(engine Engine, direct func(address string) Engine) *Rank {
-	return &Rank{engine: engine, direct: direct, heardAt: time.Now(), maps: map[int64]mapswitch.Map{}}
+// NewRank returns the receiver for the engine; directEngine returns other engines.
+func NewRank(engine Engine, directEngine func(address string) Engine) *Rank {
+	return &Rank{engine: engine, directEngine: directEngine, lastCallAt: time.Now(), maps: map[int64]mapswitch.Map{}}
 }
 
 // Read returns what the rank knows.
 func (r *Rank) Read(args ReadArgs, reply *ReadReply) error {
-	if err := r.admit(args.Caller); err != nil {
+	if err := r.checkFence(args.Caller); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -110,26 +110,26 @@
 		if err != nil {
 			return fmt.Errorf("read counts: %w", err)
 		}
-		reply.Gains, reply.Elapsed = r.gained(counts)
+		reply.Gains, reply.Elapsed = r.countGains(counts)
 	}
-	return readInto(ctx, r.engine, args.Lists, reply)
+	return readEngine(ctx, r.engine, args.Lists, reply)
 }
 
-// gained returns what the counts have gained since they were last read in the
+// countGains returns what the counts have countGains since they were last read in the
 // same epoch.
-func (r *Rank) gained(counts topology.RankCounts) ([]byte, time.Duration) {
+func (r *Rank) countGains(counts topology.RankCounts) ([]byte, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before, elapsed := r.counts, time.Since(r.readAt)
-	r.counts, r.readAt = counts, time.Now()
+	before, elapsed := r.counts, time.Since(r.countsReadAt)
+	r.counts, r.countsReadAt = counts, time.Now()
 	if before.Counts == nil || before.Epoch != counts.Epoch {
 		return nil, 0
 	}
 	return hotexperts.PackCounts(before.Counts, counts.Counts), elapsed
 }
 
-// readInto reads the engine.
-func readInto(ctx context.Context, engine Engine, lists bool, reply *ReadReply) error {
+// readEngine reads the engine.
+func readEngine(ctx context.Context, engine Engine, lists bool, reply *ReadReply) error {
 	var err error
 	if lists {
 		// Before the report, so that lists of a version that the report shows are
@@ -146,12 +146,12 @@
 
 // Give passes an order to the rank and returns the rank's state after it.
 func (r *Rank) Give(args GiveArgs, reply *GiveReply) error {
-	if err := r.admit(args.Caller); err != nil {
+	if err := r.checkFence(args.Caller); err != nil {
 		return err
 	}
 	order := args.Order
 	if order.Kind == topology.Prepare {
-		next, ok := r.nextMap(args)
+		next, ok := r.resolveMap(args)
 		if !ok {
 			reply.UnknownBase = true
 			return nil
@@ -162,17 +162,17 @@
 	defer cancel()
 	if args.Server != "" {
 		// Its report would lag when it is read from here.
-		return giveOnly(ctx, r.direct(args.Server), order, reply)
+		return giveOrder(ctx, r.directEngine(args.Server), order, reply)
 	}
-	return giveInto(ctx, r.engine, order, reply)
+	return giveAndReport(ctx, r.engine, order, reply)
 }
 
-// nextMap returns the whole map of an order to copy and remembers it.
-func (r *Rank) nextMap(args GiveArgs) (mapswitch.Map, bool) {
+// resolveMap returns the whole map of an order to copy and remembers it.
+func (r *Rank) resolveMap(args GiveArgs) (mapswitch.Map, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := args.Order.Map
-	if args.builds() {
+	if args.hasChanges() {
 		base, known := r.maps[args.Base]
 		if args.InTurn.Sets != 0 {
 			base, known = mapswitch.InTurn(args.InTurn), true
@@ -194,8 +194,8 @@
 	return next, true
 }
 
-// giveOnly gives the order; the reply says what the engine thought of it.
-func giveOnly(ctx context.Context, engine Engine, order topology.Order, reply *GiveReply) error {
+// giveOrder gives the order; the reply says what the engine thought of it.
+func giveOrder(ctx context.Context, engine Engine, order topology.Order, reply *GiveReply) error {
 	err := engine.Give(ctx, order)
 	if err != nil && !errors.Is(err, platform.ErrUnfit) && !errors.Is(err, platform.ErrUnknownOutcome) {
 		return err
@@ -206,9 +206,9 @@
 	return nil
 }
 
-// giveInto gives the order and reads the engine's report after it.
-func giveInto(ctx context.Context, engine Engine, order topology.Order, reply *GiveReply) error {
-	err := giveOnly(ctx, engine, order, reply)
+// giveAndReport gives the order and reads the engine's report after it.
+func giveAndReport(ctx context.Context, engine Engine, order topology.Order, reply *GiveReply) error {
+	err := giveOrder(ctx, engine, order, reply)
 	if err != nil {
 		return err
 	}
@@ -218,22 +218,22 @@
 	return nil
 }
 
-// admit refuses coordinators that have been succeeded.
-func (r *Rank) admit(caller Caller) error {
+// checkFence refuses coordinators that have been succeeded.
+func (r *Rank) checkFence(caller Caller) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if caller.Fence < r.fence {
 		return fmt.Errorf("%w: %d, the caller's is %d", errFenced, r.fence, caller.Fence)
 	}
 	r.fence = caller.Fence
-	r.heardAt = time.Now()
+	r.lastCallAt = time.Now()
 	return nil
 }
 
-// silence returns how long no coordinator has called, and the highest number
+// sinceLastCall returns how long no coordinator has called, and the highest number
 // seen.
-func (r *Rank) silence() (time.Duration, uint64) {
+func (r *Rank) sinceLastCall() (time.Duration, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.heardAt), r.fence
+	return time.Since(r.lastCallAt), r.fence
 }
