--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -20,25 +20,27 @@
 )
 
 const (
-	notReadyRetryAfter  = 500 * time.Millisecond // A restarted entry reads its tables faster.
-	defaultMaxBodyBytes = 4 << 20                // Where the configuration names no limit.
-	// groupClosedRetryAfter is told to callers whose group takes no work: a rank that
-	// was cut off is back after some seconds.
+	notReadyRetryAfter  = 500 * time.Millisecond // Longer than a restarted entry takes to read its tables.
+	defaultMaxBodyBytes = 4 << 20                // Used if the configuration sets no limit.
+	// groupClosedRetryAfter is the Retry-After sent to callers whose group accepts
+	// no work: a rank that was cut off is back after some seconds.
 	groupClosedRetryAfter = 2 * time.Second
-	// maxSends bounds how often one request is sent, refusals by busy servers
-	// included.
+	// maxSends limits how often one request is sent, including sends that a busy
+	// server refused.
 	maxSends = 5
 
-	// Callers leave a stream after the longest of three gaps without an event.
+	// A caller gives up on a stream after the longest of three periods without an
+	// event: minStreamTimeout, or a multiple of the route's objective or of its
+	// inter-token target.
 	minStreamTimeout        = 2 * time.Second
-	objectiveTimeoutFactor  = 4 // Times the objective.
-	interTokenTimeoutFactor = 8 // Times the longest allowed pause.
-	// minFirstEventTime is what a placed stream needs until its first event: about
-	// three passes of a busy group.
+	objectiveTimeoutFactor  = 4 // Multiple of the route's latency objective.
+	interTokenTimeoutFactor = 8 // Multiple of the route's inter-token target.
+	// minFirstEventTime is how long a stream takes from dispatch to its first
+	// event: about three passes of a busy group.
 	minFirstEventTime = 300 * time.Millisecond
 )
 
-// call is one caller's request on its way.
+// call is one caller's request in flight.
 type call struct {
 	gateway  *Gateway
 	writer   http.ResponseWriter
@@ -50,50 +52,50 @@
 	route    *topology.Route
 	body     []byte
 
-	organisation *topology.Organisation // Nil for public routes.
-	deadline     time.Time              // The caller's, or the route's timeout if that is sooner.
+	organisation *topology.Organisation // Nil for public routes and if no organisations are configured.
+	deadline     time.Time              // The caller's deadline or the end of the route's timeout, whichever is sooner.
 
 	sends                 int    // Attempts that reached a connection.
-	possibleRuns          int    // Attempts that may have run.
-	foundClosed           bool   // The request has found its group closed.
-	refused               bool   // The desk has refused; no attempt follows.
-	avoidServer           string // The server of the last failed attempt.
-	server                string // The server of the last attempt, for the log.
-	responseStarted       bool   // The caller has had the head of the answer.
-	lastEventID           string // Id of the last event that the caller has.
+	possibleRuns          int    // Attempts that the server may have executed.
+	foundClosed           bool   // An attempt was refused because the group is closed.
+	refused               bool   // The dispatcher has refused the request; no attempt follows.
+	avoidServer           string // The server of the latest failed attempt.
+	server                string // The server of the latest attempt; for the log.
+	responseStarted       bool   // The status and headers have been sent to the caller.
+	lastEventID           string // ID of the latest event that the caller has.
 	events                int
 	firstByteAt           time.Time
-	predictedFirstEventAt time.Time     // When the first event was predicted for; zero for no prediction.
-	longestEventGap       time.Duration // Between two events of one server.
-	fallbackAnswer        *answer       // A server's own failure, delivered unless a retry succeeds.
+	predictedFirstEventAt time.Time     // Predicted time of the first event; zero for no prediction.
+	longestEventGap       time.Duration // Between two events from one server.
+	fallbackAnswer        *answer       // A server's error response, delivered unless a retry succeeds.
 }
 
-// answer is a backend server's whole answer.
+// answer is a backend server's complete answer.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// run makes attempts until one is answered or none may follow.
+// run makes attempts until one succeeds or no retry is allowed.
 func (c *call) run() {
 	c.gateway.creditRetryBudget()
 	ctx, cancel := context.WithDeadline(c.http.Context(), c.deadline)
 	defer cancel()
 	service := c.route.PickService(rand.Float64())
 	c.lastEventID = c.request.LastEventID
-	for number := 1; ; number++ {
+	for attemptNumber := 1; ; attemptNumber++ {
 		failure := c.attempt(ctx, service)
 		if failure == nil {
 			c.recordEnd(nil)
 			return
 		}
 		if c.http.Context().Err() != nil {
-			c.recordEnd(result.Errorf(result.Cancelled, "the caller has left"))
+			c.recordEnd(result.Errorf(result.Cancelled, "caller disconnected"))
 			c.abort()
 			return
 		}
-		if !c.shouldRetry(number, failure) {
+		if !c.shouldRetry(attemptNumber, failure) {
 			c.fail(c.finalError(failure))
 			return
 		}
@@ -101,7 +103,7 @@
 }
 
 // shouldRetry reports whether another attempt follows the failed one.
-func (c *call) shouldRetry(number int, failure *result.Error) bool {
+func (c *call) shouldRetry(attemptNumber int, failure *result.Error) bool {
 	reason := ""
 	switch {
 	case c.refused:
@@ -109,7 +111,7 @@
 	case c.sends >= maxSends || c.possibleRuns >= c.route.MaxAttempts:
 		reason = "attempts_used_up"
 	case !retry.Retriable(retry.Attempt{
-		Number: max(1, c.possibleRuns), Err: failure, // Refusals are bounded by maxSends.
+		Number: max(1, c.possibleRuns), Err: failure, // Refusals are limited by maxSends.
 		Begun:      c.responseStarted && !c.resumable(),
 		Idempotent: c.route.Repeatable(),
 		Waited:     time.Since(c.arrived),
@@ -120,23 +122,24 @@
 		reason = "budget_used_up"
 	}
 	logevent.Write(c.log, logevent.AttemptFailed, logrus.Fields{
-		"server": c.server, "attempt": number, "code": int(failure.Code), "error": failure.Error(),
+		"server": c.server, "attempt": attemptNumber, "code": int(failure.Code), "error": failure.Error(),
 		"again": reason == "", "reason": reason, "runs": c.possibleRuns, "begun": c.responseStarted,
 		"config": c.snapshot.Config.Version,
 	})
 	return reason == ""
 }
 
-// resumable reports whether a begun stream may go on at another server.
+// resumable reports whether a started stream may be continued by another server.
 func (c *call) resumable() bool {
 	return c.route.Kind == topology.Stream && c.route.Resumable
 }
 
-// finalError returns what the caller is told after the last attempt.
+// finalError returns the error that the caller gets after the last attempt.
 func (c *call) finalError(failure *result.Error) *result.Error {
 	if c.possibleRuns > 0 && failure.NotRun() {
-		// An earlier attempt may have run, so the promise of the last one doesn't hold.
-		return result.Errorf(result.BackendFailed, "an earlier attempt may have run; the last: %v", failure)
+		// The last error says that the request did not run, but an earlier attempt
+		// may have run.
+		return result.Errorf(result.BackendFailed, "an earlier attempt may have run; last error: %v", failure)
 	}
 	return retry.GivenUp(failure, rand.Uint64())
 }
@@ -146,9 +149,9 @@
 	decision, err := c.gateway.dispatchers.acquire(ctx, service, c.ticket(), c.logDecision)
 	if err != nil {
 		if c.possibleRuns == 0 {
-			return result.Errorf(result.DeadlineTooShort, "no place within the time left")
+			return result.Errorf(result.DeadlineTooShort, "no server slot became free before the deadline")
 		}
-		return result.Errorf(result.DeadlineExceeded, "no place within the time left")
+		return result.Errorf(result.DeadlineExceeded, "no server slot became free before the deadline")
 	}
 	c.logDecision(decision)
 	if decision.Verdict == dispatch.Refuse {
@@ -186,38 +189,38 @@
 	}
 }
 
-// latestStart is when starting the request is of no use any more: callers leave a
-// stream whose first event, or next one, takes too long.
+// latestStart returns the latest time at which starting the request is useful.
+// A caller gives up on a stream whose first or next event takes too long.
 func (c *call) latestStart() time.Time {
 	if c.route.Kind != topology.Stream {
 		return c.deadline
 	}
-	patience := max(minStreamTimeout, objectiveTimeoutFactor*c.route.Objective, interTokenTimeoutFactor*c.route.InterTokenTarget)
-	last := c.arrived.Add(patience - minFirstEventTime)
-	if last.After(c.deadline) {
+	timeout := max(minStreamTimeout, objectiveTimeoutFactor*c.route.Objective, interTokenTimeoutFactor*c.route.InterTokenTarget)
+	latest := c.arrived.Add(timeout - minFirstEventTime)
+	if latest.After(c.deadline) {
 		return c.deadline
 	}
-	return last
+	return latest
 }
 
-// The causes of an exchange that ends so that its stream goes on at another
-// server.
+// Cancellation causes of an exchange whose stream is migrated to another server.
 var (
-	errMigrated       = errors.New("moved off its server")
-	errMigratedSlow   = fmt.Errorf("%w, which holds up its group", errMigrated)
-	errMigratedSilent = fmt.Errorf("%w, which is silent while its group goes on", errMigrated)
+	errMigrated       = errors.New("stream was migrated off its server")
+	errMigratedSlow   = fmt.Errorf("%w, which slows down its group", errMigrated)
+	errMigratedSilent = fmt.Errorf("%w, which sends no events while its group does", errMigrated)
 )
 
-// sendMigratable sends the request and relays the answer. The outcome is what it says
-// of the server. A resumable stream may be moved off the server meanwhile.
+// sendMigratable sends the request and relays the answer. A resumable stream may
+// be migrated off the server meanwhile. The outcome is what the dispatcher learns
+// about the server.
 func (c *call) sendMigratable(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
 	if !c.resumable() || c.possibleRuns+1 >= c.route.MaxAttempts {
 		return c.send(ctx, service, server)
 	}
-	ctx, move := context.WithCancelCause(ctx)
-	defer move(nil)
-	forbid := c.gateway.dispatchers.registerStream(service, server.ID, c, move)
-	defer forbid()
+	ctx, migrate := context.WithCancelCause(ctx)
+	defer migrate(nil)
+	unregister := c.gateway.dispatchers.registerStream(service, server.ID, c, migrate)
+	defer unregister()
 	return c.send(ctx, service, server)
 }
 
@@ -231,26 +234,26 @@
 		return dispatch.Unreachable, result.Errorf(result.NoBackendServer, "%v", err)
 	}
 	c.sends++
-	exchange, err := c.gateway.pool.Do(ctx, conn, c.upstreamRequest(server))
+	exchange, err := c.gateway.pool.Do(ctx, conn, c.forward(server))
 	if err != nil {
 		c.possibleRuns++
 		return c.classifyFailure(ctx, err)
 	}
-	said := platform.DecodeResponse(exchange.Response.StatusCode, exchange.Response.Header)
-	if said.NotRun {
+	decoded := platform.DecodeResponse(exchange.Response.StatusCode, exchange.Response.Header)
+	if decoded.NotRun {
 		exchange.Abort()
 		refusal := result.Errorf(result.Overloaded, "server %s refused with status %d", server.ID, exchange.Response.StatusCode)
-		refusal.RetryAfter = said.RetryAfter
-		if said.OtherServer {
+		refusal.RetryAfter = decoded.RetryAfter
+		if decoded.OtherServer {
 			return dispatch.Replaced, refusal
 		}
 		return dispatch.Busy, refusal
 	}
 	c.possibleRuns++
 	c.gateway.dispatchers.accepted(service)
-	if said.Encoded || !said.Stamped {
+	if decoded.Encoded || !decoded.Stamped {
 		exchange.Abort()
-		return dispatch.Failed, result.Errorf(result.BackendFailed, "status %d, stamped %t, encoded %t", exchange.Response.StatusCode, said.Stamped, said.Encoded)
+		return dispatch.Failed, result.Errorf(result.BackendFailed, "invalid answer: status %d, stamped %t, encoded %t", exchange.Response.StatusCode, decoded.Stamped, decoded.Encoded)
 	}
 	if c.route.Kind == topology.Stream && exchange.Response.StatusCode < http.StatusMultipleChoices {
 		return c.relayStream(ctx, service, server.ID, exchange)
@@ -258,7 +261,7 @@
 	return c.relayBuffered(ctx, exchange)
 }
 
-func (c *call) upstreamRequest(server topology.Candidate) upstream.Request {
+func (c *call) forward(server topology.Candidate) upstream.Request {
 	forward := platform.Forward{Server: server.ID, Remaining: time.Until(c.deadline), LastEventID: c.lastEventID}
 	if c.organisation != nil {
 		forward.Organisation = c.organisation.Name
@@ -272,15 +275,16 @@
 	}
 }
 
-// classifyFailure says what an exchange that ended without an answer means.
+// classifyFailure returns the outcome and the error for an exchange that ended
+// before the answer was complete.
 func (c *call) classifyFailure(ctx context.Context, err error) (dispatch.Outcome, *result.Error) {
 	switch {
 	case c.http.Context().Err() != nil:
-		return dispatch.CallerLeft, result.Errorf(result.Cancelled, "the caller has left")
+		return dispatch.CallerLeft, result.Errorf(result.Cancelled, "caller disconnected")
 	case errors.Is(context.Cause(ctx), errMigrated):
 		return dispatch.CallerLeft, result.Errorf(result.CutAnswer, "%v", context.Cause(ctx))
 	case ctx.Err() != nil:
-		return dispatch.CallerLeft, result.Errorf(result.DeadlineExceeded, "no whole answer within the time left")
+		return dispatch.CallerLeft, result.Errorf(result.DeadlineExceeded, "no complete answer before the deadline")
 	default:
 		return dispatch.Failed, result.Errorf(result.BackendFailed, "%v", err)
 	}
@@ -288,7 +292,7 @@
 
 func (c *call) logDecision(decision dispatch.Decision) {
 	if decision.Verdict == dispatch.Go && c.sends == 0 && decision.Limit == 0 && c.route.Kind != topology.Stream {
-		return // The usual case of a plain request; its end is logged.
+		return // A plain request sent at once; only its end is logged.
 	}
 	verdicts := [...]string{"wait", "go", "refuse"}
 	logevent.Write(c.log, logevent.RequestPlaced, logrus.Fields{
--- a/server/gateway/deliver.go
+++ b/server/gateway/deliver.go
@@ -16,16 +16,17 @@
 	"persimmonwind.dev/server/upstream"
 )
 
-// maxBufferedBytes bounds an answer that is held until it is whole.
+// maxBufferedBytes limits the size of an answer that is buffered until it is
+// complete.
 const maxBufferedBytes = 16 << 20
 
-// relayBuffered reads the whole answer before the caller gets a byte of it.
+// relayBuffered reads the complete answer before it sends any of it to the caller.
 func (c *call) relayBuffered(ctx context.Context, exchange *upstream.Exchange) (dispatch.Outcome, *result.Error) {
 	body, err := io.ReadAll(io.LimitReader(exchange.Response.Body, maxBufferedBytes+1))
 	if err != nil || len(body) > maxBufferedBytes {
 		exchange.Abort()
 		if err == nil {
-			return dispatch.Failed, result.Errorf(result.BackendFailed, "answer of more than %d bytes", maxBufferedBytes)
+			return dispatch.Failed, result.Errorf(result.BackendFailed, "answer exceeds %d bytes", maxBufferedBytes)
 		}
 		outcome, failure := c.classifyFailure(ctx, err)
 		if outcome == dispatch.Failed {
@@ -35,56 +36,59 @@
 	}
 	exchange.Finish()
 	if c.responseStarted {
-		// The caller has had a part of a stream; another answer can't follow it.
-		return dispatch.Failed, result.Errorf(result.CutAnswer, "the stream was to go on, and the server answered status %d", exchange.Response.StatusCode)
+		// The caller already has a part of a stream, which no other kind of answer
+		// can continue.
+		return dispatch.Failed, result.Errorf(result.CutAnswer, "stream could not be resumed: server answered status %d", exchange.Response.StatusCode)
 	}
-	whole := &answer{status: exchange.Response.StatusCode, header: platform.EndToEnd(exchange.Response.Header), body: body}
-	if whole.status >= http.StatusInternalServerError && c.route.Repeatable() {
-		c.fallbackAnswer = whole
-		return dispatch.Failed, result.Errorf(result.BackendFailed, "server answered status %d", whole.status)
+	complete := &answer{status: exchange.Response.StatusCode, header: platform.EndToEnd(exchange.Response.Header), body: body}
+	if complete.status >= http.StatusInternalServerError && c.route.Repeatable() {
+		c.fallbackAnswer = complete
+		return dispatch.Failed, result.Errorf(result.BackendFailed, "server answered status %d", complete.status)
 	}
-	if whole.status >= http.StatusInternalServerError {
-		c.deliver(whole)
+	if complete.status >= http.StatusInternalServerError {
+		c.deliver(complete)
 		return dispatch.Failed, nil
 	}
-	c.deliver(whole)
+	c.deliver(complete)
 	return dispatch.Served, nil
 }
 
-// deliver writes a backend server's whole answer to the caller.
-func (c *call) deliver(whole *answer) {
+// deliver writes a backend server's complete answer to the caller.
+func (c *call) deliver(complete *answer) {
 	c.firstByteAt = time.Now()
 	c.responseStarted = true
 	header := c.writer.Header()
-	copyHeader(header, whole.header)
-	header.Set("Content-Length", strconv.Itoa(len(whole.body)))
-	c.writer.WriteHeader(whole.status)
-	c.write(whole.body)
+	copyHeader(header, complete.header)
+	header.Set("Content-Length", strconv.Itoa(len(complete.body)))
+	c.writer.WriteHeader(complete.status)
+	c.write(complete.body)
 }
 
-// write passes bytes to the caller. A failure means that the caller has left,
-// which its context tells too.
+// write sends bytes to the caller. A failure means that the caller has
+// disconnected, which also cancels the request's context.
 func (c *call) write(data []byte) {
 	if _, err := c.writer.Write(data); err != nil {
 		logevent.Write(c.log, logevent.CallerGone, logrus.Fields{"error": err.Error()})
 	}
 }
 
-// copyHeader sets the headers of a backend server's answer; what net/http
-// would add itself is kept out.
-func copyHeader(into, from http.Header) {
-	for name, values := range from {
-		into[name] = values
+// copyHeader copies the headers of a backend server's answer. A nil value keeps
+// net/http from adding a Content-Type or Date that the answer does not have.
+func copyHeader(dst, src http.Header) {
+	for name, values := range src {
+		dst[name] = values
 	}
-	if _, ok := from["Content-Type"]; !ok {
-		into["Content-Type"] = nil
+	if _, ok := src["Content-Type"]; !ok {
+		dst["Content-Type"] = nil
 	}
-	if _, ok := from["Date"]; !ok {
-		into["Date"] = nil
+	if _, ok := src["Date"]; !ok {
+		dst["Date"] = nil
 	}
 }
 
-// fail ends a call that no backend server has answered.
+// fail ends a call whose last attempt failed. It aborts a response that has
+// started, delivers a server's error response if there is one, and otherwise
+// responds with the failure.
 func (c *call) fail(failure *result.Error) {
 	if c.responseStarted {
 		c.recordEnd(failure)
@@ -99,13 +103,13 @@
 	c.respondError(failure)
 }
 
-// respondError answers with the system's own status.
+// respondError answers with the status code of the failure.
 func (c *call) respondError(failure *result.Error) {
-	info := result.Describe(failure.Code)
+	description := result.Describe(failure.Code)
 	header := c.writer.Header()
 	platform.Answered(header, c.request.AttemptID, failure.RetryAfter)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	c.writer.WriteHeader(info.HTTPStatus)
+	c.writer.WriteHeader(description.HTTPStatus)
 	c.write([]byte(failure.Error() + "\n"))
 	c.recordEnd(failure)
 }
@@ -114,7 +118,7 @@
 // look complete.
 func (c *call) abort() { panic(http.ErrAbortHandler) }
 
-// recordEnd logs and counts how the call went.
+// recordEnd logs the end of the call and updates the metrics.
 func (c *call) recordEnd(failure *result.Error) {
 	code := result.OK
 	fields := logrus.Fields{"sends": c.sends, "runs": c.possibleRuns, "server": c.server, "total_ms": time.Since(c.arrived).Milliseconds()}
--- a/server/gateway/dispatchers.go
+++ b/server/gateway/dispatchers.go
@@ -13,32 +13,33 @@
 	"persimmonwind.dev/server/logevent"
 )
 
-// queuePollInterval is how often waiting requests are looked at beside the moments
-// at which places become free: a fraction of a pass.
+// queuePollInterval is how often waiting requests are reconsidered, in addition to
+// the times at which slots become free. It is a fraction of a pass.
 const queuePollInterval = 20 * time.Millisecond
 
-// dispatchers holds one desk for each service and lets requests wait for it.
+// dispatchers holds one dispatcher for each service, serializes the calls to it and
+// blocks requests until it has decided about them.
 type dispatchers struct {
 	warmUp dispatch.WarmUpLimit
 	log    *logrus.Entry
 
 	mu           sync.Mutex
 	snapshot     *topology.Snapshot
-	byService    map[string]*serviceDispatcher
+	byService    map[string]*dispatcher
 	nextTicketID uint64
 }
 
-type serviceDispatcher struct {
+type dispatcher struct {
 	*dispatch.Dispatcher
 	waiting    map[uint64]chan dispatch.Decision
-	migratable map[string]map[*call]context.CancelCauseFunc // Streams that may be moved, by server.
+	migratable map[string]map[*call]context.CancelCauseFunc // By server: cancels the exchange of a stream, so that it is migrated.
 }
 
-func newDispatchers(ramp dispatch.WarmUpLimit, log *logrus.Entry) *dispatchers {
-	return &dispatchers{warmUp: ramp, log: log, byService: map[string]*serviceDispatcher{}}
+func newDispatchers(warmUp dispatch.WarmUpLimit, log *logrus.Entry) *dispatchers {
+	return &dispatchers{warmUp: warmUp, log: log, byService: map[string]*dispatcher{}}
 }
 
-// configure passes a new snapshot to all desks.
+// configure passes a new snapshot to all dispatchers.
 func (d *dispatchers) configure(snapshot *topology.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,52 +47,54 @@
 		return
 	}
 	d.snapshot = snapshot
-	pauses := interTokenTargets(snapshot.Config)
+	targets := interTokenTargets(snapshot.Config)
 	for name := range snapshot.Config.Services {
 		if d.byService[name] == nil {
-			d.byService[name] = &serviceDispatcher{Dispatcher: dispatch.NewDispatcher(d.warmUp), waiting: map[uint64]chan dispatch.Decision{}, migratable: map[string]map[*call]context.CancelCauseFunc{}}
+			d.byService[name] = &dispatcher{Dispatcher: dispatch.NewDispatcher(d.warmUp), waiting: map[uint64]chan dispatch.Decision{}, migratable: map[string]map[*call]context.CancelCauseFunc{}}
 		}
 	}
-	for name, desk := range d.byService {
-		desk.Configure(snapshot.Candidates(name), snapshot.Service(name), pauses[name])
-		desk.resolveWaiting()
+	for name, dispatcher := range d.byService {
+		dispatcher.Configure(snapshot.Candidates(name), snapshot.Service(name), targets[name])
+		dispatcher.resolveWaiting()
 	}
 }
 
-// interTokenTargets returns the shortest allowed pause of the routes to each service.
+// interTokenTargets returns, for each service, the shortest inter-token target of the
+// routes to it.
 func interTokenTargets(config *topology.Configuration) map[string]time.Duration {
-	goals := map[string]time.Duration{}
+	shortest := map[string]time.Duration{}
 	for _, route := range config.Routes {
 		for _, target := range route.Targets {
-			goal, known := goals[target.Service]
-			if route.InterTokenTarget > 0 && (!known || route.InterTokenTarget < goal) {
-				goals[target.Service] = route.InterTokenTarget
+			current, known := shortest[target.Service]
+			if route.InterTokenTarget > 0 && (!known || route.InterTokenTarget < current) {
+				shortest[target.Service] = route.InterTokenTarget
 			}
 		}
 	}
-	return goals
+	return shortest
 }
 
-// acquire returns the desk's decision about the ticket, which is never Wait: a
-// waiting ticket is decided later, or left when ctx ends.
-func (d *dispatchers) acquire(ctx context.Context, service string, ticket dispatch.Ticket, waits func(dispatch.Decision)) (dispatch.Decision, error) {
+// acquire returns the dispatcher's decision about the ticket, which is never Wait. If
+// the ticket is queued, acquire calls onWait and blocks until the ticket is decided;
+// it cancels the ticket if ctx ends before.
+func (d *dispatchers) acquire(ctx context.Context, service string, ticket dispatch.Ticket, onWait func(dispatch.Decision)) (dispatch.Decision, error) {
 	d.mu.Lock()
-	desk := d.byService[service]
-	if desk == nil {
+	dispatcher := d.byService[service]
+	if dispatcher == nil {
 		d.mu.Unlock()
 		return dispatch.Decision{Verdict: dispatch.Refuse, Reason: "unknown_service", RetryAfter: time.Second}, nil
 	}
 	d.nextTicketID++
 	ticket.ID = d.nextTicketID
-	decision := desk.Submit(ticket, rand.Float64(), time.Now())
+	decision := dispatcher.Submit(ticket, rand.Float64(), time.Now())
 	if decision.Verdict != dispatch.Wait {
 		d.mu.Unlock()
 		return decision, nil
 	}
 	decided := make(chan dispatch.Decision, 1)
-	desk.waiting[ticket.ID] = decided
+	dispatcher.waiting[ticket.ID] = decided
 	d.mu.Unlock()
-	waits(decision)
+	onWait(decision)
 	select {
 	case decision = <-decided:
 		return decision, nil
@@ -102,96 +105,100 @@
 	select {
 	case decision = <-decided:
 		if decision.Verdict == dispatch.Go {
-			desk.Done(decision.Server.ID, dispatch.CallerLeft, time.Now())
-			desk.resolveWaiting()
+			dispatcher.Done(decision.Server.ID, dispatch.CallerLeft, time.Now())
+			dispatcher.resolveWaiting()
 		}
 	default:
-		desk.Cancel(ticket.ID)
-		delete(desk.waiting, ticket.ID)
+		dispatcher.Cancel(ticket.ID)
+		delete(dispatcher.waiting, ticket.ID)
 	}
 	return dispatch.Decision{}, ctx.Err()
 }
 
-// release gives a place back. It reports whether the server's group takes no work.
+// release frees a slot at the server. It reports whether the server's group is
+// closed for new work.
 func (d *dispatchers) release(service, server string, outcome dispatch.Outcome) (closed bool) {
-	d.withService(service, func(desk *serviceDispatcher) {
-		closed = desk.Done(server, outcome, time.Now())
-		desk.resolveWaiting()
+	d.withService(service, func(dispatcher *dispatcher) {
+		closed = dispatcher.Done(server, outcome, time.Now())
+		dispatcher.resolveWaiting()
 	})
 	return closed
 }
 
-// accepted notes that a server of the service has begun to answer.
+// accepted records that a server of the service has begun to answer.
 func (d *dispatchers) accepted(service string) {
-	d.withService(service, func(desk *serviceDispatcher) { desk.Accepted() })
+	d.withService(service, func(dispatcher *dispatcher) { dispatcher.Accepted() })
 }
 
-// observeFirstEvent notes that a server has sent the first event of a stream.
+// observeFirstEvent records that a server has sent the first event of a stream.
 func (d *dispatchers) observeFirstEvent(service, server string) {
-	d.withService(service, func(desk *serviceDispatcher) { desk.ObserveEvent(server, time.Now()) })
+	d.withService(service, func(dispatcher *dispatcher) { dispatcher.ObserveEvent(server, time.Now()) })
 }
 
-// observeGap takes in the time between two events of a stream.
-func (d *dispatchers) observeGap(service, server string, gap time.Duration) {
-	d.withService(service, func(desk *serviceDispatcher) { desk.ObserveGap(server, gap, time.Now()) })
+// gap records the time between two events of a stream.
+func (d *dispatchers) gap(service, server string, gap time.Duration) {
+	d.withService(service, func(dispatcher *dispatcher) { dispatcher.ObserveGap(server, gap, time.Now()) })
 }
 
-// report takes in the load of a server from the agent beside it, and moves
-// streams off a server that holds up its group.
+// report records the load of a server as reported by its agent, and migrates
+// streams off a server that slows down its group.
 func (d *dispatchers) report(service, server string, report dispatch.Report) {
-	d.withService(service, func(desk *serviceDispatcher) {
-		desk.Report(server, report, time.Now())
-		if len(desk.migratable[server]) > 0 && desk.ShouldMigrateStreams(server, time.Now()) {
-			desk.migrateStreams(server, errMigratedSlow)
+	d.withService(service, func(dispatcher *dispatcher) {
+		dispatcher.Report(server, report, time.Now())
+		if len(dispatcher.migratable[server]) > 0 && dispatcher.ShouldMigrateStreams(server, time.Now()) {
+			dispatcher.migrateStreams(server, errMigratedSlow)
 		}
 	})
 }
 
-// migrateStreams lets the streams at a server that may go on elsewhere do so.
-func (d *serviceDispatcher) migrateStreams(server string, cause error) {
-	for _, move := range d.migratable[server] {
-		move(cause)
+// migrateStreams cancels the exchanges of the migratable streams at a server, so that
+// they continue at another one.
+func (d *dispatcher) migrateStreams(server string, cause error) {
+	for _, migrate := range d.migratable[server] {
+		migrate(cause)
 	}
 }
 
-// migrateFromSilent moves streams off servers that are silent while their group goes on.
-func (d *dispatchers) migrateFromSilent(service string, desk *serviceDispatcher) {
-	for _, server := range desk.FindSilent(time.Now()) {
+// migrateFromSilent migrates streams off servers that send no events while the rest of
+// their group does.
+func (d *dispatchers) migrateFromSilent(service string, dispatcher *dispatcher) {
+	for _, server := range dispatcher.FindSilent(time.Now()) {
 		logevent.Write(d.log, logevent.ServerSilent, logrus.Fields{
-			"service": service, "server": server, "movable": len(desk.migratable[server]), "config": d.snapshot.Config.Version,
+			"service": service, "server": server, "movable": len(dispatcher.migratable[server]), "config": d.snapshot.Config.Version,
 		})
-		desk.migrateStreams(server, errMigratedSilent)
+		dispatcher.migrateStreams(server, errMigratedSilent)
 	}
 }
 
-// registerStream lets the stream be moved off the server until the returned function
-// is called.
-func (d *dispatchers) registerStream(service, server string, c *call, move context.CancelCauseFunc) (forbid func()) {
-	d.withService(service, func(desk *serviceDispatcher) {
-		if desk.migratable[server] == nil {
-			desk.migratable[server] = map[*call]context.CancelCauseFunc{}
+// registerStream allows the stream to be migrated off the server until the returned
+// function is called.
+func (d *dispatchers) registerStream(service, server string, c *call, migrate context.CancelCauseFunc) (unregister func()) {
+	d.withService(service, func(dispatcher *dispatcher) {
+		if dispatcher.migratable[server] == nil {
+			dispatcher.migratable[server] = map[*call]context.CancelCauseFunc{}
 		}
-		desk.migratable[server][c] = move
+		dispatcher.migratable[server][c] = migrate
 	})
 	return func() {
-		d.withService(service, func(desk *serviceDispatcher) {
-			delete(desk.migratable[server], c)
-			if len(desk.migratable[server]) == 0 {
-				delete(desk.migratable, server)
+		d.withService(service, func(dispatcher *dispatcher) {
+			delete(dispatcher.migratable[server], c)
+			if len(dispatcher.migratable[server]) == 0 {
+				delete(dispatcher.migratable, server)
 			}
 		})
 	}
 }
 
-func (d *dispatchers) withService(service string, do func(*serviceDispatcher)) {
+func (d *dispatchers) withService(service string, update func(*dispatcher)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if desk := d.byService[service]; desk != nil {
-		do(desk)
+	if dispatcher := d.byService[service]; dispatcher != nil {
+		update(dispatcher)
 	}
 }
 
-// pollQueues looks at the waiting requests until ctx ends.
+// pollQueues reconsiders the waiting requests and looks for silent servers at each
+// interval until ctx ends.
 func (d *dispatchers) pollQueues(ctx context.Context) {
 	ticker := time.NewTicker(queuePollInterval)
 	defer ticker.Stop()
@@ -202,16 +209,16 @@
 			return
 		}
 		d.mu.Lock()
-		for name, desk := range d.byService {
-			d.migrateFromSilent(name, desk)
-			desk.resolveWaiting()
+		for name, dispatcher := range d.byService {
+			d.migrateFromSilent(name, dispatcher)
+			dispatcher.resolveWaiting()
 		}
 		d.mu.Unlock()
 	}
 }
 
-// resolveWaiting hands out the decisions about waiting tickets.
-func (d *serviceDispatcher) resolveWaiting() {
+// resolveWaiting passes decisions to the requests that wait for them.
+func (d *dispatcher) resolveWaiting() {
 	if len(d.waiting) == 0 {
 		return
 	}
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway takes callers' requests on the users' platform, chooses a
-// backend server for each, sends the request straight to it and carries the
-// answer back whole.
+// Package gateway is the HTTP front end of an entry instance on the users'
+// platform: it chooses a backend server for each request, sends the request
+// directly to it and relays only complete answers and complete stream events.
 package gateway
 
 import (
@@ -26,13 +26,15 @@
 )
 
 const (
-	// assumedEntries splits what all entries share: a few more than the largest
-	// number of entries on the machines of today with their spares.
+	// assumedEntries is the number of entries among which shared limits are divided:
+	// a few more than the largest number of entries on today's machines, spares
+	// included.
 	assumedEntries = 8
-	// retryBudgetShare of the allowed retries is used, so that arrivals which the
-	// entries don't count, like repeats after a lost answer, stay within it.
+	// retryBudgetShare is the share of the allowed retries that entries use. The rest
+	// covers arrivals that the entries don't count, such as requests that are sent
+	// again after a lost answer.
 	retryBudgetShare = 0.6
-	// defaultDeadline holds for callers that name none.
+	// defaultDeadline applies to requests without a deadline header.
 	defaultDeadline = 30 * time.Second
 )
 
@@ -48,7 +50,8 @@
 	budget retry.Budget
 }
 
-// New returns a gateway that knows nothing yet.
+// New returns a gateway without a snapshot, which refuses all requests until Install
+// is called.
 func New(settings platform.Settings, log *logrus.Entry, metrics *Metrics) *Gateway {
 	return &Gateway{
 		dispatchers: newDispatchers(dispatch.WarmUpLimit{
@@ -63,7 +66,7 @@
 	}
 }
 
-// Install puts a snapshot in force for new requests.
+// Install makes new requests use the snapshot.
 func (g *Gateway) Install(snapshot *topology.Snapshot) {
 	g.snapshot.Store(snapshot)
 	g.dispatchers.configure(snapshot)
@@ -75,7 +78,7 @@
 	return snapshot != nil && snapshot.Ready
 }
 
-// ReportLoad takes in the load of a backend server from the agent beside it.
+// ReportLoad records the load of a backend server as reported by its agent.
 func (g *Gateway) ReportLoad(report loadreport.Report) {
 	snapshot := g.snapshot.Load()
 	if snapshot == nil || snapshot.Config == nil {
@@ -92,7 +95,7 @@
 	}
 }
 
-// Run looks at waiting requests and idle connections until ctx ends.
+// Run dispatches waiting requests and closes idle connections until ctx ends.
 func (g *Gateway) Run(ctx context.Context) {
 	go g.closeIdle(ctx)
 	g.dispatchers.pollQueues(ctx)
@@ -111,7 +114,8 @@
 	}
 }
 
-// usableAddresses returns a check whether an address is a usable server's.
+// usableAddresses returns a function that reports whether an address belongs to a
+// server that may get requests.
 func (g *Gateway) usableAddresses() func(string) bool {
 	addresses := map[string]bool{}
 	if snapshot := g.snapshot.Load(); snapshot != nil && snapshot.Config != nil {
@@ -124,7 +128,6 @@
 	return func(address string) bool { return addresses[address] }
 }
 
-// ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	request, err := platform.DecodeRequest(r.Header)
@@ -147,7 +150,7 @@
 // authorize finds the request's route and organisation.
 func (c *call) authorize(snapshot *topology.Snapshot) *result.Error {
 	if snapshot == nil || !snapshot.Ready {
-		refusal := result.Errorf(result.NotReady, "no configuration or no list of backend servers yet")
+		refusal := result.Errorf(result.NotReady, "no configuration or no list of backend servers has been read yet")
 		refusal.RetryAfter = notReadyRetryAfter
 		return refusal
 	}
@@ -155,12 +158,12 @@
 	c.snapshot = snapshot
 	c.route = snapshot.Route(c.http.Host, path)
 	if c.route == nil {
-		return result.Errorf(result.UnknownPath, "no route for host %q and this path", c.http.Host)
+		return result.Errorf(result.UnknownPath, "no route for host %q and the request's path", c.http.Host)
 	}
 	if snapshot.HasOrganisations() && !c.route.Public {
 		c.organisation = snapshot.Organisation(c.request.Key)
 		if c.organisation == nil {
-			return result.Errorf(result.Unauthorized, "the key is missing or unknown")
+			return result.Errorf(result.Unauthorized, "API key is missing or unknown")
 		}
 	}
 	limit := c.request.Deadline
@@ -174,14 +177,14 @@
 	return nil
 }
 
-// readBody reads the whole body, bounded by the configured size.
+// readBody reads the whole body, up to the configured limit.
 func (c *call) readBody() *result.Error {
 	limit := c.snapshot.Config.Limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
 	}
 	if c.http.ContentLength > limit {
-		return result.Errorf(result.BodyTooLarge, "%d bytes, allowed are %d", c.http.ContentLength, limit)
+		return result.Errorf(result.BodyTooLarge, "body has %d bytes, limit is %d", c.http.ContentLength, limit)
 	}
 	if c.http.ContentLength == 0 {
 		return nil
@@ -190,15 +193,16 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return result.Errorf(result.BodyTooLarge, "more than the allowed %d bytes", limit)
+		return result.Errorf(result.BodyTooLarge, "body exceeds the limit of %d bytes", limit)
 	case err != nil:
-		return result.Errorf(result.BadRequest, "the body can't be read: %v", err)
+		return result.Errorf(result.BadRequest, "read request body: %v", err)
 	}
 	c.body = body
 	return nil
 }
 
-// spendRetryBudget takes one further attempt out of the budget.
+// spendRetryBudget takes one retry out of the budget. It reports false if the
+// budget is used up.
 func (g *Gateway) spendRetryBudget() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,7 +211,7 @@
 	return ok
 }
 
-// creditRetryBudget adds a new request's share to the budget.
+// creditRetryBudget adds the share of one new request to the budget.
 func (g *Gateway) creditRetryBudget() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/server/gateway/gateway_test.go
+++ b/server/gateway/gateway_test.go
@@ -24,7 +24,7 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// backend is a stand-in of a backend server whose answers are scripted.
+// backend is a fake backend server whose answers are scripted.
 type backend struct {
 	id       string
 	listener net.Listener
@@ -35,7 +35,8 @@
 	bodies   []string
 }
 
-// newBackend serves script; n counts the requests of this server from 1.
+// newBackend starts a backend that answers with script; n is the number of the
+// request at this server, from 1.
 func newBackend(id string, script func(n int, w http.ResponseWriter, r *http.Request)) *backend {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,7 +69,7 @@
 	return b.requests[len(b.requests)-1], b.bodies[len(b.bodies)-1]
 }
 
-// stamped answers with the server's signature.
+// stamped writes an answer with the server's signature.
 func stamped(w http.ResponseWriter, status int, body string) {
 	w.Header().Set(header.Stamp, "signed")
 	w.Header().Set("Content-Type", "text/plain")
@@ -94,9 +95,9 @@
 	}
 }
 
-// events writes the events with the ids from first to last; whole tells whether
-// the stream then ends, or breaks off inside the next event.
-func events(w http.ResponseWriter, first, last int, whole bool) {
+// events writes the events with the ids from first to last. The stream then ends if
+// complete is true, and otherwise breaks off in the middle of the next event.
+func events(w http.ResponseWriter, first, last int, complete bool) {
 	w.Header().Set(header.Stamp, "signed")
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -104,21 +105,22 @@
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: x%d\n\n", id, id)
 		w.(http.Flusher).Flush()
 	}
-	if !whole {
+	if !complete {
 		_, _ = fmt.Fprintf(w, "id: %d\nda", last+1)
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// system is a gateway before backend servers.
+// system is a gateway in front of backend servers.
 type system struct {
 	gateway *Gateway
 	front   *httptest.Server
 	stop    context.CancelFunc
 }
 
-// configuration has one route of each kind, all to the service "s".
+// configuration returns a configuration with one route of each kind, all to the
+// service "s".
 func configuration() *topology.Configuration {
 	route := func(name string, kind topology.Kind) topology.Route {
 		return topology.Route{
@@ -173,7 +175,7 @@
 	}
 }
 
-// send sends a request as a caller does.
+// send sends a request to the gateway and reads the complete answer.
 func (s *system) send(method, path, body string, change func(*http.Request)) (*http.Response, string, error) {
 	request, err := http.NewRequest(method, s.front.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -191,17 +193,17 @@
 		return nil, "", err
 	}
 	defer func() { _ = response.Body.Close() }()
-	whole, err := io.ReadAll(response.Body)
-	return response, string(whole), err
+	content, err := io.ReadAll(response.Body)
+	return response, string(content), err
 }
 
 func TestForwarding(t *testing.T) {
-	Convey("Given a sound backend server", t, func() {
+	Convey("Given a healthy backend server", t, func() {
 		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { stamped(w, 200, "answer") })
 		s := newSystem(b)
 		defer s.close(b)
 
-		Convey("request and answer pass unchanged, with the system's own headers set", func() {
+		Convey("request and answer are relayed unchanged, except for the system's own headers", func() {
 			response, body, err := s.send("POST", "/safe/a%2fb//c?q=%20", "body", func(r *http.Request) {
 				r.URL.Opaque = "/safe/a%2fb//c"
 				r.Header.Set(header.Tenant, "forged")
@@ -232,7 +234,7 @@
 			So(b.count(), ShouldEqual, 0)
 		})
 	})
-	Convey("Without a configuration every request is told to come back", t, func() {
+	Convey("Without a configuration every request is refused with a Retry-After", t, func() {
 		g := New(platform.Settings{}, logrus.NewEntry(logrus.New()), NewMetrics(prometheus.NewRegistry()))
 		g.log.Logger.SetOutput(io.Discard)
 		recorder := httptest.NewRecorder()
@@ -243,7 +245,7 @@
 }
 
 func TestAttempts(t *testing.T) {
-	// Each case has two servers; the first one that is asked misbehaves.
+	// Each case has two servers; the first one that gets a request misbehaves.
 	cases := []struct {
 		name       string
 		misbehave  func(w http.ResponseWriter)
@@ -277,7 +279,7 @@
 			So(b1.count()+b2.count(), ShouldEqual, c.sends)
 		})
 	}
-	Convey("A failure of both servers is passed on as the server gave it", t, func() {
+	Convey("An error response is relayed unchanged if no retry succeeds", t, func() {
 		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { stamped(w, 500, "failed") })
 		s := newSystem(b)
 		defer s.close(b)
@@ -287,7 +289,7 @@
 		So(body, ShouldEqual, "failed")
 		So(response.Header.Get(header.Stamp), ShouldEqual, "signed")
 	})
-	Convey("A refusal by all is passed on with a time to come back", t, func() {
+	Convey("A refusal by all servers is relayed with a Retry-After", t, func() {
 		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { refuseUnexecuted(w) })
 		s := newSystem(b)
 		defer s.close(b)
@@ -296,7 +298,7 @@
 		So(response.StatusCode, ShouldEqual, 503)
 		So(response.Header.Get("Retry-After"), ShouldNotBeEmpty)
 	})
-	Convey("A request unanswered at its route's timeout gets its final answer", t, func() {
+	Convey("A request that is unanswered at its route's timeout is answered with a gateway timeout", t, func() {
 		b := newBackend("b1", func(_ int, _ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		s := newSystem(b)
 		defer s.close(b)
@@ -306,7 +308,7 @@
 		So(response.StatusCode, ShouldEqual, 504)
 		So(time.Since(started), ShouldBeLessThan, 650*time.Millisecond)
 	})
-	Convey("A server's work ends when its caller leaves", t, func() {
+	Convey("A server's request is cancelled when its caller disconnects", t, func() {
 		left := make(chan struct{})
 		b := newBackend("b1", func(_ int, _ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
@@ -321,7 +323,7 @@
 		select {
 		case <-left:
 		case <-time.After(2 * time.Second):
-			t.Error("the server still works")
+			t.Error("the server's request was not cancelled")
 		}
 	})
 }
@@ -339,7 +341,7 @@
 }
 
 func TestStreams(t *testing.T) {
-	Convey("A stream that breaks off goes on at another server, each event once", t, func() {
+	Convey("A stream that breaks off is continued by another server, with each event sent once", t, func() {
 		script := firstThenRest(
 			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
 			func(w http.ResponseWriter, r *http.Request) {
@@ -359,7 +361,7 @@
 		So(b1.count(), ShouldEqual, 1)
 		So(b2.count(), ShouldEqual, 1)
 	})
-	Convey("A stream that can't go on is shown as cut", t, func() {
+	Convey("A stream that can't be continued is aborted", t, func() {
 		b := newBackend("b1", func(n int, w http.ResponseWriter, _ *http.Request) {
 			if n > 1 {
 				refuseUnexecuted(w)
@@ -374,12 +376,12 @@
 		So(ids(body), ShouldResemble, []string{"1", "2", "3"})
 	})
 	for _, status := range []int{500, 404, 200} {
-		Convey("A begun stream that another server answers with something else is shown as cut", t, func() {
+		Convey("A started stream is aborted if another server does not continue it", t, func() {
 			script := firstThenRest(
 				func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
 				func(w http.ResponseWriter, _ *http.Request) {
 					if status == 200 {
-						events(w, 3, 4, true) // An event that the caller has had.
+						events(w, 3, 4, true) // The caller already has event 3.
 						return
 					}
 					stamped(w, status, "failed")
@@ -394,7 +396,7 @@
 			So(ids(body), ShouldResemble, []string{"1", "2", "3"})
 		})
 	}
-	Convey("A caller's own last event is passed on", t, func() {
+	Convey("The last event id of the caller's request is forwarded", t, func() {
 		b := newBackend("b1", func(_ int, w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(header.LastEvent) == "12" {
 				events(w, 13, 14, true)
@@ -406,7 +408,7 @@
 		So(err, ShouldBeNil)
 		So(ids(body), ShouldResemble, []string{"13", "14"})
 	})
-	Convey("Events that the caller has had are not passed on twice", t, func() {
+	Convey("Events that the caller already has are not sent again", t, func() {
 		script := firstThenRest(
 			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
 			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, true) },
@@ -421,12 +423,12 @@
 }
 
 func TestStreamAtASilentServer(t *testing.T) {
-	Convey("A stream whose server falls silent while its group goes on goes on at another server", t, func() {
+	Convey("A stream is migrated if its server sends no events while the rest of its group does", t, func() {
 		silent := newBackend("b1", func(_ int, w http.ResponseWriter, r *http.Request) {
 			events(w, 1, 3, true)
 			<-r.Context().Done()
 		})
-		sound := newBackend("b2", func(_ int, w http.ResponseWriter, r *http.Request) {
+		healthy := newBackend("b2", func(_ int, w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(header.LastEvent) == "3" {
 				events(w, 4, 6, true)
 				return
@@ -443,10 +445,10 @@
 		for i := range config.Routes {
 			config.Routes[i].InterTokenTarget = 120 * time.Millisecond
 		}
-		s := newSystemOf(config, silent, sound)
-		defer s.close(silent, sound)
+		s := newSystemOf(config, silent, healthy)
+		defer s.close(silent, healthy)
 
-		bodies := make([]string, 2) // Of two streams, one at each server.
+		bodies := make([]string, 2) // Of two streams, one on each server.
 		var group sync.WaitGroup
 		for i := range bodies {
 			group.Go(func() {
@@ -459,7 +461,7 @@
 		}
 		group.Wait()
 		So(silent.count(), ShouldEqual, 1)
-		So(sound.count(), ShouldEqual, 2)
+		So(healthy.count(), ShouldEqual, 2)
 		lengths := []int{len(ids(bodies[0])), len(ids(bodies[1]))}
 		So(lengths, ShouldContain, 6)
 	})
--- a/server/gateway/metrics.go
+++ b/server/gateway/metrics.go
@@ -9,10 +9,11 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// latencyBuckets are upper bounds in seconds around the users' objectives.
+// latencyBuckets are histogram bucket bounds in seconds, placed around the users'
+// latency objectives.
 var latencyBuckets = []float64{0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1, 1.5, 2, 4, 8}
 
-// Metrics counts what the gateway does.
+// Metrics holds the gateway's request metrics.
 type Metrics struct {
 	requests    *prometheus.CounterVec
 	duration    prometheus.Histogram
@@ -26,7 +27,7 @@
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "persimmonwind", Name: "gateway_requests_total",
-			Help: "Requests that have ended, by numbered result code.",
+			Help: "Requests that have ended, by numeric result code.",
 		}, []string{"code"}),
 		duration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: "persimmonwind", Name: "gateway_request_seconds", Buckets: latencyBuckets,
@@ -38,14 +39,14 @@
 		}),
 		predictionError: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: "persimmonwind", Name: "gateway_first_event_error_seconds", Buckets: latencyBuckets,
-			Help: "Difference between the predicted and the seen time of a stream's first event, in seconds.",
+			Help: "Difference between the predicted and the actual time of a stream's first event, in seconds.",
 		}),
 	}
 	registry.MustRegister(m.requests, m.duration, m.firstAnswer, m.predictionError)
 	return m
 }
 
-// ObserveRequest counts a request that has ended.
+// ObserveRequest records the result code and the duration of a request that has ended.
 func (m *Metrics) ObserveRequest(code result.Code, elapsed time.Duration) {
 	m.requests.WithLabelValues(strconv.Itoa(int(code))).Inc()
 	m.duration.Observe(elapsed.Seconds())
--- a/server/gateway/stream.go
+++ b/server/gateway/stream.go
@@ -20,17 +20,17 @@
 	"persimmonwind.dev/server/upstream"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLarge  = errors.New("event is too large")
+	errEventTooLarge  = errors.New("event exceeds the size limit")
 	errEventOrder     = errors.New("event ids are out of order")
-	errTruncatedEvent = errors.New("stream ended inside an event")
+	errTruncatedEvent = errors.New("stream ended in the middle of an event")
 )
 
-// relayStream passes whole events on as they come. A stream that goes on at
-// another server keeps the head of its first answer.
+// relayStream relays complete events as they arrive. A stream that another server
+// continues keeps the status and headers of its first answer.
 func (c *call) relayStream(ctx context.Context, service, server string, exchange *upstream.Exchange) (dispatch.Outcome, *result.Error) {
 	reader := bufio.NewReader(exchange.Response.Body)
 	var lastAt time.Time
@@ -56,7 +56,7 @@
 		if lastAt.IsZero() {
 			c.gateway.dispatchers.observeFirstEvent(service, server)
 		} else {
-			c.gateway.dispatchers.observeGap(service, server, now.Sub(lastAt))
+			c.gateway.dispatchers.gap(service, server, now.Sub(lastAt))
 			c.longestEventGap = max(c.longestEventGap, now.Sub(lastAt))
 		}
 		lastAt = now
@@ -65,13 +65,13 @@
 	}
 }
 
-// checkEventOrder checks that the event with the id comes after those that the caller
-// has.
+// checkEventOrder returns an error if the event with the id does not come after the
+// events already sent to the caller.
 func (c *call) checkEventOrder(id string) error {
 	next, nextErr := strconv.ParseInt(id, 10, 64)
 	last, lastErr := strconv.ParseInt(c.lastEventID, 10, 64)
 	if nextErr != nil || lastErr != nil {
-		return nil // Ids that aren't numbers can't be compared.
+		return nil // Non-numeric ids can't be compared.
 	}
 	if next <= last {
 		return fmt.Errorf("%w: %d after %d", errEventOrder, next, last)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// startStream sends the head of the first answer.
+// startStream sends the status and headers of the first answer to the caller.
 func (c *call) startStream(response *http.Response) {
 	if c.responseStarted {
 		return
@@ -101,8 +101,8 @@
 	}
 }
 
-// readEvent returns the next event with its blank line. It fails with io.EOF
-// only between events.
+// readEvent returns the next event, including the blank line that ends it. It
+// returns io.EOF only if the stream ends between two events.
 func readEvent(reader *bufio.Reader) (event []byte, id string, err error) {
 	for {
 		line, err := reader.ReadSlice('\n')
