--- a/server/mapcontrol/agent.go
+++ b/server/mapcontrol/agent.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// coordinatorTimeout is how long no coordinator has called before an agent tries
-	// to take the lease: several rounds of reads.
+	// coordinatorTimeout is how long an agent waits for a coordinator's call before it
+	// tries to acquire the lease: several rounds of reads.
 	coordinatorTimeout = 700 * time.Millisecond
-	// rankStagger keeps the ranks of a group from trying all at once: a new
-	// coordinator reads the list of servers before its first calls.
+	// rankStagger is added to coordinatorTimeout for each rank, so that the agents of a
+	// group don't all try to acquire the lease at once. A new coordinator reads the list
+	// of servers before its first calls.
 	rankStagger = 100 * time.Millisecond
 	// coordinatorCheckInterval is how often an agent checks how long ago a coordinator called.
 	coordinatorCheckInterval = 50 * time.Millisecond
-	// leaseRetryInterval follows a try for the lease that failed.
+	// leaseRetryInterval is the delay after a failed attempt to acquire the lease.
 	leaseRetryInterval = 500 * time.Millisecond
 )
 
-// Metrics counts what a coordinator does.
+// Metrics holds a coordinator's metrics.
 type Metrics struct {
 	phases *prometheus.CounterVec
 	skew   prometheus.Gauge
@@ -43,30 +44,31 @@
 		}, []string{"phase"}),
 		skew: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: "persimmonwind", Name: "map_skew",
-			Help: "Load of the most loaded rank over the mean, as last forecast.",
+			Help: "Load of the most loaded rank divided by the mean load, as last forecast.",
 		}),
 		copies: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: "persimmonwind", Name: "map_copies_total",
-			Help: "Experts that planned changes have copied.",
+			Help: "Expert copies in planned expert map changes.",
 		}),
 	}
 	registry.MustRegister(m.phases, m.skew, m.copies)
 	return m
 }
 
-// CountPhase counts a phase that a change of the map has entered.
+// CountPhase counts a phase that a map change has entered.
 func (m *Metrics) CountPhase(phase string) { m.phases.WithLabelValues(phase).Inc() }
 
-// Agent takes part in a group's map for the rank beside it.
+// Agent serves a coordinator's calls for the rank beside it, and coordinates the
+// group's expert map while it holds the group's lease.
 type Agent struct {
 	InstanceName string // Name of this instance.
 	Engine       Engine
-	DirectEngine func(address string) Engine // For ranks whose agent is away.
+	DirectEngine func(address string) Engine // Client of a rank's engine, for ranks whose agent is unreachable.
 	Store        Store
-	// FollowTopology keeps Members and Model up to date until ctx ends. Only a coordinator
-	// needs them: calls to the store are priced.
+	// FollowTopology keeps Members and EngineModel up to date until ctx ends. Only a
+	// coordinator needs them, and calls to the store are charged for.
 	FollowTopology func(ctx context.Context)
-	Members        func() []Member // Of the group, leaving ones included.
+	Members        func() []Member // Of the service, including those that are leaving.
 	EngineModel    func() *topology.Engine
 	Log            *logrus.Entry
 	Metrics        *Metrics
@@ -75,18 +77,19 @@
 	peers *rpc.Pool
 }
 
-// Serve answers coordinators' calls until the listener is closed.
+// Serve answers calls from coordinators until the listener is closed.
 func (a *Agent) Serve(listener net.Listener) error {
 	return rpc.Serve(listener, map[string]any{receiverName: a.rank}, a.Log)
 }
 
-// Init makes the agent ready to serve and run.
+// Init prepares the agent. It must be called before Serve and Run.
 func (a *Agent) Init() {
 	a.rank = NewRank(a.Engine, a.DirectEngine)
 	a.peers = rpc.NewPool(nil)
 }
 
-// Run coordinates the group whenever no other agent does, until ctx ends.
+// Run acquires the lease and coordinates the group whenever no other agent does,
+// until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.peers.Close()
 	ticker := time.NewTicker(coordinatorCheckInterval)
@@ -98,7 +101,7 @@
 		case <-ctx.Done():
 			return
 		}
-		sinceLastCall, seen := a.rank.sinceLastCall()
+		sinceLastCall, maxSeenFence := a.rank.sinceLastCall()
 		if sinceLastCall < coordinatorTimeout || time.Now().Before(notBefore) {
 			continue
 		}
@@ -109,7 +112,7 @@
 		if sinceLastCall < coordinatorTimeout+time.Duration(state.Rank)*rankStagger {
 			continue
 		}
-		fence, err := acquireLease(ctx, a.Store, state.Group, a.InstanceName, seen)
+		fence, err := acquireLease(ctx, a.Store, state.Group, a.InstanceName, maxSeenFence)
 		if err != nil {
 			notBefore = time.Now().Add(leaseRetryInterval)
 			if !errors.Is(err, errLeaseLost) {
--- a/server/mapcontrol/bench_test.go
+++ b/server/mapcontrol/bench_test.go
@@ -18,8 +18,8 @@
 	"persimmonwind.dev/server/rpc"
 )
 
-// modelEngines are the engines of a group that runs passes in lock-step; demand
-// for experts jumps every few passes.
+// modelEngines simulates the engines of a group that runs passes in lockstep. The
+// demand for experts jumps every few passes.
 type modelEngines struct {
 	model topology.Engine
 	size  int
@@ -41,7 +41,7 @@
 	return e
 }
 
-// beginPass begins a pass unless a rank holds it.
+// beginPass starts the next pass unless a rank holds it.
 func (e *modelEngines) beginPass(random *rand.Rand) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -62,16 +62,16 @@
 		}
 	}
 	const jumpPasses = 40
-	topic := int(e.pass/jumpPasses) * 17
+	demandShift := int(e.pass/jumpPasses) * 17
 	for i := range e.counts {
 		e.counts[i] += int64(random.IntN(8))
-		if (i*7+topic)%e.size < 6 {
+		if (i*7+demandShift)%e.size < 6 {
 			e.counts[i] += 40
 		}
 	}
 }
 
-// modelEngine is one rank's.
+// modelEngine is the engine of one rank.
 type modelEngine struct {
 	group *modelEngines
 	rank  int
@@ -90,9 +90,9 @@
 }
 
 func (e modelEngine) Lists(context.Context) (topology.RankLists, error) {
-	dealt := mapswitch.InTurn(mapswitch.Shape{Sets: e.group.model.Sets, Experts: e.group.model.Experts, Ranks: e.group.size})
+	initial := mapswitch.InTurn(mapswitch.Shape{Sets: e.group.model.Sets, Experts: e.group.model.Experts, Ranks: e.group.size})
 	lists := topology.RankLists{}
-	for _, set := range dealt {
+	for _, set := range initial {
 		lists.Experts = append(lists.Experts, set[e.rank])
 	}
 	return lists, nil
@@ -123,9 +123,9 @@
 	return nil
 }
 
-// BenchmarkCoordinator runs the map of a group of 63 ranks for two seconds of
-// passes of 70 ms, with all agents in this process: its CPU profile shows what
-// binds a coordinator.
+// BenchmarkCoordinator coordinates a group of 63 ranks for two seconds of passes of
+// 70 ms, with all agents in this process. Its CPU profile shows what limits a
+// coordinator.
 func BenchmarkCoordinator(b *testing.B) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -21,35 +21,39 @@
 )
 
 const (
-	// callTimeout bounds one call to an agent with its calls to the engine.
+	// callTimeout limits the time of one call to an agent, including the agent's calls
+	// to its engine.
 	callTimeout = 300 * time.Millisecond
-	// countedRanksPerRound is how many ranks' counts are read in one round. Requests are
-	// spread over all ranks alike, so a part of a large group tells the demand of
-	// all, and the link of the coordinator's machine holds it.
+	// countedRanksPerRound is the number of ranks whose counts are read in one round.
+	// Requests are spread evenly over all ranks, so a part of a large group shows the
+	// demand of the whole group, and the coordinator's network link has the bandwidth
+	// for that part.
 	countedRanksPerRound = 12
-	// remoteListsInterval bounds how often an engine's lists are read from afar, which
-	// makes its group pause.
+	// remoteListsInterval is the shortest time between two reads of an engine's lists
+	// from another machine. Such a read makes the engine's group pause.
 	remoteListsInterval = time.Second
-	// readInterval is how often every rank is read, which tells the agents too
-	// that the coordinator lives.
+	// readInterval is how often every rank is read. The reads also show the agents
+	// that the coordinator is alive.
 	readInterval = 100 * time.Millisecond
-	// changeReadIntervalPerRank holds while a change is under way, for each rank: 24 ms
-	// in a group of twelve, and never more calls a second in a larger one.
+	// changeReadIntervalPerRank, multiplied by the number of ranks, is the read interval
+	// while a change is in progress: 24 ms in a group of twelve. A larger group gets
+	// no more calls per second than a smaller one.
 	changeReadIntervalPerRank = 2 * time.Millisecond
-	// foreignMemberTTL is how long a member that has shown another group is not read again;
-	// soughtLife is the same while ranks of the own group are missing. Servers join
-	// other groups only when they restart, which takes seconds.
+	// foreignMemberTTL is how long a member that has reported another group is not read
+	// again; foreignMemberTTLWhileSearching is the same while ranks of the
+	// coordinator's group are missing. Servers join other groups only when they
+	// restart, which takes seconds.
 	foreignMemberTTL               = 5 * time.Second
 	foreignMemberTTLWhileSearching = 500 * time.Millisecond
-	// maxUnknownReads bounds how many members of unknown groups are read in a round. A
-	// large service has dozens of groups, each with a coordinator that looks for its
-	// ranks; each read of another machine opens a connection.
+	// maxUnknownReads limits how many members of unknown groups are read in a round. A
+	// large service has dozens of groups, each with a coordinator that searches for its
+	// ranks, and each read of another machine opens a connection.
 	maxUnknownReads = 128
-	// tickInterval is how often the coordinator looks at orders without effect.
+	// tickInterval is how often the coordinator checks for orders without effect.
 	tickInterval = 10 * time.Millisecond
 )
 
-// coordinator runs the map of one group under one lease.
+// coordinator changes the expert map of one group under one lease.
 type coordinator struct {
 	fence        uint64
 	group        string
@@ -63,22 +67,22 @@
 	metrics      *Metrics
 
 	mu           sync.Mutex
-	addresses    map[int]Member       // Of the ranks of the epoch.
-	foreignSince map[string]time.Time // When members showed another group, by server.
+	addresses    map[int]Member       // Ranks of the current epoch.
+	foreignSince map[string]time.Time // When members last reported another group, by server.
 
-	nextUnknown     int // Index of the listed member from which unknown ones are read.
+	nextUnknown     int // Index of the listed member at which the search for unknown members continues.
 	epoch           int64
-	remoteListsAt   time.Time // When an engine's lists were last read from afar.
-	latestCopyOrder GiveArgs  // The latest order to copy, as changes.
+	remoteListsAt   time.Time // When an engine's lists were last read from another machine.
+	latestCopyOrder GiveArgs  // The latest prepare order, as changes.
 }
 
-// Member is a backend server of a group and the agent beside it.
+// Member is a backend server of the service and the agent beside it.
 type Member struct {
 	Server string // host:port.
 	Agent  string // host:port.
 }
 
-// view is what the planner and the reader see of the control state.
+// view is the part of the control state that the planner and the reader use.
 type view struct {
 	Phase   mapswitch.Phase
 	Epoch   int64
@@ -87,16 +91,16 @@
 	Lists   bool
 
 	Slowness []float64 // By rank, as reported.
-	Requests int       // At all ranks, waiting ones included.
+	Requests int       // At all ranks, including queued ones.
 }
 
-// slotUtilization returns the share of the group's places that are taken.
+// slotUtilization returns the share of the group's request slots that are in use.
 func (v view) slotUtilization(engine *topology.Engine) float64 {
 	return float64(v.Requests) / float64(max(1, v.Size*engine.Slots))
 }
 
-// mayPauseForArming reports whether the group may soon rest until its ranks are armed. Counts
-// would then fill the link on which the orders go out.
+// mayPauseForArming reports whether the group may soon pause until its ranks are armed.
+// Counts would then compete with the orders for the network link.
 func (v view) mayPauseForArming() bool {
 	switch v.Phase {
 	case mapswitch.Holding, mapswitch.Arming, mapswitch.Releasing:
@@ -116,14 +120,15 @@
 	}, func(effect reduce.Effect) { c.execute(ctx, effect) }, nil)
 	go c.readAll(ctx)
 	go c.planner.run(ctx, c.loop)
-	// The loop ends without an error when its context does.
+	// Run returns no error when its context ends.
 	_ = c.loop.Run(ctx, mapswitch.New(c.fence, ownRank), tickInterval)
 }
 
-// readAll reads every member at each interval.
+// readAll reads the ranks and members of unknown groups at each interval until ctx
+// ends.
 func (c *coordinator) readAll(ctx context.Context) {
 	var countsAt time.Time
-	round := 0 // Index of the first rank whose counts are read.
+	firstCounted := 0 // Index of the first rank whose counts are read.
 	for ctx.Err() == nil {
 		interval, now := readInterval, view{Lists: true}
 		if known := c.loop.View(); known != nil {
@@ -138,38 +143,39 @@
 		}
 		members := c.membersToRead(now.Size)
 		for i, member := range members {
-			counted := counts && (i+len(members)-round)%len(members) < countedRanksPerRound
-			go c.read(ctx, member, now.Lists, counted)
+			readCounts := counts && (i+len(members)-firstCounted)%len(members) < countedRanksPerRound
+			go c.read(ctx, member, now.Lists, readCounts)
 		}
 		if counts && len(members) > 0 {
-			round = (round + countedRanksPerRound) % len(members)
+			firstCounted = (firstCounted + countedRanksPerRound) % len(members)
 		}
 		wait.For(ctx, interval)
 	}
 }
 
-// membersToRead returns the ranks of the epoch, also those that are listed no more, and
-// some of the listed members whose group is not known.
+// membersToRead returns the ranks of the epoch, including those that are no longer
+// listed, and some of the listed members whose group is unknown.
 func (c *coordinator) membersToRead(size int) []Member {
 	listed := c.members()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ranks := map[string]bool{}
 	members := make([]Member, 0, len(c.addresses))
-	for _, rank := range slices.Sorted(maps.Keys(c.addresses)) { // Counts are read in turn.
+	for _, rank := range slices.Sorted(maps.Keys(c.addresses)) { // A stable order, since counts are read round-robin.
 		member := c.addresses[rank]
 		ranks[member.Server] = true
 		members = append(members, member)
 	}
-	life := foreignMemberTTL
+	ttl := foreignMemberTTL
 	if len(c.addresses) < size {
-		life = foreignMemberTTLWhileSearching
+		ttl = foreignMemberTTLWhileSearching
 	}
 	unknown := 0
 	for i := range listed {
-		// Members that never answer must not keep the others from being read.
+		// Start where the previous round stopped, so that members that never answer
+		// don't keep the others from being read.
 		member := listed[(c.nextUnknown+i)%len(listed)]
-		if ranks[member.Server] || time.Since(c.foreignSince[member.Server]) < life {
+		if ranks[member.Server] || time.Since(c.foreignSince[member.Server]) < ttl {
 			continue
 		}
 		if unknown == maxUnknownReads {
@@ -184,33 +190,34 @@
 
 func (c *coordinator) caller() Caller { return Caller{Fence: c.fence, Group: c.group} }
 
-// read reads a rank through its agent, or the engine itself where the agent
-// doesn't answer.
+// read reads a rank through its agent, or directly from the engine if the agent does
+// not answer.
 func (c *coordinator) read(ctx context.Context, member Member, lists, counts bool) {
-	asked, isDirect := time.Now(), false
+	requestedAt, isDirect := time.Now(), false
 	args := ReadArgs{Caller: c.caller(), Counts: counts, Lists: lists}
 	var reply ReadReply
 	if err := c.call(ctx, member.Agent, methodRead, args, &reply); err != nil {
-		// A successor must read every rank before it knows them, also one whose
-		// agent is away: the group may rest until it has.
+		// A new coordinator must read every rank before it knows the ranks, including
+		// one whose agent is unreachable: the group may pause until it has.
 		if c.stopIfFenced(err) || !lists && !c.isRank(member) {
 			return
 		}
-		// Counts read from afar make the group pause, and so do lists.
+		// Reading counts or lists from another machine makes the group pause.
 		reply, isDirect = ReadReply{}, true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		if err := readEngine(callCtx, c.directEngine(member.Server), lists && c.allowRemoteLists(), &reply); err != nil {
-			return // Nothing is concluded from silence.
+			return // A missing answer does not change the control state.
 		}
 	}
-	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: asked, Direct: isDirect})
+	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: requestedAt, Direct: isDirect})
 	if reply.Gains != nil {
 		c.planner.enqueue(rankGains{packed: reply.Gains, elapsed: reply.Elapsed})
 	}
 }
 
-// allowRemoteLists reports whether an engine's lists may be read from afar now.
+// allowRemoteLists reports whether an engine's lists may now be read from another
+// machine, and if so records the read.
 func (c *coordinator) allowRemoteLists() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,7 +228,7 @@
 	return true
 }
 
-// recordReport passes a rank's report on.
+// recordReport updates the known ranks from a report and posts it to the control loop.
 func (c *coordinator) recordReport(member Member, read mapswitch.RankRead) {
 	state := read.State
 	if state.Group != "" && state.Group != c.group {
@@ -242,8 +249,8 @@
 	c.loop.Post(read)
 }
 
-// markForeign notes that the member belongs to another group, and closes the connection
-// to its agent.
+// markForeign records that the member belongs to another group, and closes the
+// connection to its agent.
 func (c *coordinator) markForeign(member Member) {
 	c.mu.Lock()
 	c.foreignSince[member.Server] = time.Now()
@@ -251,7 +258,7 @@
 	c.peers.Drop(member.Agent)
 }
 
-// member returns the member that is the rank; not ok where it is not known.
+// member returns the member with the rank, and false if it is unknown.
 func (c *coordinator) member(rank int) (Member, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -294,14 +301,14 @@
 	}
 }
 
-// give passes an order to a rank through an agent. Orders that copy, arm or disarm
-// may go to the engine itself where the agent is away; a hold is only put and
-// released by an agent, which refuses a coordinator that has been succeeded.
+// give passes an order to a rank through an agent. If the agent is unreachable, orders
+// to prepare, arm or disarm go directly to the engine. Holds are set and released only
+// through an agent, which refuses a superseded coordinator.
 func (c *coordinator) give(ctx context.Context, member, through Member, give mapswitch.SendOrder) {
-	asked, order := time.Now(), give.Order
-	given := mapswitch.OrderReturned{Rank: give.Rank, Kind: order.Kind}
-	read := mapswitch.RankRead{RequestedAt: asked}
-	defer func() { c.loop.Post(given) }()
+	requestedAt, order := time.Now(), give.Order
+	returned := mapswitch.OrderReturned{Rank: give.Rank, Kind: order.Kind}
+	read := mapswitch.RankRead{RequestedAt: requestedAt}
+	defer func() { c.loop.Post(returned) }()
 	var reply GiveReply
 	if err := c.giveThroughAgent(ctx, member, through, give, &reply); err != nil {
 		if c.stopIfFenced(err) || order.Kind == topology.Hold || order.Kind == topology.Release {
@@ -316,20 +323,20 @@
 			return
 		}
 	}
-	given.Answered = true
+	returned.Answered = true
 	if reply.Problem != "" {
 		c.logOrderFailure(member, order, reply.Problem)
 	}
 	if through != member {
-		go c.read(ctx, member, false, false) // Only its own agent reads it fresh.
+		go c.read(ctx, member, false, false) // Only the rank's own agent reads an up-to-date report.
 		return
 	}
 	read.State = reply.State
 	c.recordReport(member, read)
 }
 
-// giveThroughAgent passes an order to a rank's agent: where the agent knows the map in use,
-// what changes in it.
+// giveThroughAgent passes an order to a rank's agent. A prepare order carries only the
+// changes to the map in use, unless the agent doesn't have that map.
 func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, give mapswitch.SendOrder, reply *GiveReply) error {
 	whole := GiveArgs{Caller: c.caller(), Order: give.Order}
 	if through != member {
@@ -350,9 +357,9 @@
 	return c.call(ctx, member.Agent, methodGive, whole, reply)
 }
 
-// copyOrder returns the order to copy as changes to the map in use. All ranks get
-// the same, and comparing whole maps takes a large part of a small machine's
-// processor.
+// copyOrder returns the prepare order as changes to the map in use. The result is
+// reused for all ranks, which get the same order: comparing whole maps takes a large
+// part of a small machine's processor time.
 func (c *coordinator) copyOrder(give mapswitch.SendOrder) GiveArgs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -382,15 +389,15 @@
 	defer cancel()
 	err := c.peers.Call(ctx, agent, method, args, reply)
 	if errors.Is(err, rpc.ErrUnreachable) {
-		c.peers.Drop(agent) // The connection may have gone silent.
+		c.peers.Drop(agent) // The connection may be dead.
 	}
 	return err
 }
 
-// stopIfFenced reports whether the error says that a newer coordinator has called,
-// and ends this one then.
+// stopIfFenced reports whether the error means that a newer coordinator has called,
+// and stops this coordinator if so.
 func (c *coordinator) stopIfFenced(err error) bool {
-	// net/rpc passes errors on as text.
+	// net/rpc transmits errors as text.
 	if !strings.HasPrefix(err.Error(), errFenced.Error()) {
 		return false
 	}
--- a/server/mapcontrol/lease.go
+++ b/server/mapcontrol/lease.go
@@ -10,42 +10,44 @@
 	"persimmonwind.dev/platform"
 )
 
-// leaseTable holds a row a group: who coordinates its expert map.
+// leaseTable has one row for each group, which names the coordinator of its expert
+// map.
 const leaseTable = "map_leases"
 
-// maxFirstCallDelay is how long an agent that has taken the lease needs at most until it
-// has called all others: it reads the list of servers before.
+// maxFirstCallDelay is the longest time from acquiring the lease until the new
+// coordinator has called all other agents. It reads the list of servers first.
 const maxFirstCallDelay = 800 * time.Millisecond
 
-// errLeaseLost means that another agent took the lease first, or a moment ago.
+// errLeaseLost means that another agent acquired the lease first, or so recently that
+// it may not have called the other agents yet.
 var errLeaseLost = errors.New("another agent took the lease")
 
-// Store is what a lease needs of the platform's store.
+// Store is the part of the platform's store that leases use.
 type Store interface {
 	Get(ctx context.Context, table, key string) (platform.Row, error)
 	CompareAndSet(ctx context.Context, row platform.Row) (uint64, error)
 }
 
-// leaseRow is the value of a lease's row. It changes only when the lease is
-// taken: liveness is told by the holder's calls.
+// leaseRow is the value of a lease's row. It is written only when the lease is
+// acquired and not renewed: the holder's calls to the agents show that it is alive.
 type leaseRow struct {
 	Holder  string `json:"holder"`
 	Fence   uint64 `json:"fence"`
-	TakenMS int64  `json:"taken_ms"` // On the store's steady clock, as read before the write.
+	TakenMS int64  `json:"taken_ms"` // Monotonic time of the store, as read before the write.
 }
 
-// recentlyAcquired reports whether another agent took the lease so shortly before the time
-// of the store that it may not have called anyone yet. A clock that has started
-// anew proves nothing.
-func (r leaseRow) recentlyAcquired(self string, now time.Duration) bool {
+// recentlyAcquired reports whether another agent acquired the lease so shortly before
+// now, the store's time, that it may not have called all agents yet. It returns false
+// if the store's clock has been reset since.
+func (r leaseRow) recentlyAcquired(instance string, now time.Duration) bool {
 	age := now - time.Duration(r.TakenMS)*time.Millisecond
-	return r.Holder != self && r.TakenMS > 0 && age >= 0 && age < maxFirstCallDelay
+	return r.Holder != instance && r.TakenMS > 0 && age >= 0 && age < maxFirstCallDelay
 }
 
-// acquireLease takes the group's lease and returns its number, which is higher
-// than every number before. It fails with errLeaseLost where another agent was
-// faster, or took it a moment ago.
-func acquireLease(ctx context.Context, store Store, group, self string, seen uint64) (uint64, error) {
+// acquireLease acquires the group's lease and returns its fencing number, which is
+// higher than all earlier ones and than maxSeenFence. It returns errLeaseLost if
+// another agent was faster or acquired the lease recently.
+func acquireLease(ctx context.Context, store Store, group, instance string, maxSeenFence uint64) (uint64, error) {
 	row, err := store.Get(ctx, leaseTable, group)
 	if err != nil {
 		return 0, fmt.Errorf("read lease: %w", err)
@@ -56,10 +58,10 @@
 			return 0, fmt.Errorf("decode lease of group %q: %w", group, err)
 		}
 	}
-	if current.recentlyAcquired(self, row.ReadAt) {
+	if current.recentlyAcquired(instance, row.ReadAt) {
 		return 0, errLeaseLost
 	}
-	next := leaseRow{Holder: self, Fence: max(current.Fence, seen) + 1, TakenMS: row.ReadAt.Milliseconds()}
+	next := leaseRow{Holder: instance, Fence: max(current.Fence, maxSeenFence) + 1, TakenMS: row.ReadAt.Milliseconds()}
 	row.Value, err = json.Marshal(next)
 	if err != nil {
 		return 0, fmt.Errorf("encode lease: %w", err)
@@ -69,7 +71,7 @@
 		return 0, errLeaseLost
 	}
 	if err != nil {
-		// The write may have happened; the number is used up either way.
+		// The write may have taken effect; the number is not used again in either case.
 		return 0, fmt.Errorf("write lease: %w", err)
 	}
 	return next.Fence, nil
--- a/server/mapcontrol/mapcontrol_test.go
+++ b/server/mapcontrol/mapcontrol_test.go
@@ -20,7 +20,8 @@
 	"persimmonwind.dev/server/rpc"
 )
 
-// rowStore holds one row; lose makes the answer of the next write get lost.
+// rowStore is a store of one row. If loseAnswer is set, the next write takes effect but
+// returns an error.
 type rowStore struct {
 	mu         sync.Mutex
 	now        time.Duration
@@ -53,7 +54,7 @@
 
 func TestLease(t *testing.T) {
 	ctx := context.Background()
-	Convey("Each taking of a lease has a higher number", t, func() {
+	Convey("Each acquired lease has a higher number", t, func() {
 		store := &rowStore{}
 		last := uint64(0)
 		for range 5 {
@@ -63,7 +64,7 @@
 			last = fence
 		}
 	})
-	Convey("The number exceeds any that was heard of, and a lost answer uses one up", t, func() {
+	Convey("The number exceeds the highest number seen, and a write with a lost answer uses one up", t, func() {
 		store := &rowStore{loseAnswer: true}
 		_, err := acquireLease(ctx, store, "g", "a", 7)
 		So(err, ShouldNotBeNil)
@@ -71,24 +72,24 @@
 		So(err, ShouldBeNil)
 		So(fence, ShouldEqual, 9)
 	})
-	Convey("An agent leaves the lease to one that took it a moment ago, whatever clocks do", t, func() {
+	Convey("A lease that another agent acquired recently is not acquired, unless the store's clock was reset", t, func() {
 		store := &rowStore{now: time.Hour}
 		first, err := acquireLease(ctx, store, "g", "a", 0)
 		So(err, ShouldBeNil)
 		store.now += maxFirstCallDelay / 2
 		_, err = acquireLease(ctx, store, "g", "b", 0)
 		So(errors.Is(err, errLeaseLost), ShouldBeTrue)
-		_, err = acquireLease(ctx, store, "g", "a", 0) // It has started again.
+		_, err = acquireLease(ctx, store, "g", "a", 0) // The holder has restarted.
 		So(err, ShouldBeNil)
 		store.now += 2 * maxFirstCallDelay
 		second, err := acquireLease(ctx, store, "g", "b", 0)
 		So(err, ShouldBeNil)
 		So(second, ShouldBeGreaterThan, first)
-		store.now = time.Minute // The store has started again.
+		store.now = time.Minute // The store has restarted.
 		_, err = acquireLease(ctx, store, "g", "c", 0)
 		So(err, ShouldBeNil)
 	})
-	Convey("Of agents that race, one wins", t, func() {
+	Convey("Agents that race never get the same number", t, func() {
 		store := &rowStore{}
 		var wg sync.WaitGroup
 		fences := make(chan uint64, 20)
@@ -134,7 +135,7 @@
 }
 
 func TestFencing(t *testing.T) {
-	Convey("An agent passes no order of a coordinator that has been succeeded", t, func() {
+	Convey("An agent refuses the orders of a superseded coordinator", t, func() {
 		engine := &countingEngine{}
 		rank := NewRank(engine, nil)
 		var read ReadReply
@@ -144,10 +145,10 @@
 		So(engine.orders, ShouldEqual, 0)
 		So(rank.Give(GiveArgs{Caller: Caller{Fence: 2}}, &reply), ShouldBeNil)
 		So(engine.orders, ShouldEqual, 1)
-		So(reply.Problem, ShouldNotBeEmpty) // The outcome is unknown; the report follows.
+		So(reply.Problem, ShouldNotBeEmpty) // The outcome is unknown; the reply still has the report.
 		So(reply.State.Group, ShouldEqual, "g")
 	})
-	Convey("Counts are told as what was gained since they were last read", t, func() {
+	Convey("Counts are returned as the gains since they were last read", t, func() {
 		rank := NewRank(&countingEngine{}, nil)
 		var first, second ReadReply
 		So(rank.Read(ReadArgs{Counts: true}, &first), ShouldBeNil)
@@ -155,7 +156,7 @@
 		So(rank.Read(ReadArgs{Counts: true}, &second), ShouldBeNil)
 		So(second.Gains, ShouldNotBeEmpty)
 	})
-	Convey("An order to copy may build on a map that the agent knows, and on no other", t, func() {
+	Convey("A prepare order may carry changes only to a map that the agent has", t, func() {
 		engine := &countingEngine{}
 		rank := NewRank(engine, nil)
 		whole := mapswitch.Map{{{0, 1}, {2}}}
@@ -166,15 +167,15 @@
 		So(rank.Give(next, &reply), ShouldBeNil)
 		So(reply.UnknownBase, ShouldBeFalse)
 		So(engine.last.Map, ShouldResemble, mapswitch.Map{{{0, 1}, {2, 0}}})
-		dealt := GiveArgs{Order: topology.Order{Kind: topology.Prepare, Version: 3}, InTurn: mapswitch.Shape{Sets: 1, Experts: 3, Ranks: 2}, Changes: changes}
-		So(NewRank(engine, nil).Give(dealt, &reply), ShouldBeNil)
+		initial := GiveArgs{Order: topology.Order{Kind: topology.Prepare, Version: 3}, InTurn: mapswitch.Shape{Sets: 1, Experts: 3, Ranks: 2}, Changes: changes}
+		So(NewRank(engine, nil).Give(initial, &reply), ShouldBeNil)
 		So(engine.last.Map, ShouldResemble, mapswitch.Map{{{0, 2}, {2, 0}}})
 		next.Base, next.Order.Version = 7, 4
 		So(rank.Give(next, &reply), ShouldBeNil)
 		So(reply.UnknownBase, ShouldBeTrue)
 		So(engine.orders, ShouldEqual, 3)
 	})
-	Convey("A call of a succeeded coordinator does not count as a sign of life", t, func() {
+	Convey("A call of a superseded coordinator does not update the time of the last call", t, func() {
 		rank := NewRank(&countingEngine{}, nil)
 		rank.fence = 5
 		before := rank.lastCallAt
@@ -203,7 +204,7 @@
 				_, err := fmt.Sscanf(member.Server, "server-%d", &number)
 				So(err, ShouldBeNil)
 				if number%2 == 1 && number/64 != 20 {
-					continue // Its machine is away.
+					continue // Its machine is unreachable.
 				}
 				c.recordReport(member, mapswitch.RankRead{State: topology.RankState{
 					Group: fmt.Sprint("g-", number/64), Open: true, Epoch: 1, Rank: number % 64, Size: 64,
@@ -216,11 +217,11 @@
 			So(len(read), ShouldBeLessThanOrEqualTo, 200)
 			answer(read)
 		}
-		Convey("a coordinator finds its ranks, though half of the members never answer", func() {
+		Convey("a coordinator finds its ranks even if half of the members never answer", func() {
 			So(len(c.addresses), ShouldEqual, 64)
 			So(rounds, ShouldBeLessThanOrEqualTo, 30) // Three seconds.
 		})
-		Convey("and reads its ranks in each round, and others no faster than their bound", func() {
+		Convey("a coordinator reads all its ranks in each round, and others up to the limit", func() {
 			read := c.membersToRead(64)
 			So(len(read), ShouldBeBetweenOrEqual, 64, 200)
 			ranks := 0
@@ -237,7 +238,7 @@
 }
 
 func TestReadRankWithUnreachableAgent(t *testing.T) {
-	Convey("A successor reads a rank whose agent is away from the engine itself", t, func() {
+	Convey("A new coordinator reads a rank whose agent is unreachable directly from the engine", t, func() {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		c := &coordinator{
@@ -246,10 +247,10 @@
 			stop:         func() {},
 		}
 		c.loop = loop.New(mapswitch.Step, func(mapswitch.State) view { return view{} }, func(reduce.Effect) {}, nil)
-		away := Member{Server: "127.0.0.1:1", Agent: "127.0.0.1:1"}
-		c.read(context.Background(), away, false, false)
-		So(c.addresses, ShouldBeEmpty) // Nothing says that it is a rank of the group.
-		c.read(context.Background(), away, true, false)
-		So(c.addresses[0], ShouldResemble, away)
+		unreachable := Member{Server: "127.0.0.1:1", Agent: "127.0.0.1:1"}
+		c.read(context.Background(), unreachable, false, false)
+		So(c.addresses, ShouldBeEmpty) // It is not known to be a rank of the group.
+		c.read(context.Background(), unreachable, true, false)
+		So(c.addresses[0], ShouldResemble, unreachable)
 	})
 }
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -15,27 +15,29 @@
 )
 
 const (
-	// planInterval is how often a new map is considered while none is under way: a
-	// fraction of a pass.
+	// planInterval is how often a new map is considered while no change is in
+	// progress: a fraction of a pass.
 	planInterval = 20 * time.Millisecond
-	// copyTimeBudget is how long a rank may copy for one change, so that several
-	// changes fit between two jumps of demand.
+	// copyTimeBudget limits the time that a rank copies experts for one change, so
+	// that several changes fit between two jumps of demand.
 	copyTimeBudget = 200 * time.Millisecond
-	// maxCopies bounds the experts that one change brings to a rank: more were never
-	// worth waiting for, and considering them takes the planner's time.
+	// maxCopies limits the number of experts that one change copies to a rank: more
+	// are never worth waiting for, and considering them takes the planner's time.
 	maxCopies = 4
-	// planHandoverTime is the time in which the control goroutine takes a plan up.
+	// planHandoverTime is the time in which the control goroutine starts to act on a
+	// posted plan.
 	planHandoverTime = 60 * time.Millisecond
-	// expertPassShare is the share of a busy group's pass that experts take: a
-	// step of the users' engines has 4.8 ms besides, and 3 to 5 ms of token work,
-	// most of it the experts'.
+	// expertPassShare is the share of a busy group's pass that is spent on experts: a
+	// step of the users' engines takes 4.8 ms of other work and 3 to 5 ms of token
+	// work, most of which is done by experts.
 	expertPassShare = 0.4
-	// minChoices is the number of observed choices below which a forecast is
-	// noise.
+	// minChoices is the number of observed expert choices below which a demand
+	// forecast is noise.
 	minChoices = 2000
 )
 
-// planner turns the ranks' counts into maps.
+// planner forecasts the demand for experts from the ranks' counts and plans new maps
+// for it.
 type planner struct {
 	engine  func() *topology.Engine
 	log     *logrus.Entry
@@ -44,23 +46,23 @@
 	metrics *Metrics
 
 	demand         *hotexperts.Demand
-	lastPostedAt   time.Time // When the latest plan was handed over.
-	planConsidered bool      // A plan was considered for the demand as it is.
+	lastPostedAt   time.Time // When the latest plan was posted to the control loop.
+	planConsidered bool      // A plan was considered for the current demand.
 }
 
-// rankGains is what the counts of one rank have gained.
+// rankGains is the increase of one rank's counts over a period.
 type rankGains struct {
 	packed  []byte
 	elapsed time.Duration
 }
 
 func newPlanner(engine func() *topology.Engine, group string, log *logrus.Entry, metrics *Metrics) *planner {
-	const queued = 256 // A few rounds of a large group.
+	const queued = 256 // A few rounds of reads of a large group.
 	return &planner{engine: engine, group: group, log: log, gains: make(chan rankGains, queued), metrics: metrics}
 }
 
-// enqueue takes in a rank's gains. Where the planner is far behind they are left
-// out; others tell the same demand.
+// enqueue passes a rank's gains to the planner. It drops them if the queue is full,
+// since the gains of other ranks show the same demand.
 func (p *planner) enqueue(gains rankGains) {
 	select {
 	case p.gains <- gains:
@@ -129,7 +131,7 @@
 	control.Post(mapswitch.Planned{Epoch: state.Epoch, Map: plan.Map})
 }
 
-// copyBudget is the number of experts that one change may bring to a rank.
+// copyBudget returns the number of experts that one change may copy to a rank.
 func copyBudget(engine *topology.Engine) int {
 	return min(maxCopies, max(1, int(copyTimeBudget/max(time.Millisecond, engine.CopyTime()))))
 }
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -1,6 +1,6 @@
-// Package mapcontrol runs the expert map of a model group from the agents
-// beside its ranks: each agent reads its own rank and passes orders to it; the
-// one that holds the group's lease coordinates.
+// Package mapcontrol changes the expert map of a model group. The agent beside each
+// rank reads that rank and passes orders to it. The agent that holds the group's
+// lease is the coordinator: it calls the agents of all ranks over RPC.
 package mapcontrol
 
 import (
@@ -16,7 +16,7 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// receiverName is the name of the agents' calls.
+// receiverName is the name under which agents register their RPC receiver.
 const receiverName = "Rank"
 
 const (
@@ -24,7 +24,7 @@
 	methodGive = receiverName + ".Give"
 )
 
-// Engine is what an agent needs of the engine beside it.
+// Engine is the part of a model engine's interface that agents use.
 type Engine interface {
 	Report(ctx context.Context) (topology.RankState, error)
 	Counts(ctx context.Context) (topology.RankCounts, error)
@@ -32,73 +32,78 @@
 	Give(ctx context.Context, order topology.Order) error
 }
 
-// Caller says which coordinator calls.
+// Caller identifies the calling coordinator.
 type Caller struct {
 	Fence uint64
 	Group string
 }
 
-// ReadArgs ask for what a rank knows.
+// ReadArgs are the arguments of Rank.Read. They select what is read besides the
+// rank's state.
 type ReadArgs struct {
 	Caller
 	Counts bool
 	Lists  bool
 }
 
-// ReadReply is what a rank knows.
+// ReadReply is the reply of Rank.Read.
 type ReadReply struct {
 	State   topology.RankState
-	Gains   []byte        // Packed, since the counts were last read; nil the first time.
-	Elapsed time.Duration // In which they were gained.
+	Gains   []byte        // Packed increase of the counts since they were last read; nil for the first read.
+	Elapsed time.Duration // Time over which Gains accumulated.
 	Lists   topology.RankLists
 }
 
-// GiveArgs pass an order to the rank.
+// GiveArgs are the arguments of Rank.Give, which passes an order to a rank.
 type GiveArgs struct {
 	Caller
 	Order topology.Order
-	// Server is the engine that gets the order, host:port, where that is not the one
+	// Server is the host:port of the engine that gets the order; empty for the engine
 	// beside the agent.
 	Server string
-	// An order to copy may hold changes instead of a map: to the map of version
-	// Base, or to the one with which a group of the shape begins.
+	// A prepare order may carry changes instead of a whole map. They apply to the map
+	// of version Base or, if InTurn is set, to the initial map of a group of that
+	// shape.
 	Base    int64
 	InTurn  mapswitch.Shape
 	Changes []mapswitch.Change
 }
 
-// hasChanges reports whether the order holds changes.
+// hasChanges reports whether the order carries changes instead of a whole map.
 func (a GiveArgs) hasChanges() bool { return a.Base != 0 || a.InTurn.Sets != 0 }
 
 // GiveReply is the rank's state after the order.
 type GiveReply struct {
 	State       topology.RankState
-	Problem     string // Empty where the engine accepted the order.
-	UnknownBase bool   // The agent doesn't know the map that the changes belong to.
+	Problem     string // Empty if the engine accepted the order.
+	UnknownBase bool   // The agent doesn't have the map to which the changes apply.
 }
 
-// errFenced means that a newer coordinator has called.
+// errFenced means that a newer coordinator has called. Coordinators recognize the
+// error by its text.
 var errFenced = errors.New("a coordinator with a higher number has called")
 
-// Rank answers a coordinator's calls; its methods are called over RPC.
+// Rank is the RPC receiver that answers a coordinator's calls.
 type Rank struct {
 	engine       Engine
 	directEngine func(address string) Engine // For orders to other engines.
 
 	mu           sync.Mutex
-	fence        uint64 // The highest seen.
+	fence        uint64 // The highest fencing number seen.
 	lastCallAt   time.Time
 	counts       topology.RankCounts // As last read.
 	countsReadAt time.Time
-	maps         map[int64]mapswitch.Map // By version: the last two that were to be copied.
+	maps         map[int64]mapswitch.Map // By version: the latest prepared map and the base of its changes.
 }
 
-// NewRank returns the receiver for the engine; directEngine returns other engines.
+// NewRank returns the receiver for the engine beside the agent. The function
+// directEngine returns clients of other engines.
 func NewRank(engine Engine, directEngine func(address string) Engine) *Rank {
 	return &Rank{engine: engine, directEngine: directEngine, lastCallAt: time.Now(), maps: map[int64]mapswitch.Map{}}
 }
 
-// Read returns what the rank knows.
+// Read returns the rank's state and, if asked for, the gains of its counts and its
+// expert lists.
 func (r *Rank) Read(args ReadArgs, reply *ReadReply) error {
 	if err := r.checkFence(args.Caller); err != nil {
 		return err
@@ -115,8 +120,8 @@
 	return readEngine(ctx, r.engine, args.Lists, reply)
 }
 
-// countGains returns what the counts have countGains since they were last read in the
-// same epoch.
+// countGains returns the increase of the counts since they were last read, and the
+// time since then. It returns nil if they were not read in this epoch before.
 func (r *Rank) countGains(counts topology.RankCounts) ([]byte, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,7 +133,7 @@
 	return hotexperts.PackCounts(before.Counts, counts.Counts), elapsed
 }
 
-// readEngine reads the engine.
+// readEngine reads the engine's report and, if lists is set, its expert lists.
 func readEngine(ctx context.Context, engine Engine, lists bool, reply *ReadReply) error {
 	var err error
 	if lists {
@@ -161,13 +166,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if args.Server != "" {
-		// Its report would lag when it is read from here.
+		// Another engine's report is stale when it is read from this machine.
 		return giveOrder(ctx, r.directEngine(args.Server), order, reply)
 	}
 	return giveAndReport(ctx, r.engine, order, reply)
 }
 
-// resolveMap returns the whole map of an order to copy and remembers it.
+// resolveMap returns the whole map of a prepare order and stores it as a base for
+// later changes. It returns false if the base of the order's changes is unknown or
+// the changes don't apply to it.
 func (r *Rank) resolveMap(args GiveArgs) (mapswitch.Map, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,7 +201,8 @@
 	return next, true
 }
 
-// giveOrder gives the order; the reply says what the engine thought of it.
+// giveOrder gives the order to the engine. If the engine refuses it or its outcome is
+// unknown, the reply's Problem is set and no error is returned.
 func giveOrder(ctx context.Context, engine Engine, order topology.Order, reply *GiveReply) error {
 	err := engine.Give(ctx, order)
 	if err != nil && !errors.Is(err, platform.ErrUnfit) && !errors.Is(err, platform.ErrUnknownOutcome) {
@@ -206,7 +214,7 @@
 	return nil
 }
 
-// giveAndReport gives the order and reads the engine's report after it.
+// giveAndReport gives the order to the engine and then reads the engine's report.
 func giveAndReport(ctx context.Context, engine Engine, order topology.Order, reply *GiveReply) error {
 	err := giveOrder(ctx, engine, order, reply)
 	if err != nil {
@@ -218,20 +226,21 @@
 	return nil
 }
 
-// checkFence refuses coordinators that have been succeeded.
+// checkFence refuses calls of a superseded coordinator. It records the time of all
+// other calls.
 func (r *Rank) checkFence(caller Caller) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if caller.Fence < r.fence {
-		return fmt.Errorf("%w: %d, the caller's is %d", errFenced, r.fence, caller.Fence)
+		return fmt.Errorf("%w: highest is %d, the caller's is %d", errFenced, r.fence, caller.Fence)
 	}
 	r.fence = caller.Fence
 	r.lastCallAt = time.Now()
 	return nil
 }
 
-// sinceLastCall returns how long no coordinator has called, and the highest number
-// seen.
+// sinceLastCall returns the time since the last call of a coordinator, and the highest
+// fencing number seen.
 func (r *Rank) sinceLastCall() (time.Duration, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
