--- a/server/mapcontrol/lease.go
+++ b/server/mapcontrol/lease.go
@@ -20,7 +20,7 @@
 
 // errLeaseLost means that another agent acquired the lease first, or so recently that
 // it may not have called the other agents yet.
-var errLeaseLost = errors.New("another agent took the lease")
+var errLeaseLost = errors.New("another agent acquired the lease")
 
 // Store is the part of the platform's store that leases use.
 type Store interface {
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -93,7 +93,7 @@
 	lastCallAt   time.Time
 	counts       topology.RankCounts // As last read.
 	countsReadAt time.Time
-	maps         map[int64]mapswitch.Map // By version: the latest prepared map and the base of its changes.
+	maps         map[int64]mapswitch.Map // By version; at most two: the latest prepared map and the base of its changes.
 }
 
 // NewRank returns the receiver for the engine beside the agent. The function
