--- a/server/deployed/agent.go
+++ b/server/deployed/agent.go
@@ -56,7 +56,7 @@
 		FollowTopology: a.followTopology,
 		Members:        a.members, EngineModel: a.engineModel, Log: a.log, Metrics: mapcontrol.NewMetrics(a.registry),
 	}
-	maps.Init()
+	maps.Prepare()
 	publisher := loadreport.NewPublisher(reports)
 	read := func() (topology.RankState, bool) {
 		state, err := engine.Report(ctx)
--- a/server/mapcontrol/agent.go
+++ b/server/mapcontrol/agent.go
@@ -82,8 +82,8 @@
 	return rpc.Serve(listener, map[string]any{receiverName: a.rank}, a.Log)
 }
 
-// Init prepares the agent. It must be called before Serve and Run.
-func (a *Agent) Init() {
+// Prepare prepares the agent. It must be called before Serve and Run.
+func (a *Agent) Prepare() {
 	a.rank = NewRank(a.Engine, a.DirectEngine)
 	a.peers = rpc.NewPool(nil)
 }
