--- a/policy/hotexperts/bench_test.go
+++ b/policy/hotexperts/bench_test.go
@@ -13,13 +13,13 @@
 		sets   int
 		budget int
 	}{
-		"12-ranks": {usersShape, usersSets, 2},
+		"12-ranks": {referenceShape, referenceSets, 2},
 		"63-ranks": {Shape{Ranks: 63, Places: 5, Experts: 252, NewPerSet: 2}, 8, 12},
 	}
 	for name, size := range sizes {
 		b.Run(name, func(b *testing.B) {
-			load := topics(rand.New(rand.NewPCG(1, 1)), size.shape, size.sets)
-			placement := inTurn(size.shape, size.sets)
+			load := randomTopicLoad(rand.New(rand.NewPCG(1, 1)), size.shape, size.sets)
+			placement := roundRobinMap(size.shape, size.sets)
 			for b.Loop() {
 				Decide(size.shape, placement, load, size.budget)
 			}
@@ -30,8 +30,8 @@
 // BenchmarkDecideSettled considers a change where demand has not jumped.
 func BenchmarkDecideSettled(b *testing.B) {
 	shape := Shape{Ranks: 63, Places: 5, Experts: 252, NewPerSet: 2}
-	load := topics(rand.New(rand.NewPCG(1, 1)), shape, 8)
-	placement := inTurn(shape, 8)
+	load := randomTopicLoad(rand.New(rand.NewPCG(1, 1)), shape, 8)
+	placement := roundRobinMap(shape, 8)
 	for range 12 {
 		placement = Decide(shape, placement, load, 3).Map
 	}
--- a/policy/hotexperts/demand.go
+++ b/policy/hotexperts/demand.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// demandMemory is the time constant of the forecast. Demand jumps every few
+	// forecastTimeConstant is the time constant of the forecast. Demand jumps every few
 	// seconds, and the mix of requests under way lasts about a request's length.
-	demandMemory = 500 * time.Millisecond
-	// latestMemory is that of the latest counts, about two passes, against which
+	forecastTimeConstant = 500 * time.Millisecond
+	// recentTimeConstant is that of the latest counts, about two passes, against which
 	// the forecast is checked.
-	latestMemory = 120 * time.Millisecond
-	// jumpDistance is the share of choices that must have moved to other experts
+	recentTimeConstant = 120 * time.Millisecond
+	// jumpThreshold is the share of choices that must have moved to other experts
 	// for the forecast to start over from the latest counts. The mix of requests
 	// under way moves about a tenth between two passes.
-	jumpDistance = 0.25
+	jumpThreshold = 0.25
 )
 
 // Demand forecasts the load of each expert from what ranks count.
 type Demand struct {
 	sets, experts int
-	load          [][]float64 // Within demandMemory.
-	latest        [][]float64 // Within latestMemory.
+	forecast      [][]float64 // Within demandMemory.
+	recent        [][]float64 // Within latestMemory.
 	total         float64     // Choices within demandMemory.
 }
 
 // NewDemand returns a forecast that has seen nothing.
 func NewDemand(sets, experts int) *Demand {
 	d := &Demand{sets: sets, experts: experts}
-	d.load, d.latest = zeroes(sets, experts), zeroes(sets, experts)
+	d.forecast, d.recent = zeroes(sets, experts), zeroes(sets, experts)
 	return d
 }
 
@@ -50,14 +50,14 @@
 		return false
 	}
 	seconds := elapsed.Seconds() / float64(max(1, ranks))
-	decay := math.Exp(-seconds / demandMemory.Seconds())
-	latestDecay := math.Exp(-seconds / latestMemory.Seconds())
+	decay := math.Exp(-seconds / forecastTimeConstant.Seconds())
+	latestDecay := math.Exp(-seconds / recentTimeConstant.Seconds())
 	d.total *= decay
-	for set := range d.load {
-		for expert := range d.load[set] {
+	for set := range d.forecast {
+		for expert := range d.forecast[set] {
 			chosen := float64(gains[set*d.experts+expert])
-			d.load[set][expert] = d.load[set][expert]*decay + chosen
-			d.latest[set][expert] = d.latest[set][expert]*latestDecay + chosen
+			d.forecast[set][expert] = d.forecast[set][expert]*decay + chosen
+			d.recent[set][expert] = d.recent[set][expert]*latestDecay + chosen
 			d.total += chosen
 		}
 	}
@@ -67,17 +67,17 @@
 // Load returns the forecast by set and expert; it is the Demand's own. Where
 // demand has jumped it starts over from the latest counts.
 func (d *Demand) Load() [][]float64 {
-	if distance(d.load, d.latest) > jumpDistance {
-		for set := range d.load {
-			copy(d.load[set], d.latest[set])
+	if shareMoved(d.forecast, d.recent) > jumpThreshold {
+		for set := range d.forecast {
+			copy(d.forecast[set], d.recent[set])
 		}
 	}
-	return d.load
+	return d.forecast
 }
 
-// distance returns the share of choices that fall on other experts in one table
+// shareMoved returns the share of choices that fall on other experts in one table
 // than in the other.
-func distance(a, b [][]float64) float64 {
+func shareMoved(a, b [][]float64) float64 {
 	moved, sets := 0.0, 0
 	for set := range a {
 		sumA, sumB := sum(a[set]), sum(b[set])
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// unevenness is the power of a rank's load in the cost that the search
+	// loadExponent is the power of a rank's load in the cost that the search
 	// lowers. A high power approaches the most loaded rank alone but still
 	// prefers to lower the second most loaded one where several are level.
-	unevenness = 8
-	// minGain is the share of a set's cost that a copy must save. A copy slows
+	loadExponent = 8
+	// minRelativeGain is the share of a set's cost that a copy must save. A copy slows
 	// the passes of the whole group while it lasts, and it is priced.
-	minGain = 0.01
+	minRelativeGain = 0.01
 )
 
 // Shape is the size of a group.
@@ -65,18 +65,18 @@
 	// copySlowdown is the share by which the group's passes take longer while a
 	// rank copies, as the platform's engines say.
 	copySlowdown = 0.15
-	// lightLoad is the share of places below which passes are far shorter than
+	// lightLoadOccupancy is the share of places below which passes are far shorter than
 	// the pauses that users allow, so only a large skew matters to them.
-	lightLoad = 0.5
-	// lightGain is the share of the skew that a change must save under light load.
-	lightGain = 0.15
-	// changeCost is what a change costs besides its copies: demand that jumps while
+	lightLoadOccupancy = 0.5
+	// lightLoadMinGain is the share of the skew that a change must save under light load.
+	lightLoadMinGain = 0.15
+	// changeOverhead is what a change costs besides its copies: demand that jumps while
 	// a change is under way is answered a few hundred ms later, and the group may
 	// rest.
-	changeCost = 15 * time.Millisecond
-	// horizon is how long a map is taken to fit: demand jumps every 3 to 4 s, and
+	changeOverhead = 15 * time.Millisecond
+	// planningHorizon is how long a map is taken to fit: demand jumps every 3 to 4 s, and
 	// the requests under way change within 2 s.
-	horizon = 2 * time.Second
+	planningHorizon = 2 * time.Second
 )
 
 // IsWorthwhile reports whether the time that the plan saves within the horizon exceeds
@@ -86,19 +86,19 @@
 		return false
 	}
 	gain := (p.SkewBefore - p.SkewAfter) / p.SkewBefore
-	if costs.Occupancy < lightLoad && gain < lightGain {
+	if costs.Occupancy < lightLoadOccupancy && gain < lightLoadMinGain {
 		return false
 	}
-	saved := gain * costs.ExpertTimeShare * horizon.Seconds()
-	return saved > changeCost.Seconds()+copySlowdown*float64(p.MaxCopiesPerRank)*costs.CopyTime.Seconds()
+	saved := gain * costs.ExpertTimeShare * planningHorizon.Seconds()
+	return saved > changeOverhead.Seconds()+copySlowdown*float64(p.MaxCopiesPerRank)*costs.CopyTime.Seconds()
 }
 
 const (
 	// switchTime is what a change takes besides its copies: about two passes.
 	switchTime = 100 * time.Millisecond
-	// recovery is the time after a jump over which plans are compared: the group
+	// recoveryWindow is the time after a jump over which plans are compared: the group
 	// makes two or three changes in it.
-	recovery = 600 * time.Millisecond
+	recoveryWindow = 600 * time.Millisecond
 )
 
 // DecideLeastAverageSkew returns, among the plans of up to budget copies a rank, the one
@@ -109,7 +109,7 @@
 	for copies := budget; copies >= 1; copies /= 2 {
 		plan := Decide(shape, current, load, copies)
 		until := switchTime + time.Duration(plan.MaxCopiesPerRank)*copyTime
-		cost := plan.SkewBefore*until.Seconds() + plan.SkewAfter*max(0, recovery-until).Seconds()
+		cost := plan.SkewBefore*until.Seconds() + plan.SkewAfter*max(0, recoveryWindow-until).Seconds()
 		if cost < bestCost {
 			best, bestCost = plan, cost
 		}
@@ -131,9 +131,9 @@
 		if chosen == nil {
 			break
 		}
-		copies[chosen.next.rank]++
+		copies[chosen.bestStep.rank]++
 		plan.Copies++
-		chosen.apply(chosen.next)
+		chosen.apply(chosen.bestStep)
 	}
 	for _, s := range sets {
 		plan.Map = append(plan.Map, s.held)
@@ -153,8 +153,8 @@
 func pickSet(sets []*search, copies []int, budget int) *search {
 	var chosen *search
 	for _, s := range sets {
-		s.findNext(copies, budget)
-		if s.found && (chosen == nil || s.next.gain > chosen.next.gain) {
+		s.refreshBestStep(copies, budget)
+		if s.bestStepPays && (chosen == nil || s.bestStep.gain > chosen.bestStep.gain) {
 			chosen = s
 		}
 	}
@@ -182,23 +182,23 @@
 
 // search improves the placement of one set.
 type search struct {
-	shape   Shape
-	load    []float64
-	held    [][]int // Experts by rank.
-	holders [][]int // Ranks by expert.
-	fresh   []int   // Copies of this change by rank.
-	loads   []float64
-	mean    float64
-	cost    float64
-	next    step // The best step of the placement as it is.
-	found   bool // next is worth its copy.
-	current bool // next belongs to the placement as it is.
+	shape         Shape
+	load          []float64
+	held          [][]int // Experts by rank.
+	holders       [][]int // Ranks by expert.
+	newByRank     []int   // Copies of this change by rank.
+	loads         []float64
+	mean          float64
+	cost          float64
+	bestStep      placementStep // The best step of the placement as it is.
+	bestStepPays  bool          // next is worth its copy.
+	bestStepValid bool          // next belongs to the placement as it is.
 }
 
-// step copies an expert to a rank, in place of the victim or, where that is
+// placementStep copies an expert to a rank, in place of the victim or, where that is
 // negative, to an empty place. Where it moves the expert, the rank from is
 // relieved of it; otherwise from is negative.
-type step struct {
+type placementStep struct {
 	expert, rank, victim, from int
 	gain                       float64
 }
@@ -207,7 +207,7 @@
 	s := &search{
 		shape: shape, load: load,
 		held: make([][]int, shape.Ranks), holders: make([][]int, shape.Experts),
-		fresh: make([]int, shape.Ranks), loads: make([]float64, shape.Ranks),
+		newByRank: make([]int, shape.Ranks), loads: make([]float64, shape.Ranks),
 	}
 	for rank, experts := range placement {
 		s.held[rank] = append([]int(nil), experts...)
@@ -223,12 +223,12 @@
 	for _, l := range s.loads {
 		s.mean += l / float64(shape.Ranks)
 	}
-	s.cost = s.costOf()
+	s.cost = s.totalCost()
 	return s
 }
 
-// term is a rank's part of the cost.
-func (s *search) term(rank int, load float64) float64 {
+// rankCost is a rank's part of the cost.
+func (s *search) rankCost(rank int, load float64) float64 {
 	if s.mean == 0 {
 		return 0
 	}
@@ -238,74 +238,74 @@
 	return x * x
 }
 
-func (s *search) costOf() float64 {
+func (s *search) totalCost() float64 {
 	total := 0.0
 	for rank, l := range s.loads {
-		total += s.term(rank, l)
+		total += s.rankCost(rank, l)
 	}
 	return total
 }
 
-// findNext finds the best step again if the placement has changed or the step's
+// refreshBestStep finds the best step again if the placement has changed or the step's
 // rank has used up its budget.
-func (s *search) findNext(copies []int, budget int) {
-	if s.current && (!s.found || copies[s.next.rank] < budget) {
+func (s *search) refreshBestStep(copies []int, budget int) {
+	if s.bestStepValid && (!s.bestStepPays || copies[s.bestStep.rank] < budget) {
 		return
 	}
-	s.next, s.found = s.best(copies, budget)
-	s.current = true
+	s.bestStep, s.bestStepPays = s.best(copies, budget)
+	s.bestStepValid = true
 }
 
 // best returns the copy that lowers the cost most: an expert of the most loaded
 // rank to another rank with budget left.
-func (s *search) best(copies []int, budget int) (step, bool) {
-	var best step
-	hottest := s.hottest()
-	for _, expert := range s.held[hottest] {
+func (s *search) best(copies []int, budget int) (placementStep, bool) {
+	var best placementStep
+	slowestRank := s.slowestRank()
+	for _, expert := range s.held[slowestRank] {
 		if s.load[expert] == 0 {
 			continue
 		}
 		for rank := range s.shape.Ranks {
-			if copies[rank] >= budget || s.fresh[rank] >= s.shape.NewPerSet || s.holds(rank, expert) {
+			if copies[rank] >= budget || s.newByRank[rank] >= s.shape.NewPerSet || s.holds(rank, expert) {
 				continue
 			}
-			s.consider(&best, expert, rank, hottest)
+			s.considerCopy(&best, expert, rank, slowestRank)
 		}
 	}
-	return best, best.gain > 0 && s.relative(best.gain) >= minGain
+	return best, best.gain > 0 && s.relativeGain(best.gain) >= minRelativeGain
 }
 
-// relative is the share of the set's most loaded rank that a gain stands for.
-func (s *search) relative(gain float64) float64 {
+// relativeGain is the share of the set's most loaded rank that a gain stands for.
+func (s *search) relativeGain(gain float64) float64 {
 	if s.cost <= 0 {
 		return 0
 	}
-	return 1 - math.Pow(max(0, 1-gain/s.cost), 1.0/unevenness)
+	return 1 - math.Pow(max(0, 1-gain/s.cost), 1.0/loadExponent)
 }
 
-func (s *search) consider(best *step, expert, rank, hottest int) {
+func (s *search) considerCopy(best *placementStep, expert, rank, slowestRank int) {
 	if len(s.held[rank]) < s.shape.Places {
-		s.offerBoth(best, step{expert: expert, rank: rank, victim: -1}, hottest)
+		s.considerReplicaAndMove(best, placementStep{expert: expert, rank: rank, victim: -1}, slowestRank)
 	}
 	for _, victim := range s.held[rank] {
 		if len(s.holders[victim]) > 1 {
-			s.offerBoth(best, step{expert: expert, rank: rank, victim: victim}, hottest)
+			s.considerReplicaAndMove(best, placementStep{expert: expert, rank: rank, victim: victim}, slowestRank)
 		}
 	}
 }
 
-// offerBoth offers the step as a further replica and, where the hottest rank is
+// considerReplicaAndMove offers the step as a further replica and, where the slowestRank rank is
 // slow, as a move away from it.
-func (s *search) offerBoth(best *step, candidate step, hottest int) {
+func (s *search) considerReplicaAndMove(best *placementStep, candidate placementStep, slowestRank int) {
 	candidate.from = -1
-	s.offer(best, candidate)
-	if s.shape.slowness(hottest) > 1 {
-		candidate.from = hottest
-		s.offer(best, candidate)
+	s.considerStep(best, candidate)
+	if s.shape.slowness(slowestRank) > 1 {
+		candidate.from = slowestRank
+		s.considerStep(best, candidate)
 	}
 }
 
-func (s *search) offer(best *step, candidate step) {
+func (s *search) considerStep(best *placementStep, candidate placementStep) {
 	candidate.gain = s.gain(candidate)
 	if candidate.gain > best.gain {
 		*best = candidate
@@ -313,7 +313,7 @@
 }
 
 // gain returns by how much the step lowers the cost.
-func (s *search) gain(candidate step) float64 {
+func (s *search) gain(candidate placementStep) float64 {
 	holders := s.holders[candidate.expert]
 	load := s.load[candidate.expert]
 	before, after := float64(len(holders)), float64(len(holders)+1)
@@ -330,7 +330,7 @@
 	}
 	gain := 0.0
 	change := func(rank int, delta float64) {
-		gain += s.term(rank, s.loads[rank]) - s.term(rank, s.loads[rank]+delta)
+		gain += s.rankCost(rank, s.loads[rank]) - s.rankCost(rank, s.loads[rank]+delta)
 	}
 	for _, holder := range holders {
 		delta := load/after - load/before
@@ -351,10 +351,10 @@
 	return gain
 }
 
-func (s *search) apply(chosen step) {
-	s.current = false
+func (s *search) apply(chosen placementStep) {
+	s.bestStepValid = false
 	if chosen.victim >= 0 {
-		s.release(chosen.victim, chosen.rank)
+		s.removeReplica(chosen.victim, chosen.rank)
 	}
 	before := float64(len(s.holders[chosen.expert]))
 	load := s.load[chosen.expert]
@@ -364,15 +364,15 @@
 	s.loads[chosen.rank] += load / (before + 1)
 	s.held[chosen.rank] = append(s.held[chosen.rank], chosen.expert)
 	s.holders[chosen.expert] = append(s.holders[chosen.expert], chosen.rank)
-	s.fresh[chosen.rank]++
+	s.newByRank[chosen.rank]++
 	if chosen.from >= 0 {
-		s.release(chosen.expert, chosen.from)
+		s.removeReplica(chosen.expert, chosen.from)
 	}
-	s.cost = s.costOf()
+	s.cost = s.totalCost()
 }
 
-// release takes a replica away; the expert's other holders take its load.
-func (s *search) release(expert, rank int) {
+// removeReplica takes a replica away; the expert's other holders take its load.
+func (s *search) removeReplica(expert, rank int) {
 	n := float64(len(s.holders[expert]))
 	load := s.load[expert]
 	s.loads[rank] -= load / n
@@ -383,15 +383,15 @@
 	}
 }
 
-func (s *search) hottest() int {
-	hottest := 0
+func (s *search) slowestRank() int {
+	slowestRank := 0
 	most := 0.0
 	for rank, l := range s.loads {
 		if time := l * s.shape.slowness(rank); time > most {
-			hottest, most = rank, time
+			slowestRank, most = rank, time
 		}
 	}
-	return hottest
+	return slowestRank
 }
 
 func (s *search) holds(rank, expert int) bool {
--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// usersShape is that of the users' groups.
-var usersShape = Shape{Ranks: 12, Places: 8, Experts: 72, NewPerSet: 3}
+// referenceShape is that of the users' groups.
+var referenceShape = Shape{Ranks: 12, Places: 8, Experts: 72, NewPerSet: 3}
 
-const usersSets = 4
+const referenceSets = 4
 
-// inTurn is the map that a group begins with.
-func inTurn(shape Shape, sets int) Map {
+// roundRobinMap is the map that a group begins with.
+func roundRobinMap(shape Shape, sets int) Map {
 	placement := make(Map, sets)
 	for set := range placement {
 		placement[set] = make([][]int, shape.Ranks)
@@ -28,8 +28,8 @@
 	return placement
 }
 
-// topics draws a demand: few topics are much liked, each with its own experts.
-func topics(random *rand.Rand, shape Shape, sets int) [][]float64 {
+// randomTopicLoad draws a demand: few randomTopicLoad are much liked, each with its own experts.
+func randomTopicLoad(random *rand.Rand, shape Shape, sets int) [][]float64 {
 	load := make([][]float64, sets)
 	for set := range load {
 		load[set] = make([]float64, shape.Experts)
@@ -43,20 +43,20 @@
 	return load
 }
 
-func TestJumpOfDemand(t *testing.T) {
+func TestDecideAfterDemandJump(t *testing.T) {
 	Convey("After a jump of demand a few small changes spread the load", t, func() {
 		total, jumps := 0.0, 0
 		for seed := range uint64(20) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			placement := inTurn(usersShape, usersSets)
+			placement := roundRobinMap(referenceShape, referenceSets)
 			for range 3 {
-				load := topics(random, usersShape, usersSets)
-				before := Skew(usersShape, placement, load)
+				load := randomTopicLoad(random, referenceShape, referenceSets)
+				before := Skew(referenceShape, placement, load)
 				for range 4 {
-					placement = Decide(usersShape, placement, load, 3).Map
+					placement = Decide(referenceShape, placement, load, 3).Map
 				}
 				So(before, ShouldBeGreaterThan, 1.3)
-				total += Skew(usersShape, placement, load)
+				total += Skew(referenceShape, placement, load)
 				jumps++
 			}
 		}
@@ -74,51 +74,51 @@
 		So(Plan{Copies: 24, MaxCopiesPerRank: 2, SkewBefore: 3, SkewAfter: 1.3}.IsWorthwhile(costs), ShouldBeTrue)
 	})
 	Convey("An even load needs no copies", t, func() {
-		load := make([][]float64, usersSets)
+		load := make([][]float64, referenceSets)
 		for set := range load {
-			load[set] = make([]float64, usersShape.Experts)
+			load[set] = make([]float64, referenceShape.Experts)
 			for expert := range load[set] {
 				load[set][expert] = 1
 			}
 		}
-		So(Decide(usersShape, inTurn(usersShape, usersSets), load, 3).Copies, ShouldEqual, 0)
+		So(Decide(referenceShape, roundRobinMap(referenceShape, referenceSets), load, 3).Copies, ShouldEqual, 0)
 	})
 }
 
-func TestSoonestPlan(t *testing.T) {
+func TestDecideLeastAverageSkew(t *testing.T) {
 	const copyTime = 100 * time.Millisecond
 	Convey("Right after a jump a plan of fewer copies is taken where it brings most of the gain sooner", t, func() {
 		fewer := 0
 		for seed := range uint64(20) {
-			load := topics(rand.New(rand.NewPCG(seed, 3)), usersShape, usersSets)
-			placement := inTurn(usersShape, usersSets)
-			whole := Decide(usersShape, placement, load, 3)
-			soonest := DecideLeastAverageSkew(usersShape, placement, load, 3, copyTime)
+			load := randomTopicLoad(rand.New(rand.NewPCG(seed, 3)), referenceShape, referenceSets)
+			placement := roundRobinMap(referenceShape, referenceSets)
+			whole := Decide(referenceShape, placement, load, 3)
+			soonest := DecideLeastAverageSkew(referenceShape, placement, load, 3, copyTime)
 			if soonest.MaxCopiesPerRank < whole.MaxCopiesPerRank {
 				fewer++
 			}
 			cost := func(p Plan) float64 {
 				until := (switchTime + time.Duration(p.MaxCopiesPerRank)*copyTime).Seconds()
-				return p.SkewBefore*until + p.SkewAfter*(recovery.Seconds()-until)
+				return p.SkewBefore*until + p.SkewAfter*(recoveryWindow.Seconds()-until)
 			}
 			So(cost(soonest), ShouldBeLessThanOrEqualTo, cost(whole))
 		}
 		So(fewer, ShouldBeGreaterThan, 0)
 	})
 	Convey("Where a copy takes no time all copies are made", t, func() {
-		load := topics(rand.New(rand.NewPCG(1, 3)), usersShape, usersSets)
-		placement := inTurn(usersShape, usersSets)
-		So(DecideLeastAverageSkew(usersShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(usersShape, placement, load, 3).SkewAfter)
+		load := randomTopicLoad(rand.New(rand.NewPCG(1, 3)), referenceShape, referenceSets)
+		placement := roundRobinMap(referenceShape, referenceSets)
+		So(DecideLeastAverageSkew(referenceShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(referenceShape, placement, load, 3).SkewAfter)
 	})
 }
 
-func TestSlowRank(t *testing.T) {
+func TestDecideRelievesSlowRank(t *testing.T) {
 	Convey("A rank three times as slow as usual keeps only what nobody asks for", t, func() {
 		for seed := range uint64(20) {
-			shape := usersShape
+			shape := referenceShape
 			shape.Slowness = []float64{1, 1, 1, 1, 3, 1, 1, 1, 1, 1, 1, 1}
-			load := topics(rand.New(rand.NewPCG(seed, 2)), shape, usersSets)
-			placement := inTurn(shape, usersSets)
+			load := randomTopicLoad(rand.New(rand.NewPCG(seed, 2)), shape, referenceSets)
+			placement := roundRobinMap(shape, referenceSets)
 			for range 5 {
 				placement = Decide(shape, placement, load, 3).Map
 			}
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestPlanFits(t *testing.T) {
+func TestPlanRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := Shape{
 			Ranks:     rapid.IntRange(2, 8).Draw(t, "ranks"),
@@ -141,14 +141,14 @@
 		shape.Places = (shape.Experts+shape.Ranks-1)/shape.Ranks + rapid.IntRange(0, 2).Draw(t, "spare places")
 		sets := rapid.IntRange(1, 3).Draw(t, "sets")
 		budget := rapid.IntRange(1, 4).Draw(t, "budget")
-		placement := inTurn(shape, sets)
+		placement := roundRobinMap(shape, sets)
 		for range 4 {
 			load := make([][]float64, sets)
 			for set := range load {
 				load[set] = rapid.SliceOfN(rapid.Float64Range(0, 100), shape.Experts, shape.Experts).Draw(t, "load")
 			}
 			plan := Decide(shape, placement, load, budget)
-			checkFits(t, shape, placement, plan, budget)
+			checkPlanLimits(t, shape, placement, plan, budget)
 			if plan.SkewAfter > plan.SkewBefore+1e-9 {
 				t.Fatalf("skew rises from %v to %v", plan.SkewBefore, plan.SkewAfter)
 			}
@@ -162,12 +162,12 @@
 		// Found by TestPlanFits.
 		shape := Shape{Ranks: 2, Places: 8, Experts: 14, NewPerSet: 1, Slowness: []float64{2.75}}
 		load := [][]float64{{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 6.75, 1, 26.875, 100}}
-		plan := Decide(shape, inTurn(shape, 1), load, 1)
+		plan := Decide(shape, roundRobinMap(shape, 1), load, 1)
 		So(plan.SkewAfter, ShouldBeLessThanOrEqualTo, plan.SkewBefore)
 	})
 }
 
-func checkFits(t *rapid.T, shape Shape, before Map, plan Plan, budget int) {
+func checkPlanLimits(t *rapid.T, shape Shape, before Map, plan Plan, budget int) {
 	copies := make([]int, shape.Ranks)
 	for set := range plan.Map {
 		covered := map[int]bool{}
--- a/policy/planner/forecast.go
+++ b/policy/planner/forecast.go
@@ -3,28 +3,28 @@
 import "math"
 
 const (
-	smoothing = 0.4 // Weight of the newest observation in the forecast.
-	// significance is how often the change since the last plan must exceed the
+	smoothingFactor = 0.4 // Weight of the newest observation in the forecast.
+	// significanceFactor is how often the change since the last plan must exceed the
 	// change that noise alone explains.
-	significance = 2
+	significanceFactor = 2
 	// A layer that was never planned is looked at once, after this many
 	// observations, and changed if that saves more than noise explains.
-	firstLook       = 8
-	firstLookNoise  = 4.0  // Standard deviations of the forecast.
-	firstLookSaving = 0.05 // Part of an even layer's time.
-	slownessChanged = 0.05 // Part by which a rank's slowness must change.
+	firstCheckObservations = 8
+	firstCheckSigmas       = 4.0  // Standard deviations of the forecast.
+	firstCheckMinSaving    = 0.05 // Part of an even layer's time.
+	slownessChanged        = 0.05 // Part by which a rank's slowness must change.
 )
 
 // State is what the planner keeps between plans. The zero value is ready.
 type State struct {
-	forecast  [][]float64 // Tokens a step by layer and expert.
-	last      [][]float64 // Last observation.
-	weight    []float64   // By layer: variance of the forecast as a part of the noise's.
-	noise     []float64   // By layer: variance of one observation, relative to the squared load.
-	reference [][]float64 // Forecast at the layer's last plan.
-	refWeight []float64
-	count     []int     // By layer: observations.
-	slowness  []float64 // At the last plan.
+	forecast        [][]float64 // Tokens a step by layer and expert.
+	last            [][]float64 // Last observation.
+	weight          []float64   // By layer: variance of the forecast as a part of the noise's.
+	noise           []float64   // By layer: variance of one observation, relative to the squared load.
+	reference       [][]float64 // Forecast at the layer's last plan.
+	referenceWeight []float64
+	count           []int     // By layer: observations.
+	slowness        []float64 // At the last plan.
 }
 
 func (s *State) observe(input Input) {
@@ -32,7 +32,7 @@
 		layers := input.Shape.Layers
 		s.forecast, s.last, s.reference = make([][]float64, layers), make([][]float64, layers), make([][]float64, layers)
 		s.count = make([]int, layers)
-		s.weight, s.noise, s.refWeight = make([]float64, layers), make([]float64, layers), make([]float64, layers)
+		s.weight, s.noise, s.referenceWeight = make([]float64, layers), make([]float64, layers), make([]float64, layers)
 	}
 	for layer, observed := range input.Observed {
 		if observed != nil {
@@ -47,7 +47,7 @@
 		s.forecast[layer] = append([]float64(nil), observed...)
 		s.last[layer] = append([]float64(nil), observed...)
 		s.weight[layer] = 1
-		s.planned(layer)
+		s.setReference(layer)
 		return
 	}
 	var squares float64
@@ -55,24 +55,24 @@
 		before := s.last[layer][expert]
 		scale := math.Max((tokens+before)/2, math.SmallestNonzeroFloat64)
 		squares += (tokens - before) * (tokens - before) / (2 * scale * scale)
-		s.forecast[layer][expert] += smoothing * (tokens - s.forecast[layer][expert])
+		s.forecast[layer][expert] += smoothingFactor * (tokens - s.forecast[layer][expert])
 	}
 	noise := squares / float64(len(observed))
 	if s.noise[layer] > 0 {
-		noise = s.noise[layer] + smoothing*(noise-s.noise[layer])
+		noise = s.noise[layer] + smoothingFactor*(noise-s.noise[layer])
 	}
 	s.noise[layer] = noise
-	s.weight[layer] = (1-smoothing)*(1-smoothing)*s.weight[layer] + smoothing*smoothing
+	s.weight[layer] = (1-smoothingFactor)*(1-smoothingFactor)*s.weight[layer] + smoothingFactor*smoothingFactor
 	copy(s.last[layer], observed)
 }
 
-// planned makes the forecast the reference for later changes of the layer.
-func (s *State) planned(layer int) {
+// setReference makes the forecast the reference for later changes of the layer.
+func (s *State) setReference(layer int) {
 	s.reference[layer] = append(s.reference[layer][:0], s.forecast[layer]...)
-	s.refWeight[layer] = s.weight[layer]
+	s.referenceWeight[layer] = s.weight[layer]
 }
 
-func (s *State) rememberSlowness(slowness []float64) {
+func (s *State) setSlowness(slowness []float64) {
 	s.slowness = append(s.slowness[:0], slowness...)
 }
 
@@ -82,24 +82,24 @@
 	var layers []int
 	all := s.slownessChanged(input.Slowness)
 	for layer, forecast := range s.forecast {
-		if forecast != nil && (all || s.count[layer] == firstLook || s.changed(layer)) {
+		if forecast != nil && (all || s.count[layer] == firstCheckObservations || s.changed(layer)) {
 			layers = append(layers, layer)
 		}
 	}
 	return layers
 }
 
-// convincing reports whether a plan at the first look saves more than noise
+// exceedsNoise reports whether a plan at the first look saves more than noise
 // explains; later looks have their own test.
-func (s *State) convincing(p layerPlan, input Input) bool {
-	if s.count[p.layer] != firstLook || s.slownessChanged(input.Slowness) || s.changed(p.layer) {
+func (s *State) exceedsNoise(p layerPlan, input Input) bool {
+	if s.count[p.layer] != firstCheckObservations || s.slownessChanged(input.Slowness) || s.changed(p.layer) {
 		return true
 	}
 	slowness := input.Slowness
 	if slowness == nil {
 		slowness = evenSlowness(input.Shape.Ranks)
 	}
-	needed := firstLookSaving + firstLookNoise*math.Sqrt(s.noise[p.layer]*s.weight[p.layer])
+	needed := firstCheckMinSaving + firstCheckSigmas*math.Sqrt(s.noise[p.layer]*s.weight[p.layer])
 	return p.saved > needed*evenTime(s.forecast[p.layer], slowness)
 }
 
@@ -113,8 +113,8 @@
 		scale := math.Max((tokens+reference)/2, math.SmallestNonzeroFloat64)
 		squares += (tokens - reference) * (tokens - reference) / (scale * scale)
 	}
-	explained := s.noise[layer] * (s.weight[layer] + s.refWeight[layer])
-	return squares/float64(len(s.forecast[layer])) > significance*explained
+	explained := s.noise[layer] * (s.weight[layer] + s.referenceWeight[layer])
+	return squares/float64(len(s.forecast[layer])) > significanceFactor*explained
 }
 
 func (s *State) slownessChanged(slowness []float64) bool {
--- a/policy/planner/fresh.go
+++ b/policy/planner/fresh.go
@@ -1,23 +1,23 @@
 package planner
 
-// stuckSkew is the skew of a layer above which the search is taken to be stuck
+// stuckSkewThreshold is the skew of a layer above which the search is taken to be stuck
 // and a placement made afresh is weighed too.
-const stuckSkew = 1.1
+const stuckSkewThreshold = 1.1
 
-// stuck reports whether the plan leaves the layer's slowest rank far behind an
+// searchStuck reports whether the plan leaves the layer's slowest rank far behind an
 // even spread.
-func (s *State) stuck(p layerPlan, input Input) bool {
+func (s *State) searchStuck(p layerPlan, input Input) bool {
 	slowness := input.Slowness
 	if slowness == nil {
 		slowness = evenSlowness(input.Shape.Ranks)
 	}
-	start := newSearch(input.Shape, input.Current[p.layer], s.forecast[p.layer], slowness).slowest()
-	return start-p.saved > stuckSkew*evenTime(s.forecast[p.layer], slowness)
+	start := newSearch(input.Shape, input.Current[p.layer], s.forecast[p.layer], slowness).slowestTime()
+	return start-p.saved > stuckSkewThreshold*evenTime(s.forecast[p.layer], slowness)
 }
 
-// planFresh plans the layer from a recomputed placement, with replicas
+// planFromScratch plans the layer from a recomputed placement, with replicas
 // relabelled so that few experts move.
-func planFresh(state *State, input Input, layer int) layerPlan {
+func planFromScratch(state *State, input Input, layer int) layerPlan {
 	current, load := input.Current[layer], state.forecast[layer]
 	next := recomputeLayer(input.Shape, load, input.Slowness)
 	if input.Slowness == nil {
@@ -30,8 +30,8 @@
 		}
 	}
 	plan.moves = CountMoves(input.Shape, Placement{current}, Placement{next})
-	before := newSearch(input.Shape, current, load, input.Slowness).slowest()
-	after := newSearch(input.Shape, next, load, input.Slowness).slowest()
+	before := newSearch(input.Shape, current, load, input.Slowness).slowestTime()
+	after := newSearch(input.Shape, next, load, input.Slowness).slowestTime()
 	plan.saved = before - after
 	plan.value = input.Costs.value(plan.saved, plan.moves)
 	return plan
--- a/policy/planner/fresh_test.go
+++ b/policy/planner/fresh_test.go
@@ -6,8 +6,8 @@
 	"persimmonwind.dev/policy/planner"
 )
 
-// hotExperts is a load of which three experts in a row carry the most.
-func hotExperts(shape planner.Shape, first int) [][]float64 {
+// loadWithHotExperts is a load of which three experts in a row carry the most.
+func loadWithHotExperts(shape planner.Shape, first int) [][]float64 {
 	load := make([][]float64, shape.Layers)
 	for layer := range load {
 		load[layer] = make([]float64, shape.Experts)
@@ -21,8 +21,8 @@
 	return load
 }
 
-// settle lets a new planner observe the load until it has had time to plan.
-func settle(shape planner.Shape, current planner.Placement, load [][]float64) planner.Placement {
+// planUntilStable lets a new planner observe the load until it has had time to plan.
+func planUntilStable(shape planner.Shape, current planner.Placement, load [][]float64) planner.Placement {
 	var state planner.State
 	for range 20 {
 		current = planner.Decide(&state, planner.Input{Shape: shape, Costs: costs(), Observed: load, Current: current}).Placement
@@ -30,21 +30,21 @@
 	return current
 }
 
-// TestANewPlannerMendsAnyEarlierMap lets planners without memory, as after a
+// TestNewPlannerImprovesPredecessorsMap lets planners without memory, as after a
 // coordinator's restart, take over each other's maps.
-func TestANewPlannerMendsAnyEarlierMap(t *testing.T) {
+func TestNewPlannerImprovesPredecessorsMap(t *testing.T) {
 	shape := planner.Shape{Ranks: 4, Slots: 5, Experts: 16, Layers: 1}
 	for first := range shape.Experts - 2 {
-		earlier := settle(shape, planner.Recompute(shape, hotExperts(shape, first), nil), hotExperts(shape, first))
+		earlier := planUntilStable(shape, planner.Recompute(shape, loadWithHotExperts(shape, first), nil), loadWithHotExperts(shape, first))
 		for next := range shape.Experts - 2 {
-			load := hotExperts(shape, next)
-			placement := settle(shape, earlier, load)
+			load := loadWithHotExperts(shape, next)
+			placement := planUntilStable(shape, earlier, load)
 			have := planner.Skew(shape, placement, load, nil)
 			want := planner.Skew(shape, planner.Recompute(shape, load, nil), load, nil)
 			if have > max(1.1, want+0.01) {
 				t.Errorf("hot from %d to %d: skew %.3f, afresh %.3f", first, next, have, want)
 			}
-			if !complete(shape, placement) {
+			if !placesEveryExpert(shape, placement) {
 				t.Errorf("hot from %d to %d: an expert is missing", first, next)
 			}
 		}
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -67,8 +67,8 @@
 	SavedSeconds float64 // Over the horizon, less the cost of the change.
 }
 
-// payback is how often the saved time must cover the cost of a move.
-const payback = 1.5
+// paybackFactor is how often the saved time must cover the cost of a move.
+const paybackFactor = 1.5
 
 // layerPlan is what pays in one layer.
 type layerPlan struct {
@@ -82,7 +82,7 @@
 // value returns what saving this much of the slowest rank's time is worth over
 // the horizon, less the cost of the moves, in seconds.
 func (c Costs) value(saved float64, moves int) float64 {
-	return saved*c.SecondsPerLoad*c.HorizonSteps - payback*float64(moves)*c.MoveSeconds
+	return saved*c.SecondsPerLoad*c.HorizonSteps - paybackFactor*float64(moves)*c.MoveSeconds
 }
 
 // Decide takes in the observation and returns the plan.
@@ -98,24 +98,24 @@
 	var pays []layerPlan
 	for _, layer := range open {
 		p := planLayer(state, input, layer)
-		if state.stuck(p, input) {
-			if fresh := planFresh(state, input, layer); fresh.value > p.value {
+		if state.searchStuck(p, input) {
+			if fresh := planFromScratch(state, input, layer); fresh.value > p.value {
 				p = fresh
 			}
 		}
-		if p.value > 0 && state.convincing(p, input) {
+		if p.value > 0 && state.exceedsNoise(p, input) {
 			pays = append(pays, p)
 		}
 	}
 	sort.SliceStable(pays, func(i, j int) bool {
 		return pays[i].value*float64(pays[j].moves) > pays[j].value*float64(pays[i].moves)
 	})
-	return state.choose(plan, input, pays, len(open))
+	return state.selectLayers(plan, input, pays, len(open))
 }
 
 func planLayer(state *State, input Input, layer int) layerPlan {
 	search := newSearch(input.Shape, input.Current[layer], state.forecast[layer], input.Slowness)
-	start := search.slowest()
+	start := search.slowestTime()
 	best := layerPlan{layer: layer}
 	moves := 0
 	for moves < len(input.Current[layer]) {
@@ -124,7 +124,7 @@
 			break
 		}
 		moves += len(step)
-		saved := start - search.slowest()
+		saved := start - search.slowestTime()
 		if value := input.Costs.value(saved, moves); value > best.value {
 			best.value, best.moves, best.saved = value, moves, saved
 			best.changes = append([]change(nil), search.changes...)
@@ -133,9 +133,9 @@
 	return best
 }
 
-// choose takes the layers that pay most until the weight store's rate is used
+// selectLayers takes the layers that pay most until the weight store's rate is used
 // up.
-func (s *State) choose(plan Plan, input Input, pays []layerPlan, open int) Plan {
+func (s *State) selectLayers(plan Plan, input Input, pays []layerPlan, open int) Plan {
 	var value float64
 	next := input.Current.Clone()
 	for _, p := range pays {
@@ -143,7 +143,7 @@
 			continue
 		}
 		value += p.value
-		s.planned(p.layer)
+		s.setReference(p.layer)
 		for _, c := range p.changes {
 			next[p.layer][c.slot] = c.expert
 			plan.Moves = append(plan.Moves, Move{Layer: p.layer, Slot: c.slot, Expert: c.expert})
@@ -154,7 +154,7 @@
 		plan.Reason = fmt.Sprintf("%d layers changed, but no move saves more time than it costs", open)
 		return plan
 	}
-	s.rememberSlowness(input.Slowness)
+	s.setSlowness(input.Slowness)
 	plan.Placement = next
 	plan.SkewAfter = Skew(input.Shape, next, s.forecast, input.Slowness)
 	plan.SavedSeconds = value - input.Costs.SwitchSeconds
@@ -167,19 +167,19 @@
 // sum of the times that a perfect spread would take. Layers without a load are
 // left out.
 func Skew(shape Shape, placement Placement, load [][]float64, slowness []float64) float64 {
-	var slowest, even float64
+	var slowestTime, even float64
 	for layer := range placement {
 		if load[layer] == nil {
 			continue
 		}
 		s := newSearch(shape, placement[layer], load[layer], slowness)
-		slowest += s.slowest()
+		slowestTime += s.slowestTime()
 		even += evenTime(load[layer], s.slowness)
 	}
 	if even == 0 {
 		return 1
 	}
-	return slowest / even
+	return slowestTime / even
 }
 
 // evenTime is the time of a layer whose ranks all end together.
--- a/policy/planner/planner_test.go
+++ b/policy/planner/planner_test.go
@@ -10,11 +10,11 @@
 	"persimmonwind.dev/policy/planner"
 )
 
-func target(slots int) planner.Shape {
+func targetShape(slots int) planner.Shape {
 	return planner.Shape{Ranks: 64, Slots: slots, Experts: 256, Layers: 60}
 }
 
-func small() planner.Shape {
+func smallShape() planner.Shape {
 	return planner.Shape{Ranks: 8, Slots: 5, Experts: 32, Layers: 4}
 }
 
@@ -30,8 +30,8 @@
 	return load
 }
 
-// disturbed multiplies every load by a log-normal factor.
-func disturbed(load [][]float64, sigma float64, random *rand.Rand) [][]float64 {
+// withNoise multiplies every load by a log-normal factor.
+func withNoise(load [][]float64, sigma float64, random *rand.Rand) [][]float64 {
 	next := make([][]float64, len(load))
 	for layer := range load {
 		next[layer] = make([]float64, len(load[layer]))
@@ -46,7 +46,7 @@
 	return planner.Costs{SecondsPerLoad: 1e-4, MoveSeconds: 1e-3, SwitchSeconds: 1e-3, HorizonSteps: 10000, MaxMoves: 5000}
 }
 
-func complete(shape planner.Shape, placement planner.Placement) bool {
+func placesEveryExpert(shape planner.Shape, placement planner.Placement) bool {
 	for _, layer := range placement {
 		seen := map[uint16]bool{}
 		for _, expert := range layer {
@@ -61,7 +61,7 @@
 
 func TestDecide(t *testing.T) {
 	Convey("Given a group placed for its popularity", t, func() {
-		shape := small()
+		shape := smallShape()
 		random := rand.New(rand.NewPCG(1, 2))
 		load := popularity(shape, random)
 		var state planner.State
@@ -70,25 +70,25 @@
 
 		Convey("noise alone moves nothing", func() {
 			for range 200 {
-				input.Observed = disturbed(load, 0.1, random)
+				input.Observed = withNoise(load, 0.1, random)
 				So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
 			}
 		})
 
 		Convey("a lasting change is followed, the moves give the placement, no expert is lost", func() {
-			input.Observed = disturbed(load, 0.02, random)
+			input.Observed = withNoise(load, 0.02, random)
 			So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
-			shifted := disturbed(load, 0.8, random)
+			shifted := withNoise(load, 0.8, random)
 			moves := 0
 			for range 8 {
-				input.Observed = disturbed(shifted, 0.02, random)
+				input.Observed = withNoise(shifted, 0.02, random)
 				plan := planner.Decide(&state, input)
 				applied := input.Current.Clone()
 				for _, move := range plan.Moves {
 					applied[move.Layer][move.Slot] = move.Expert
 				}
 				So(applied, ShouldResemble, plan.Placement)
-				So(complete(shape, plan.Placement), ShouldBeTrue)
+				So(placesEveryExpert(shape, plan.Placement), ShouldBeTrue)
 				moves += len(plan.Moves)
 				input.Current = plan.Placement
 			}
@@ -106,7 +106,7 @@
 
 		Convey("a placement that never fitted is mended", func() {
 			var fresh planner.State
-			shifted := disturbed(load, 0.8, random)
+			shifted := withNoise(load, 0.8, random)
 			moves := 0
 			for range 10 {
 				input.Observed = shifted
@@ -131,13 +131,13 @@
 	})
 }
 
-func TestRelabelKeepsThePlan(t *testing.T) {
+func TestRelabelKeepsSkewWithoutMoreMoves(t *testing.T) {
 	Convey("A relabelled placement has the same skew and moves no more", t, func() {
-		shape := small()
+		shape := smallShape()
 		random := rand.New(rand.NewPCG(3, 4))
 		load := popularity(shape, random)
 		current := planner.Recompute(shape, load, nil)
-		next := planner.Recompute(shape, disturbed(load, 0.2, random), nil)
+		next := planner.Recompute(shape, withNoise(load, 0.2, random), nil)
 		relabelled := planner.Relabel(shape, current, next)
 		So(planner.Skew(shape, relabelled, load, nil), ShouldAlmostEqual, planner.Skew(shape, next, load, nil), 1e-9)
 		So(planner.CountMoves(shape, current, relabelled), ShouldBeLessThanOrEqualTo, planner.CountMoves(shape, current, next))
@@ -146,11 +146,11 @@
 
 // BenchmarkPlanTargetSize plans the target group after a drift in every layer.
 func BenchmarkPlanTargetSize(b *testing.B) {
-	shape := target(5)
+	shape := targetShape(5)
 	random := rand.New(rand.NewPCG(1, 2))
 	load := popularity(shape, random)
 	current := planner.Refine(shape, planner.Recompute(shape, load, nil), load, nil)
-	drifted := disturbed(load, 0.1, random)
+	drifted := withNoise(load, 0.1, random)
 	b.ReportAllocs()
 	for b.Loop() {
 		var state planner.State
@@ -158,7 +158,7 @@
 		input.Costs.MaxMoves = 1 << 30
 		planner.Decide(&state, input)
 		for range 6 {
-			input.Observed = disturbed(drifted, 0.01, random)
+			input.Observed = withNoise(drifted, 0.01, random)
 			plan := planner.Decide(&state, input)
 			if len(plan.Moves) > 0 {
 				b.ReportMetric(float64(len(plan.Moves)), "moves")
--- a/policy/planner/recompute.go
+++ b/policy/planner/recompute.go
@@ -19,20 +19,20 @@
 	sort.SliceStable(items.experts, func(i, j int) bool { return share(items.experts[i]) > share(items.experts[j]) })
 	packing := newPacking(shape, slowness)
 	for _, expert := range items.experts {
-		packing.add(expert, share(expert))
+		packing.placeReplica(expert, share(expert))
 	}
-	return packing.place
+	return packing.slots
 }
 
-type replicas struct {
+type replicaSet struct {
 	experts []uint16
 	count   []int
 }
 
 // replicate gives every expert one replica and each further one to the expert
 // with the largest share.
-func replicate(load []float64, slots int) replicas {
-	r := replicas{count: make([]int, len(load))}
+func replicate(load []float64, slots int) replicaSet {
+	r := replicaSet{count: make([]int, len(load))}
 	for expert := range load {
 		r.count[expert] = 1
 		r.experts = append(r.experts, uint16(expert))
@@ -53,21 +53,21 @@
 type packing struct {
 	shape    Shape
 	slowness []float64
-	place    []uint16
+	slots    []uint16
 	used     []int
-	time     []float64
+	rankTime []float64
 }
 
 func newPacking(shape Shape, slowness []float64) *packing {
 	return &packing{
-		shape: shape, slowness: slowness, place: make([]uint16, shape.Ranks*shape.Slots),
-		used: make([]int, shape.Ranks), time: make([]float64, shape.Ranks),
+		shape: shape, slowness: slowness, slots: make([]uint16, shape.Ranks*shape.Slots),
+		used: make([]int, shape.Ranks), rankTime: make([]float64, shape.Ranks),
 	}
 }
 
-// add puts the replica on the rank that ends first, preferably one without
+// placeReplica puts the replica on the rank that ends first, preferably one without
 // this expert.
-func (p *packing) add(expert uint16, share float64) {
+func (p *packing) placeReplica(expert uint16, share float64) {
 	best := -1
 	bestHolds := false
 	for rank := range p.used {
@@ -75,22 +75,22 @@
 			continue
 		}
 		holds := p.holds(rank, expert)
-		better := best < 0 || (bestHolds && !holds) || (bestHolds == holds && p.time[rank] < p.time[best])
+		better := best < 0 || (bestHolds && !holds) || (bestHolds == holds && p.rankTime[rank] < p.rankTime[best])
 		if better && (best < 0 || bestHolds || !holds) {
 			best, bestHolds = rank, holds
 		}
 	}
-	p.place[best*p.shape.Slots+p.used[best]] = expert
+	p.slots[best*p.shape.Slots+p.used[best]] = expert
 	p.used[best]++
 	slow := 1.0
 	if p.slowness != nil {
 		slow = p.slowness[best]
 	}
-	p.time[best] += share * slow
+	p.rankTime[best] += share * slow
 }
 
 func (p *packing) holds(rank int, expert uint16) bool {
-	for _, held := range p.place[rank*p.shape.Slots : rank*p.shape.Slots+p.used[rank]] {
+	for _, held := range p.slots[rank*p.shape.Slots : rank*p.shape.Slots+p.used[rank]] {
 		if held == expert {
 			return true
 		}
@@ -108,7 +108,7 @@
 				break
 			}
 		}
-		refined[layer] = search.place
+		refined[layer] = search.slotExperts
 	}
 	return refined
 }
@@ -128,7 +128,7 @@
 	var pairs []pair
 	for from := range shape.Ranks {
 		for to := range shape.Ranks {
-			if common := overlap(ranksSlots(shape, next, from), ranksSlots(shape, current, to)); common > 0 {
+			if common := overlap(rankSlots(shape, next, from), rankSlots(shape, current, to)); common > 0 {
 				pairs = append(pairs, pair{from, to, common})
 			}
 		}
@@ -152,12 +152,12 @@
 			}
 			target[from], taken[free] = free, true
 		}
-		align(ranksSlots(shape, result, target[from]), ranksSlots(shape, current, target[from]), ranksSlots(shape, next, from))
+		alignSlots(rankSlots(shape, result, target[from]), rankSlots(shape, current, target[from]), rankSlots(shape, next, from))
 	}
 	return result
 }
 
-func ranksSlots(shape Shape, layer []uint16, rank int) []uint16 {
+func rankSlots(shape Shape, layer []uint16, rank int) []uint16 {
 	return layer[rank*shape.Slots : (rank+1)*shape.Slots]
 }
 
@@ -174,8 +174,8 @@
 	return common
 }
 
-// align writes next into result so that experts that stay keep their slots.
-func align(result, current, next []uint16) {
+// alignSlots writes next into result so that experts that stay keep their slots.
+func alignSlots(result, current, next []uint16) {
 	rest := append([]uint16(nil), next...)
 	kept := make([]bool, len(current))
 	for slot, expert := range current {
@@ -200,8 +200,8 @@
 	moves := 0
 	for layer := range next {
 		for rank := range shape.Ranks {
-			to := ranksSlots(shape, next[layer], rank)
-			moves += len(to) - overlap(to, ranksSlots(shape, current[layer], rank))
+			to := rankSlots(shape, next[layer], rank)
+			moves += len(to) - overlap(to, rankSlots(shape, current[layer], rank))
 		}
 	}
 	return moves
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -8,36 +8,36 @@
 
 // search improves one layer's placement step by step.
 type search struct {
-	slots    int
-	load     []float64
-	slowness []float64
-	place    []uint16
-	replicas []int     // By expert.
-	share    []float64 // By expert: load of each replica.
-	holders  [][]int   // By expert: its slots.
-	time     []float64 // By rank.
-	changes  []change
+	slotsPerRank  int
+	load          []float64
+	slowness      []float64
+	slotExperts   []uint16
+	replicas      []int     // By expert.
+	share         []float64 // By expert: load of each replica.
+	slotsByExpert [][]int   // By expert: its slots.
+	rankTime      []float64 // By rank.
+	changes       []change
 }
 
-func newSearch(shape Shape, place []uint16, load, slowness []float64) *search {
+func newSearch(shape Shape, slotExperts []uint16, load, slowness []float64) *search {
 	if slowness == nil {
 		slowness = evenSlowness(shape.Ranks)
 	}
 	s := &search{
-		slots: shape.Slots, load: load, slowness: slowness,
-		place:    append([]uint16(nil), place...),
-		replicas: make([]int, len(load)), share: make([]float64, len(load)),
-		holders: make([][]int, len(load)), time: make([]float64, shape.Ranks),
+		slotsPerRank: shape.Slots, load: load, slowness: slowness,
+		slotExperts: append([]uint16(nil), slotExperts...),
+		replicas:    make([]int, len(load)), share: make([]float64, len(load)),
+		slotsByExpert: make([][]int, len(load)), rankTime: make([]float64, shape.Ranks),
 	}
-	for slot, expert := range place {
+	for slot, expert := range slotExperts {
 		s.replicas[expert]++
-		s.holders[expert] = append(s.holders[expert], slot)
+		s.slotsByExpert[expert] = append(s.slotsByExpert[expert], slot)
 	}
 	for expert := range load {
 		s.share[expert] = load[expert] / float64(max(1, s.replicas[expert]))
 	}
-	for slot, expert := range place {
-		s.time[slot/s.slots] += s.share[expert] * s.slowness[slot/s.slots]
+	for slot, expert := range slotExperts {
+		s.rankTime[slot/s.slotsPerRank] += s.share[expert] * s.slowness[slot/s.slotsPerRank]
 	}
 	return s
 }
@@ -50,17 +50,17 @@
 	return slowness
 }
 
-func (s *search) hottest() int {
+func (s *search) slowestRank() int {
 	hot := 0
-	for rank, time := range s.time {
-		if time > s.time[hot] {
+	for rank, rankTime := range s.rankTime {
+		if rankTime > s.rankTime[hot] {
 			hot = rank
 		}
 	}
 	return hot
 }
 
-func (s *search) slowest() float64 { return s.time[s.hottest()] }
+func (s *search) slowestTime() float64 { return s.rankTime[s.slowestRank()] }
 
 // candidate is a step of the search with its outcome for the ranks concerned.
 type candidate struct {
@@ -74,15 +74,15 @@
 
 // improve takes the best step that makes the slowest rank faster.
 func (s *search) improve() ([]change, bool) {
-	hot := s.hottest()
-	best := candidate{gain: minGain * s.time[hot]}
-	for slot := hot * s.slots; slot < (hot+1)*s.slots; slot++ {
-		for other := range s.place {
-			if other/s.slots == hot {
+	hot := s.slowestRank()
+	best := candidate{gain: minGain * s.rankTime[hot]}
+	for slot := hot * s.slotsPerRank; slot < (hot+1)*s.slotsPerRank; slot++ {
+		for other := range s.slotExperts {
+			if other/s.slotsPerRank == hot {
 				continue
 			}
 			s.trySwap(&best, slot, other)
-			s.tryReplica(&best, s.place[slot], hot, other)
+			s.tryReplica(&best, s.slotExperts[slot], hot, other)
 		}
 	}
 	if best.moves == 0 {
@@ -90,7 +90,7 @@
 	}
 	taken := best.changes[:best.moves]
 	for _, c := range taken {
-		s.put(c)
+		s.applyChange(c)
 	}
 	s.changes = append(s.changes, taken...)
 	return taken, true
@@ -98,14 +98,14 @@
 
 // trySwap exchanges the experts of two slots.
 func (s *search) trySwap(best *candidate, slot, other int) {
-	a, b := s.place[slot], s.place[other]
+	a, b := s.slotExperts[slot], s.slotExperts[other]
 	less := s.share[a] - s.share[b]
 	if less <= 0 {
 		return
 	}
-	hot, cold := slot/s.slots, other/s.slots
-	worst := max(s.time[hot]-less*s.slowness[hot], s.time[cold]+less*s.slowness[cold])
-	gain := (s.time[hot] - worst) / 2
+	hot, cold := slot/s.slotsPerRank, other/s.slotsPerRank
+	worst := max(s.rankTime[hot]-less*s.slowness[hot], s.rankTime[cold]+less*s.slowness[cold])
+	gain := (s.rankTime[hot] - worst) / 2
 	if gain <= best.gain || s.holds(cold, a) || s.holds(hot, b) {
 		return
 	}
@@ -115,34 +115,34 @@
 // tryReplica puts one more replica of the expert in place of another expert's
 // spare replica.
 func (s *search) tryReplica(best *candidate, expert uint16, hot, other int) {
-	spare := s.place[other]
+	spare := s.slotExperts[other]
 	if s.replicas[spare] < 2 || spare == expert {
 		return
 	}
 	share := s.load[expert] / float64(s.replicas[expert]+1)
-	cold := other / s.slots
+	cold := other / s.slotsPerRank
 	less := (s.share[expert] - share) * s.slowness[hot]
-	worst := max(s.time[hot]-less, s.time[cold]+(share-s.share[spare])*s.slowness[cold])
-	if s.time[hot]-worst <= best.gain || s.holds(cold, expert) {
+	worst := max(s.rankTime[hot]-less, s.rankTime[cold]+(share-s.share[spare])*s.slowness[cold])
+	if s.rankTime[hot]-worst <= best.gain || s.holds(cold, expert) {
 		return
 	}
 	more := s.load[spare]/float64(s.replicas[spare]-1) - s.share[spare]
-	for _, slot := range s.holders[spare] {
-		rank := slot / s.slots
+	for _, slot := range s.slotsByExpert[spare] {
+		rank := slot / s.slotsPerRank
 		if rank == hot {
-			worst = max(worst, s.time[hot]-less+more*s.slowness[rank])
+			worst = max(worst, s.rankTime[hot]-less+more*s.slowness[rank])
 		} else if rank != cold {
-			worst = max(worst, s.time[rank]+more*s.slowness[rank])
+			worst = max(worst, s.rankTime[rank]+more*s.slowness[rank])
 		}
 	}
-	gain := s.time[hot] - worst
+	gain := s.rankTime[hot] - worst
 	if gain > best.gain {
 		*best = candidate{changes: [2]change{{other, expert}}, moves: 1, gain: gain}
 	}
 }
 
 func (s *search) holds(rank int, expert uint16) bool {
-	for _, held := range s.place[rank*s.slots : (rank+1)*s.slots] {
+	for _, held := range s.slotExperts[rank*s.slotsPerRank : (rank+1)*s.slotsPerRank] {
 		if held == expert {
 			return true
 		}
@@ -150,26 +150,26 @@
 	return false
 }
 
-// put carries out a change and renews the times of the ranks concerned.
-func (s *search) put(c change) {
-	before := s.place[c.slot]
-	s.charge(before, -1)
-	s.charge(c.expert, -1)
-	s.place[c.slot] = c.expert
+// applyChange carries out a change and renews the times of the ranks concerned.
+func (s *search) applyChange(c change) {
+	before := s.slotExperts[c.slot]
+	s.addLoad(before, -1)
+	s.addLoad(c.expert, -1)
+	s.slotExperts[c.slot] = c.expert
 	s.replicas[before]--
 	s.replicas[c.expert]++
-	s.holders[before] = without(s.holders[before], c.slot)
-	s.holders[c.expert] = append(s.holders[c.expert], c.slot)
-	s.charge(before, 1)
-	s.charge(c.expert, 1)
+	s.slotsByExpert[before] = without(s.slotsByExpert[before], c.slot)
+	s.slotsByExpert[c.expert] = append(s.slotsByExpert[c.expert], c.slot)
+	s.addLoad(before, 1)
+	s.addLoad(c.expert, 1)
 }
 
-// charge adds the expert's load, times sign, to the ranks that hold it.
-func (s *search) charge(expert uint16, sign float64) {
+// addLoad adds the expert's load, times sign, to the ranks that hold it.
+func (s *search) addLoad(expert uint16, sign float64) {
 	s.share[expert] = s.load[expert] / float64(max(1, s.replicas[expert]))
-	for _, slot := range s.holders[expert] {
-		rank := slot / s.slots
-		s.time[rank] += sign * s.share[expert] * s.slowness[rank]
+	for _, slot := range s.slotsByExpert[expert] {
+		rank := slot / s.slotsPerRank
+		s.rankTime[rank] += sign * s.share[expert] * s.slowness[rank]
 	}
 }
 
