--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	defaultMarginSteps = 64 // Steps between the newest step seen and a change's first.
+	defaultMarginSteps = 64 // Steps between the newest step reported by a rank and a change's first step.
 	retryInterval      = 200 * time.Millisecond
-	pollInterval       = 2 * time.Second // Between two rounds of queries while nothing happens.
+	pollInterval       = 2 * time.Second // Between two rounds of queries in the Steady phase.
 	prepareTimeout     = 10 * time.Minute
 	holdTimeout        = 2 * time.Second
-	commitTimeout      = 2 * time.Second // After it a commit with unknown outcome is voided.
+	commitTimeout      = 2 * time.Second // A commit whose outcome is still unknown then is voided.
 )
 
-// Phase is what a coordinator is doing.
+// Phase is the state of a coordinator's protocol.
 type Phase string
 
 // Phases of a coordinator.
 const (
 	Passive    Phase = ""           // Not the coordinator.
-	Claiming   Phase = "claiming"   // Makes the record refuse older coordinators.
-	Querying   Phase = "querying"   // Waits for the state of every rank.
-	Steady     Phase = "steady"     // Nothing to do.
+	Claiming   Phase = "claiming"   // Writes its fencing number to the record, so that writes of older coordinators fail.
+	Querying   Phase = "querying"   // Collects the state of every rank.
+	Steady     Phase = "steady"     // No change in progress.
 	Preparing  Phase = "preparing"  // Ranks load weights.
-	Holding    Phase = "holding"    // Ranks promise to wait before the first step.
-	Committing Phase = "committing" // The record is written.
-	Releasing  Phase = "releasing"  // Ranks learn that the change is committed.
-	Voiding    Phase = "voiding"    // Ranks promise to refuse the change for good.
-	Aborting   Phase = "aborting"   // Ranks go on with the map in force.
-	Installing Phase = "installing" // Ranks that lost their state get it back.
+	Holding    Phase = "holding"    // Ranks agree to wait before the change's first step.
+	Committing Phase = "committing" // The change is being written to the record.
+	Releasing  Phase = "releasing"  // Ranks are told that the change is committed.
+	Voiding    Phase = "voiding"    // Ranks agree to refuse the release of the change.
+	Aborting   Phase = "aborting"   // Ranks drop the change and keep the map in force.
+	Installing Phase = "installing" // Ranks without a map are given a state.
 )
 
 var orderKindOf = map[Phase]Kind{
@@ -38,30 +38,30 @@
 	Voiding: Void, Aborting: Abort, Installing: Install,
 }
 
-// Coordinator is the state of a group's coordinator.
+// Coordinator is the state of the process that coordinates a group's map changes.
 type Coordinator struct {
-	MarginSteps uint64 // Steps between the newest step seen and a change's first; 0 for the default.
+	MarginSteps uint64 // Steps between the newest step reported by a rank and a change's first step; 0 for the default.
 
 	Phase                Phase
 	Number               Number
 	Record               Record
 	RecordVersion        uint64
 	RecordStale          bool // A write with unknown outcome may have changed the record.
-	StoreRequestInFlight bool // A read or write of the record is under way.
+	StoreRequestInFlight bool // A read or write of the record is in flight.
 
-	States   []EngineState // By rank, as last reported in this round.
-	Answered []bool        // By rank: the state is of this round.
-	Before   []EngineState // By rank, as reported in the round before.
+	States   []EngineState // By rank, as last reported.
+	Answered []bool        // By rank: the state was reported in this round.
+	Before   []EngineState // By rank, as reported in the previous round.
 
-	Change         Change // Under way.
-	ChangeProposed bool   // A change was proposed and not begun.
-	Version        uint64 // Newest version used.
+	Change         Change // Change in progress.
+	ChangeProposed bool   // A change was proposed and has not started.
+	Version        uint64 // Highest version used for a change.
 
 	RetryAt  time.Time
 	Deadline time.Time // Of the phase; zero for none.
 }
 
-// StepCoordinator reduces one input.
+// StepCoordinator applies one input and returns the new state and its effects.
 func StepCoordinator(c Coordinator, input reduce.Input) (Coordinator, []reduce.Effect) {
 	s := transition{Coordinator: c, now: input.Now}
 	switch event := input.Event.(type) {
@@ -75,7 +75,7 @@
 		s.handleReply(event)
 	case RecordReadFailed:
 		s.StoreRequestInFlight = false
-		return s.Coordinator, nil // The next tick tries again.
+		return s.Coordinator, nil // Retried at the next tick.
 	case RecordRead, RecordWritten, RecordConflict, RecordWriteUnknown:
 		s.StoreRequestInFlight = false
 		s.handleStoreResult(event)
@@ -88,7 +88,7 @@
 	return s.Coordinator, s.effects
 }
 
-// transition is one transition of a coordinator.
+// transition applies one input to a coordinator and collects the effects.
 type transition struct {
 	Coordinator
 	now     time.Time
@@ -113,7 +113,7 @@
 	s.readRecord()
 }
 
-// enterPhase begins a phase and gives its orders to the ranks.
+// enterPhase starts a phase and sends its orders to the ranks.
 func (s *transition) enterPhase(phase Phase, timeout time.Duration) {
 	s.Phase = phase
 	s.Deadline = time.Time{}
@@ -125,7 +125,7 @@
 	s.advance()
 }
 
-// startRound begins a new round: the state of every rank decides how to go on.
+// startRound queries every rank; the next phase follows from their states.
 func (s *transition) startRound() {
 	s.Number.Round++
 	s.Answered = make([]bool, len(s.Answered))
@@ -134,7 +134,7 @@
 	s.enterPhase(Querying, 0)
 }
 
-// rankDone reports whether the rank is where the phase wants it.
+// rankDone reports whether the rank has reached the state that the phase requires.
 func (s *transition) rankDone(rank int) bool {
 	state := s.States[rank]
 	switch s.Phase {
@@ -164,7 +164,7 @@
 	return ranks
 }
 
-// send gives the phase's order to every rank that is not where it should be.
+// send sends the phase's order to every rank that has not reached the required state.
 func (s *transition) send() {
 	s.RetryAt = s.now.Add(retryInterval)
 	for _, rank := range s.pendingRanks() {
@@ -196,7 +196,7 @@
 	s.advance()
 }
 
-// phaseFailed reports whether the state shows that the phase can't succeed.
+// phaseFailed reports whether the phase can't succeed, given this state of a rank.
 func (s *transition) phaseFailed(state EngineState) bool {
 	switch s.Phase {
 	case Preparing:
@@ -209,7 +209,8 @@
 	return false
 }
 
-// installsFirstMap reports whether the group has never had a map.
+// installsFirstMap reports whether the group has never had a map: none was
+// committed and no rank has one.
 func (s *transition) installsFirstMap() bool { return s.Record.Change.IsNone() && s.noRankHasMap() }
 
 func (s *transition) noRankHasMap() bool {
@@ -221,7 +222,7 @@
 	return true
 }
 
-// advance goes on to the next phase once every rank is where it should be.
+// advance enters the next phase once every rank has reached the required state.
 func (s *transition) advance() {
 	if len(s.pendingRanks()) > 0 {
 		return
@@ -261,7 +262,8 @@
 	}
 }
 
-// handlePhaseTimeout ends a phase that has taken too long.
+// handlePhaseTimeout ends a phase that has passed its deadline. A commit has an
+// unknown outcome then and is voided; other phases restart with a query.
 func (s *transition) handlePhaseTimeout() {
 	if s.Phase == Committing {
 		s.RecordStale = true
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -1,12 +1,13 @@
 package expertmap
 
-// resolveRound finds out from the states of all ranks, all reported in this round,
-// and the record what the coordinators before left undone.
+// resolveRound determines from the record and the states of all ranks, all
+// reported in this round, which change a previous coordinator left incomplete,
+// and completes or aborts it.
 //
-// A change under way lives if a rank was released for it, or if it is in the
+// A change must be completed if a rank was released for it, or if it is in the
 // record and every rank that has a map holds it without a void. Otherwise it
-// is dead: no rank was released, and either it can't be committed any more or
-// a rank may have gone on without it.
+// is aborted: no rank was released, and either the change can't be committed
+// any more or a rank may have continued without it.
 func (s *transition) resolveRound() {
 	if !s.groupStopped() {
 		s.startRound()
@@ -30,8 +31,9 @@
 	s.becomeSteady()
 }
 
-// groupStopped reports whether every rank without a map was so in the round before:
-// the group has then stood still while the other ranks reported their steps.
+// groupStopped reports whether every rank without a map already had none in the
+// previous round, with the same boot. The group then ran no step while the other
+// ranks reported theirs.
 func (s *transition) groupStopped() bool {
 	for rank, state := range s.States {
 		if state.HasNoMap() && s.Before[rank].Boot != state.Boot {
@@ -68,7 +70,8 @@
 	s.RetryAt = s.now.Add(pollInterval)
 }
 
-// heldChange returns a change that a rank holds.
+// heldChange returns the change that the first holding rank holds; none if no
+// rank holds any.
 func (s *transition) heldChange() Change {
 	for _, state := range s.States {
 		if !state.Hold.IsNone() {
@@ -91,10 +94,10 @@
 	return allHold && change == s.Record.Change
 }
 
-// stateToInstall returns the state to install in a rank that has none: that of the
-// rank which is furthest; without any, the committed map. No rank with a state
-// is then more than one step behind any rank that ever ran, so a change's first
-// step was run by none.
+// stateToInstall returns the state to install in a rank that has none: the state
+// of the rank with the highest next step or, if no rank has a state, the
+// committed map from its first step. No rank with a state is more than one step
+// behind any rank that ever ran, so no rank has run a change's first step.
 func (s *transition) stateToInstall(rank int) EngineState {
 	state := EngineState{
 		InForce: s.Record.Change, LastHeld: s.Record.Change.ID, Next: s.Record.Change.FirstStep,
--- a/policy/expertmap/engine.go
+++ b/policy/expertmap/engine.go
@@ -1,17 +1,17 @@
 package expertmap
 
-// EngineState is what the engine of one rank keeps about its map, and the
-// contract that it fulfils. The zero value with a Boot is an engine that has
-// just started: it runs no step before it is given a map.
+// EngineState is the state that the engine of one rank keeps about its map; its
+// methods specify how an engine must behave. The zero value with a Boot is an
+// engine that has just started: it runs no step before a map is installed.
 type EngineState struct {
-	Boot     string `json:"boot"`      // Changes when the engine loses its state.
+	Boot     string `json:"boot"`      // Identifies the engine's run; changes when the engine loses its state.
 	Next     uint64 `json:"next"`      // Next step to run.
-	InForce  Change `json:"in_force"`  // Map of the steps before Pending's first.
-	Pending  Change `json:"pending"`   // Released change whose first step is still to come.
+	InForce  Change `json:"in_force"`  // Map used for the steps before Pending's first step.
+	Pending  Change `json:"pending"`   // Released change whose first step has not been run.
 	Hold     Change `json:"hold"`      // Change whose first step must not be run yet.
 	VoidedBy uint64 `json:"voided_by"` // Fencing number that voided Hold; 0 for none.
-	LastHeld ID     `json:"last_held"` // Newest change ever held: older ones can't come back.
-	Prepared ID     `json:"prepared"`  // Newest map whose weights are present.
+	LastHeld ID     `json:"last_held"` // Newest change ever held; neither it nor an older one can be held again.
+	Prepared ID     `json:"prepared"`  // Newest map whose weights are loaded.
 }
 
 // HasNoMap reports whether the engine has no map.
@@ -33,7 +33,7 @@
 	return s.Hold.IsNone() || s.Next < s.Hold.FirstStep
 }
 
-// AfterNextStep returns the state after the next step was run.
+// AfterNextStep returns the state after the engine has run its next step.
 func (s EngineState) AfterNextStep() EngineState {
 	if s.MapAt(s.Next) == s.Pending {
 		s.InForce, s.Pending = s.Pending, Change{}
@@ -42,8 +42,8 @@
 	return s
 }
 
-// Apply returns the state after the order. An order whose condition does not
-// hold changes nothing; whoever gave it sees that in the state.
+// Apply returns the state after the order. An order whose precondition is not
+// met changes nothing; the coordinator detects that from the returned state.
 func (s EngineState) Apply(order Order) EngineState {
 	switch order.Kind {
 	case Prepare:
@@ -83,8 +83,8 @@
 	return s
 }
 
-// release overrides a void of an older coordinator: the newer one has seen
-// every rank since and decided otherwise.
+// release overrides a void of an older coordinator: the newer coordinator has
+// queried every rank since and decided to complete the change.
 func (s EngineState) release(order Order) EngineState {
 	if s.Hold != order.Change || s.VoidedBy >= order.Number.Fence {
 		return s
--- a/policy/expertmap/events.go
+++ b/policy/expertmap/events.go
@@ -1,115 +1,104 @@
 package expertmap
 
-// LeaseAcquired makes the process the coordinator of its group: it holds the lease with
-// the fencing number.
+// LeaseAcquired makes the process the coordinator of its group: it holds the
+// group's lease with the fencing number.
 type LeaseAcquired struct {
 	Fence uint64
 	Ranks int // Number of ranks of the group.
 }
 
-// EventName implements reduce.Event.
 func (LeaseAcquired) EventName() string { return "expertmap.lead" }
 
-// LeaseLost ends the process's part as coordinator.
+// LeaseLost ends the process's role as coordinator.
 type LeaseLost struct{}
 
-// EventName implements reduce.Event.
 func (LeaseLost) EventName() string { return "expertmap.unlead" }
 
-// Propose asks for a change to the map stored under the ID that Begin names.
+// Propose requests a change of the map. When the change starts, PublishMap
+// carries the ID under which the new map has to be stored.
 type Propose struct{}
 
-// EventName implements reduce.Event.
 func (Propose) EventName() string { return "expertmap.propose" }
 
-// ReplyReceived brings the state of a rank's engine after an order.
+// ReplyReceived carries a rank's reply to an order, with its engine's state.
 type ReplyReceived struct {
 	Rank    int
 	Kind    Kind   // Of the order.
 	Number  Number // Of the order.
 	State   EngineState
-	Refused bool   // The agent did not pass the order on.
-	Seen    Number // Refused: the highest number that the agent has seen.
+	Refused bool   // The agent did not forward the order.
+	Seen    Number // If refused: the highest number that the agent has seen.
 }
 
-// EventName implements reduce.Event.
 func (ReplyReceived) EventName() string { return "expertmap.replied" }
 
-// RecordRead brings the record; Version 0 means that there is none yet.
+// RecordRead carries the record; Version 0 means that the row does not exist.
 type RecordRead struct {
 	Record  Record
 	Version uint64
 }
 
-// EventName implements reduce.Event.
 func (RecordRead) EventName() string { return "expertmap.record_read" }
 
-// RecordReadFailed tells that a ReadRecord brought nothing.
+// RecordReadFailed reports that a ReadRecord failed.
 type RecordReadFailed struct{}
 
-// EventName implements reduce.Event.
 func (RecordReadFailed) EventName() string { return "expertmap.record_unread" }
 
-// RecordConflict tells that the record had another version than required;
+// RecordConflict reports that the record's version was not the one required;
 // nothing was written.
 type RecordConflict struct{}
 
-// EventName implements reduce.Event.
 func (RecordConflict) EventName() string { return "expertmap.record_conflict" }
 
-// RecordWriteUnknown tells that a WriteRecord may or may not have taken effect, now
-// or later.
+// RecordWriteUnknown reports that the outcome of a WriteRecord is unknown: it may
+// have taken effect, may still take effect later, or never.
 type RecordWriteUnknown struct{}
 
-// EventName implements reduce.Event.
 func (RecordWriteUnknown) EventName() string { return "expertmap.record_unknown" }
 
-// RecordWritten tells that the record was written and has the version.
+// RecordWritten reports that the record was written and now has the version.
 type RecordWritten struct {
 	Record  Record
 	Version uint64
 }
 
-// EventName implements reduce.Event.
 func (RecordWritten) EventName() string { return "expertmap.record_written" }
 
-// ReadRecord asks for the record; answered by RecordRead or RecordUnread.
+// ReadRecord requests the record; answered by RecordRead or RecordReadFailed.
 type ReadRecord struct{}
 
-// EffectName implements reduce.Effect.
 func (ReadRecord) EffectName() string { return "expertmap.read_record" }
 
-// WriteRecord writes the record if it has the version; answered by
-// RecordWritten, RecordConflict or RecordUnknown.
+// WriteRecord writes the record if its version is IfVersion; answered by
+// RecordWritten, RecordConflict or RecordWriteUnknown.
 type WriteRecord struct {
 	Record    Record
 	IfVersion uint64
 }
 
-// EffectName implements reduce.Effect.
 func (WriteRecord) EffectName() string { return "expertmap.write_record" }
 
-// Send gives the order to the rank's agent; answered by Replied, or never.
+// Send sends the order to the rank's agent; answered by ReplyReceived, or not at
+// all.
 type Send struct {
 	Rank  int
 	Order Order
 }
 
-// EffectName implements reduce.Effect.
 func (Send) EffectName() string { return "expertmap.send" }
 
-// PublishMap tells under which ID the proposed map has to be found by the ranks.
+// PublishMap requests that the proposed map is stored under the ID, where the
+// ranks read it.
 type PublishMap struct{ ID ID }
 
-// EffectName implements reduce.Effect.
 func (PublishMap) EffectName() string { return "expertmap.begin" }
 
-// Notice reports what the coordinator does, for the log.
+// Notice reports the coordinator's phase for the log.
 type Notice struct {
 	Phase  Phase
 	Change Change
-	Ranks  []int // Ranks that the coordinator waits for.
+	Ranks  []int // Ranks that the coordinator is waiting for.
 }
 
-// EffectName implements reduce.Effect.
 func (Notice) EffectName() string { return "expertmap.notice" }
--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	leaseDelayPerRank = 500 * time.Millisecond // Spreads the candidates for a lapsed lease over time.
-	blockedTimeout    = 3 * time.Second        // After it a rank that can't run takes no new work.
+	leaseDelayPerRank = 500 * time.Millisecond // Staggers the candidates for an expired lease.
+	blockedTimeout    = 3 * time.Second        // A rank that can't run for longer takes no new work.
 )
 
-// Member is an agent's part in its group: its rank, and the coordinator while
-// it holds the group's lease. The zero value is no member of any group.
+// Member is the state of an agent as member of its group: its rank, and the
+// coordinator while it holds the group's lease. The zero value belongs to no
+// group.
 type Member struct {
 	Group          string
 	Rank           int
@@ -21,18 +22,17 @@
 	Lease          lease.State
 	Coordinator    Coordinator
 	Orders         Rank
-	LastRunnableAt time.Time // When the engine was last seen able to run.
-	Blocked        bool      // The engine has waited for its map for too long.
+	LastRunnableAt time.Time // When the engine was last known to be able to run.
+	Blocked        bool      // The engine has been unable to run for longer than blockedTimeout.
 }
 
-// EngineReported brings the engine's state as its agent sees it.
+// EngineReported carries the engine's state, as polled by its agent.
 type EngineReported struct{ State EngineState }
 
-// EventName implements reduce.Event.
 func (EngineReported) EventName() string { return "expertmap.engine_seen" }
 
-// Configure makes the agent the member of its group; a group keeps its size
-// while its agents run.
+// Configure makes the agent a member of the group. Later calls have no effect:
+// an agent keeps its group, and the group its size, while the agent runs.
 func (m Member) Configure(self, group string, rank, size int) Member {
 	if m.Group != "" || group == "" {
 		return m
@@ -41,7 +41,7 @@
 	return Member{Group: group, Rank: rank, Size: size, Lease: lease.State{Self: self, Wait: wait}}
 }
 
-// StepMember reduces one input.
+// StepMember applies one input and returns the new state and its effects.
 func StepMember(m Member, input reduce.Input) (Member, []reduce.Effect) {
 	if m.Group == "" {
 		return m, nil
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -2,66 +2,64 @@
 
 import "persimmonwind.dev/policy/reduce"
 
-// Rank is the agent's part: it passes a coordinator's orders to its engine and
-// refuses those with old numbers, also for engines that take any order.
+// Rank is the state of a rank's agent. It forwards a coordinator's orders to its
+// engine and refuses those with old numbers, which also protects engines that
+// don't check fencing numbers.
 //
-// Invariant: Seen never decreases. A restarted agent takes no order before it
-// has read the group's fencing number, which is at least any it had seen.
+// Invariant: Seen never decreases. A restarted agent accepts no order before it
+// has read the group's fencing number, which is at least as high as any that it
+// had seen before.
 type Rank struct {
-	FenceKnown   bool   // The fencing number was read since the agent started.
-	ReadingFence bool   // A read of the fencing number is under way.
-	Seen         Number // Highest number of an order taken.
+	FenceKnown   bool   // The fencing number has been read since the agent started.
+	ReadingFence bool   // A read of the fencing number is in flight.
+	Seen         Number // Highest number of an accepted order or fencing number read.
 }
 
-// OrderReceived brings a coordinator's order; Ticket names it in the effects.
+// OrderReceived carries a coordinator's order; Ticket identifies it in the
+// effects.
 type OrderReceived struct {
 	Ticket uint64
 	Order  Order
 }
 
-// EventName implements reduce.Event.
 func (OrderReceived) EventName() string { return "expertmap.ordered" }
 
-// FenceRead brings the group's fencing number.
+// FenceRead carries the group's fencing number.
 type FenceRead struct{ Fence uint64 }
 
-// EventName implements reduce.Event.
 func (FenceRead) EventName() string { return "expertmap.fence_read" }
 
-// FenceReadFailed tells that a ReadFence brought nothing.
+// FenceReadFailed reports that a ReadFence failed.
 type FenceReadFailed struct{}
 
-// EventName implements reduce.Event.
 func (FenceReadFailed) EventName() string { return "expertmap.fence_unread" }
 
-// ReadFence asks for the group's fencing number; answered by FenceRead or
-// FenceUnread.
+// ReadFence requests the group's fencing number; answered by FenceRead or
+// FenceReadFailed.
 type ReadFence struct{}
 
-// EffectName implements reduce.Effect.
 func (ReadFence) EffectName() string { return "expertmap.read_fence" }
 
-// Forward passes the order to the engine and its state back to the
-// coordinator. Orders reach the engine one by one in this sequence.
+// Forward passes the order to the engine and returns the engine's state to the
+// coordinator. Orders reach the engine one at a time, in the order of these
+// effects.
 type Forward struct {
 	Ticket uint64
 	Order  Order
 }
 
-// EffectName implements reduce.Effect.
 func (Forward) EffectName() string { return "expertmap.forward" }
 
-// RefuseOrder answers the order without passing it on.
+// RefuseOrder replies to the order without forwarding it.
 type RefuseOrder struct {
 	Ticket     uint64
 	Seen       Number
 	FenceKnown bool
 }
 
-// EffectName implements reduce.Effect.
 func (RefuseOrder) EffectName() string { return "expertmap.refuse_order" }
 
-// StepRank reduces one input of an agent.
+// StepRank applies one input and returns the new state and its effects.
 func StepRank(state Rank, input reduce.Input) (Rank, []reduce.Effect) {
 	switch event := input.Event.(type) {
 	case FenceRead:
--- a/policy/expertmap/record.go
+++ b/policy/expertmap/record.go
@@ -15,7 +15,8 @@
 	s.emit(ReadRecord{})
 }
 
-// writeRecord writes the claim or the change under way.
+// writeRecord writes the coordinator's fencing number and, while committing, the
+// change in progress.
 func (s *transition) writeRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
 	if s.StoreRequestInFlight {
@@ -29,8 +30,8 @@
 	s.emit(WriteRecord{Record: record, IfVersion: s.RecordVersion})
 }
 
-// commit writes the change into the record. A group without a map has nothing
-// to go back to, so its first commit is tried without end.
+// commit writes the change to the record. A group without a map has no map to
+// fall back to, so its first commit is retried without a deadline.
 func (s *transition) commit() {
 	timeout := commitTimeout
 	if s.installsFirstMap() {
@@ -96,7 +97,7 @@
 	s.handleCommitted()
 }
 
-// handleCommitted tells the ranks; a group without a map gets its first one.
+// handleCommitted releases the ranks, or installs the map if no rank has one.
 func (s *transition) handleCommitted() {
 	if s.noRankHasMap() {
 		s.enterPhase(Installing, 0)
