--- a/policy/expertmap/directed_test.go
+++ b/policy/expertmap/directed_test.go
@@ -10,8 +10,8 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
-// deliverKind delivers every message of the node that carries or answers an
-// order of the kind.
+// deliverKind delivers every order of the kind from the node and every reply to
+// one.
 func (w *world) deliverKind(node int, kind expertmap.Kind) {
 	for index := 0; index < len(w.net); {
 		m := w.net[index]
@@ -28,8 +28,7 @@
 	}
 }
 
-// deliverTo delivers the node's orders of the kind to the rank, without the
-// answers.
+// deliverTo delivers the node's orders of the kind to the rank, but no replies.
 func (w *world) deliverTo(node, rank int, kind expertmap.Kind) {
 	for index := len(w.net) - 1; index >= 0; index-- {
 		m := w.net[index]
@@ -39,14 +38,15 @@
 	}
 }
 
-// newCommittingWorld returns a group whose first node has a commit under way.
+// newCommittingWorld returns a group whose first node has a write of its commit in
+// flight.
 func newCommittingWorld() *world {
 	w := newPreparedWorld()
 	w.deliverKind(0, expertmap.Hold)
 	return w
 }
 
-// runAll lets every rank run as far as it may, up to the number of steps.
+// runAll runs every rank as far as its state allows, up to the number of steps.
 func (w *world) runAll(steps uint64) {
 	for range 4 * steps {
 		for rank := range w.engines {
@@ -57,8 +57,8 @@
 	}
 }
 
-// recover loses all messages, gives the lease to the node and lets it settle
-// everything.
+// recover drops all messages, gives the lease to the node and runs the group
+// until the node has resolved the change.
 func (w *world) recover(node int) {
 	w.net = nil
 	w.takeLease(node)
@@ -70,15 +70,15 @@
 	w.runAll(6)
 }
 
-// TestHalfDoneByAPausedHolder follows one change through holders that stop half
-// way; each case needs more faults than the enumeration allows.
+// TestHalfDoneByAPausedHolder follows one change whose coordinators stop before
+// it is complete; each case needs more faults than the enumeration allows.
 func TestHalfDoneByAPausedHolder(t *testing.T) {
 	Convey("Given a commit that the table service has not applied yet", t, func() {
 		w := newCommittingWorld()
 		So(w.coords[0].Phase, ShouldEqual, expertmap.Committing)
 		So(len(w.writes), ShouldEqual, 1)
 
-		Convey("the next holder's claim keeps it from being applied after a rank has gone on", func() {
+		Convey("the next lease holder's claim prevents it from being applied after a rank has continued without it", func() {
 			w.takeLease(1)
 			for len(w.writes) > 1 {
 				w.applyWrite(1)
@@ -93,7 +93,7 @@
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
-		Convey("a void by every rank comes before any rank goes on", func() {
+		Convey("every rank voids the change before any rank continues without it", func() {
 			w.loseWriteResult(0)
 			w.tick(0)
 			So(w.coords[0].Phase, ShouldEqual, expertmap.Voiding)
@@ -107,7 +107,7 @@
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
-		Convey("a void that only one rank has taken does not make ranks differ", func() {
+		Convey("a void that reached only one rank does not leave ranks on different maps", func() {
 			w.loseWriteResult(0)
 			w.tick(0)
 			w.applyWrite(0)
@@ -117,7 +117,7 @@
 			So(w.engines[0].State.InForce, ShouldResemble, w.engines[1].State.InForce)
 		})
 
-		Convey("a holder that takes over a void ends it on every rank before any goes on", func() {
+		Convey("a lease holder that takes over during a void voids every rank before any continues", func() {
 			w.loseWriteResult(0)
 			w.tick(0)
 			w.applyWrite(0)
@@ -134,7 +134,7 @@
 			So(w.engines[0].State.Next, ShouldEqual, 6)
 		})
 
-		Convey("a commit whose answer was lost is found and completed", func() {
+		Convey("a commit whose reply was lost is detected and completed", func() {
 			w.loseWriteResult(0)
 			w.applyWrite(0)
 			w.recover(1)
@@ -143,7 +143,7 @@
 			So(w.record.Change.ID.Version, ShouldEqual, 2)
 		})
 
-		Convey("a rank lost after its promise gets the change back", func() {
+		Convey("a rank that loses its state while holding gets the change installed", func() {
 			w.applyWrite(0)
 			w.loseEngineState(1)
 			w.recover(1)
@@ -161,11 +161,11 @@
 		order := func(kind expertmap.Kind, fence uint64) expertmap.Order {
 			return expertmap.Order{Kind: kind, Number: expertmap.Number{Fence: fence}, Change: held}
 		}
-		Convey("does not hold before a step that it has run", func() {
+		Convey("does not hold a change whose first step it has run", func() {
 			ready.Next = 6
 			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
-		Convey("does not hold without the weights", func() {
+		Convey("does not hold a change whose weights are not loaded", func() {
 			ready.Prepared = first.ID
 			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
@@ -181,7 +181,7 @@
 			So(state.Apply(order(expertmap.Release, 2)).Pending.IsNone(), ShouldBeTrue)
 			So(state.Apply(order(expertmap.Release, 3)).Pending, ShouldResemble, held)
 		})
-		Convey("takes a state only while it has none, and only for its boot", func() {
+		Convey("adopts a state only if it has none, and only one for its own boot", func() {
 			install := expertmap.Order{Kind: expertmap.Install, State: expertmap.EngineState{Boot: "b", InForce: held}}
 			install.State.Boot = ready.Boot
 			So(ready.Apply(install).InForce, ShouldResemble, first)
@@ -192,7 +192,7 @@
 			So(lost.Apply(install).InForce, ShouldResemble, held)
 		})
 	})
-	Convey("A restarted agent takes no order before it has read the number", t, func() {
+	Convey("A restarted agent accepts no order before it has read the fencing number", t, func() {
 		w := newWorld(1, false)
 		w.direct, w.fence = true, 5
 		w.net = append(w.net, message{Order: expertmap.Order{Kind: expertmap.Query, Number: expertmap.Number{Fence: 4}}})
@@ -205,7 +205,7 @@
 }
 
 func TestBlockedMember(t *testing.T) {
-	Convey("A member whose engine can't run for too long is blocked until it can", t, func() {
+	Convey("A member whose engine can't run for longer than the timeout is blocked until it can", t, func() {
 		m := expertmap.Member{}.Configure("agent-1", "g", 0, 2)
 		at := func(seconds int64, state expertmap.EngineState) bool {
 			input := reduce.Input{Now: time.Unix(seconds, 0), Event: expertmap.EngineReported{State: state}}
--- a/policy/expertmap/enumerate_test.go
+++ b/policy/expertmap/enumerate_test.go
@@ -15,17 +15,18 @@
 // faults bounds how often each fault happens in one run.
 type faults struct {
 	Leases, Ticks, Losses, Restarts, Duplicates, Unknown int
-	Steps                                                uint64 // Steps that a rank runs.
+	Steps                                                uint64 // Steps that a rank runs at most.
 }
 
-// position is a world with the faults that may still happen.
+// position is a state of the search: a world with the faults that may still
+// happen.
 type position struct {
 	*world
 	remaining faults
 	trace     *trace
 }
 
-// trace is the way to a position.
+// trace is the sequence of actions that led to a position.
 type trace struct {
 	before *trace
 	action string
@@ -38,7 +39,7 @@
 	return t.before.String() + "\n" + t.action
 }
 
-// enumerator visits every position that can be reached.
+// enumerator visits every reachable position.
 type enumerator struct {
 	seen    map[uint64]bool
 	pending []position
@@ -71,7 +72,7 @@
 	e.pending = append(e.pending, p)
 }
 
-// visit adds the position after the action.
+// visit adds the position that results from the action.
 func (e *enumerator) visit(p position, name string, act func(*position)) {
 	next := position{world: p.clone(), remaining: p.remaining, trace: &trace{before: p.trace, action: name}}
 	act(&next)
@@ -97,10 +98,10 @@
 
 func (e *enumerator) expandStore(p position) {
 	for index, write := range p.writes {
-		name := fmt.Sprintf("land write of %d %v", write.Node, write.Write.Record)
+		name := fmt.Sprintf("apply write of %d %v", write.Node, write.Write.Record)
 		e.visit(p, name, func(n *position) { n.applyWrite(index) })
 		if p.remaining.Unknown > 0 && !write.ResultReported {
-			e.visit(p, "forget "+name, func(n *position) { n.remaining.Unknown--; n.loseWriteResult(index) })
+			e.visit(p, "lose result of: "+name, func(n *position) { n.remaining.Unknown--; n.loseWriteResult(index) })
 		}
 	}
 }
@@ -124,8 +125,8 @@
 	}
 }
 
-// newPreparedWorld returns a group in which the first node has just proposed a change
-// and all ranks are prepared.
+// newPreparedWorld returns a group in which the first node coordinates a change
+// and all ranks have prepared it.
 func newPreparedWorld() *world {
 	w := newWorld(2, false)
 	w.direct = true
@@ -139,7 +140,8 @@
 	return w
 }
 
-// deliverAll delivers everything until nothing is under way.
+// deliverAll applies all writes and delivers all messages until none is in
+// flight.
 func (w *world) deliverAll() {
 	for len(w.net)+len(w.writes) > 0 {
 		if len(w.writes) > 0 {
@@ -156,22 +158,22 @@
 		remaining faults
 		large     bool
 	}{
-		{"nothing fails", faults{Steps: 3}, false},
-		{"the holder is paused and another takes the lease", faults{Steps: 2, Leases: 1}, false},
-		{"the store's answer is lost and the commit voided", faults{Steps: 2, Unknown: 1, Ticks: 1}, false},
+		{"no fault", faults{Steps: 3}, false},
+		{"the lease holder is paused and another node takes the lease", faults{Steps: 2, Leases: 1}, false},
+		{"the table service's reply is lost and the commit is voided", faults{Steps: 2, Unknown: 1, Ticks: 1}, false},
 		{"a rank loses its state", faults{Steps: 2, Losses: 1}, false},
-		{"a rank loses its state and a timer runs out", faults{Steps: 2, Losses: 1, Ticks: 1}, true},
-		{"an agent restarts and another takes the lease", faults{Steps: 2, Restarts: 1, Leases: 1}, true},
-		{"an order comes twice and the commit is voided", faults{Steps: 2, Unknown: 1, Ticks: 1, Duplicates: 1}, true},
-		{"the commit is voided and another takes the lease", faults{Steps: 2, Unknown: 1, Ticks: 1, Leases: 1}, true},
-		{"a rank loses its state and another takes the lease", faults{Steps: 2, Losses: 1, Leases: 1}, true},
+		{"a rank loses its state and a timer expires", faults{Steps: 2, Losses: 1, Ticks: 1}, true},
+		{"an agent restarts and another node takes the lease", faults{Steps: 2, Restarts: 1, Leases: 1}, true},
+		{"an order is delivered twice and the commit is voided", faults{Steps: 2, Unknown: 1, Ticks: 1, Duplicates: 1}, true},
+		{"the commit is voided and another node takes the lease", faults{Steps: 2, Unknown: 1, Ticks: 1, Leases: 1}, true},
+		{"a rank loses its state and another node takes the lease", faults{Steps: 2, Losses: 1, Leases: 1}, true},
 	}
-	Convey("Given two ranks that are prepared for a change", t, func() {
+	Convey("Given two ranks that have prepared a change", t, func() {
 		for _, c := range cases {
 			if c.large && !*enumerateAll {
 				continue
 			}
-			Convey(c.name+": every step uses one map", func() {
+			Convey(c.name+": all ranks use the same map for every step", func() {
 				var e enumerator
 				e.explore(position{world: newPreparedWorld(), remaining: c.remaining})
 				t.Logf("%s: %d states", c.name, e.states)
--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -9,7 +9,7 @@
 
 var keySeed = maphash.MakeSeed()
 
-// encoder writes a position's parts for its key.
+// encoder serializes a position for hashing.
 type encoder []byte
 
 func (e *encoder) numbers(values ...uint64) {
@@ -79,8 +79,9 @@
 	}
 }
 
-// key identifies the position. All timers run out at the next tick, so their
-// times don't matter; the network has no order.
+// key returns a hash that identifies the position. Times are left out because all
+// timers expire at the next tick; messages are summed because the network has no
+// order.
 func (p position) key() uint64 {
 	e := make(encoder, 0, 1024)
 	e.remaining(p.remaining)
--- a/policy/expertmap/random_test.go
+++ b/policy/expertmap/random_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// setDefault sets a flag that the command line does not set.
+// setDefault sets a flag unless the command line sets it.
 func setDefault(name, value string) {
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
@@ -32,7 +32,7 @@
 	}
 }
 
-// machine drives a world at random.
+// machine is the rapid state machine that applies random actions to a world.
 type machine struct {
 	*world
 	group int
@@ -95,7 +95,8 @@
 
 func (m *machine) Propose(t *rapid.T) { m.coordinate(m.rank(t), expertmap.Propose{}) }
 
-// TakeLease needs the table service; the old holder may be paused.
+// TakeLease needs the table service; the previous holder is not told, as if it
+// were paused.
 func (m *machine) TakeLease(t *rapid.T) {
 	if !m.storeDown && rapid.IntRange(0, 2).Draw(t, "lease") == 0 {
 		m.takeLease(m.rank(t))
@@ -122,7 +123,8 @@
 	}
 }
 
-// heal ends all faults and reports why the group does not run and change.
+// heal ends all faults and returns an error if the group then fails to settle on
+// a map or to run.
 func (m *machine) heal() error {
 	m.storeDown = false
 	m.takeLease(0)
@@ -150,14 +152,15 @@
 	return true
 }
 
-// drainAll delivers everything until nothing is under way.
+// drainAll calls deliverOldest until nothing is in flight.
 func (m *machine) drainAll() {
 	for len(m.net)+len(m.writes) > 0 && m.violation == "" {
 		m.deliverOldest()
 	}
 }
 
-// deliverOldest delivers the oldest of everything that is under way.
+// deliverOldest applies the oldest write, delivers the oldest message and
+// processes all queued orders.
 func (m *machine) deliverOldest() {
 	if len(m.writes) > 0 {
 		m.applyWrite(0)
@@ -172,7 +175,7 @@
 	}
 }
 
-// runOn lets every rank run the number of steps.
+// runOn runs at least the number of steps on every rank.
 func (m *machine) runOn(steps int) error {
 	for range steps * m.group * 2 {
 		for rank := range m.engines {
@@ -186,7 +189,7 @@
 	}
 	first, last := m.engines[0].State, m.engines[m.group-1].State
 	if first.InForce.IsNone() || first.InForce != last.InForce || !first.Hold.IsNone() {
-		return fmt.Errorf("ranks end as %+v and %+v", first, last)
+		return fmt.Errorf("first and last rank end in states %+v and %+v", first, last)
 	}
 	return nil
 }
@@ -215,7 +218,7 @@
 }
 
 func TestChangeWithoutFaults(t *testing.T) {
-	Convey("A group that starts without a map gets one and changes it", t, func() {
+	Convey("A group that starts without a map gets its first map and then changes it", t, func() {
 		m := &machine{world: newWorld(3, true), group: 3}
 		So(m.heal(), ShouldBeNil)
 		first := m.engines[0].State.InForce
--- a/policy/expertmap/scale_test.go
+++ b/policy/expertmap/scale_test.go
@@ -18,8 +18,8 @@
 	return len(p), nil
 }
 
-// wireSize returns the bytes of one order and its reply on a connection that
-// has carried their types before.
+// wireSize returns the encoded size of one order and its reply on a connection
+// that has already transmitted their gob type definitions.
 func wireSize(b *testing.B, order expertmap.Order, state expertmap.EngineState) float64 {
 	var bytes byteCounter
 	encoder := gob.NewEncoder(&bytes)
@@ -35,7 +35,7 @@
 	return float64(bytes)
 }
 
-// BenchmarkCoordinator measures one round of queries and one whole change.
+// BenchmarkCoordinator measures one query round and one complete change.
 func BenchmarkCoordinator(b *testing.B) {
 	for _, ranks := range []int{8, 16, 32, 64} {
 		b.Run(fmt.Sprintf("poll/ranks=%d", ranks), func(b *testing.B) { benchmarkRounds(b, ranks, false) })
--- a/policy/expertmap/world_test.go
+++ b/policy/expertmap/world_test.go
@@ -13,8 +13,8 @@
 // beyondAllTimeouts is longer than every interval and timeout of a coordinator.
 const beyondAllTimeouts = time.Hour
 
-// message is an order on its way to a rank's agent, or its answer on the way
-// back to the coordinator.
+// message is an order in flight to a rank's agent, or its reply in flight to the
+// coordinator.
 type message struct {
 	Node  int // Coordinator's node.
 	Rank  int
@@ -22,7 +22,7 @@
 	Reply *expertmap.ReplyReceived
 }
 
-// tableWrite is a write of the record on its way to the table service.
+// tableWrite is a write of the record in flight to the table service.
 type tableWrite struct {
 	Node           int
 	Write          expertmap.WriteRecord
@@ -37,11 +37,11 @@
 
 type stepKey struct{ Generation, Step uint64 }
 
-// world is a group with its agents, coordinators, network and table service.
-// Node i is the agent of rank i.
+// world simulates a group with its agents, coordinators, network and table
+// service. Node i is the agent of rank i.
 type world struct {
 	enforceFencing bool // Engines refuse orders with old fencing numbers.
-	direct         bool // Orders reach the engine together with their agent.
+	direct         bool // The engine processes an order as soon as the agent forwards it.
 	storeDown      bool
 
 	engines []engine
@@ -57,7 +57,7 @@
 	generation    uint64
 	now           time.Time
 
-	mapUsed   map[stepKey]expertmap.Change // What the oracle has seen.
+	mapUsed   map[stepKey]expertmap.Change // Map used by the first rank that ran the step.
 	violation string
 }
 
@@ -73,7 +73,7 @@
 	return w
 }
 
-// installFirstMap gives every rank the same first map.
+// installFirstMap puts every rank on the same first map.
 func (w *world) installFirstMap() {
 	first := expertmap.Change{ID: expertmap.ID{Fence: 1, Version: 1}}
 	w.fence, w.recordVersion = 1, 1
@@ -106,7 +106,7 @@
 	return &c
 }
 
-// takeLease gives the lease to the node; the holder before is not told.
+// takeLease gives the lease to the node; the previous holder is not told.
 func (w *world) takeLease(node int) {
 	w.fence++
 	w.coordinate(node, expertmap.LeaseAcquired{Fence: w.fence, Ranks: len(w.engines)})
@@ -135,7 +135,7 @@
 	}
 }
 
-// deliver hands over one message; it stays in the network if keep is set.
+// deliver delivers one message; the message stays in flight if keep is set.
 func (w *world) deliver(index int, keep bool) {
 	m := w.net[index]
 	if !keep {
@@ -175,7 +175,8 @@
 	w.net = append(w.net, message{Node: m.Node, Rank: m.Rank, Reply: &reply})
 }
 
-// processOrder lets the engine take its next order, which stays if keep is set.
+// processOrder processes the engine's next order, which stays queued if keep is
+// set.
 func (w *world) processOrder(rank int, keep bool) {
 	e := &w.engines[rank]
 	m := e.Queue[0]
@@ -191,7 +192,8 @@
 	w.reply(m, expertmap.ReplyReceived{State: e.State})
 }
 
-// applyWrite applies a write of the record and answers if the coordinator waits.
+// applyWrite applies a write of the record and reports the result unless the
+// coordinator was told that the outcome is unknown.
 func (w *world) applyWrite(index int) {
 	write := w.writes[index]
 	w.writes = slices.Delete(w.writes, index, index+1)
@@ -206,20 +208,20 @@
 	}
 }
 
-// loseWriteResult tells the coordinator that a write's outcome is unknown; it may still
-// land.
+// loseWriteResult tells the coordinator that a write's outcome is unknown; the
+// write may still be applied.
 func (w *world) loseWriteResult(index int) {
 	w.writes[index].ResultReported = true
 	w.coordinate(w.writes[index].Node, expertmap.RecordWriteUnknown{})
 }
 
-// tick lets the node's timers run out.
+// tick advances the clock beyond the node's timers.
 func (w *world) tick(node int) {
 	w.now = w.now.Add(beyondAllTimeouts)
 	w.coordinate(node, reduce.Tick{})
 }
 
-// restartAgent clears what the agent of the rank keeps.
+// restartAgent clears the state of the rank's agent and coordinator.
 func (w *world) restartAgent(rank int) {
 	w.ranks[rank] = expertmap.Rank{}
 	w.coords[rank] = expertmap.Coordinator{MarginSteps: 1}
@@ -228,7 +230,9 @@
 	}
 }
 
-// loseEngineState clears what the engine of the rank keeps.
+// loseEngineState restarts the rank's engine without its state. If no engine has
+// state left, the group starts over from its record, possibly at steps that were
+// run before.
 func (w *world) loseEngineState(rank int) {
 	w.engines[rank].State = expertmap.EngineState{Boot: w.newBootID()}
 	w.engines[rank].Fence = 0
@@ -240,7 +244,7 @@
 	w.generation++
 }
 
-// canRun reports whether lock-step and the rank's state allow its next step.
+// canRun reports whether lock-step and the rank's own state allow its next step.
 func (w *world) canRun(rank int) bool {
 	state := w.engines[rank].State
 	for _, other := range w.engines {
@@ -251,7 +255,8 @@
 	return state.CanRunNext()
 }
 
-// runStep lets the rank runStep its next step in front of the oracle.
+// runStep runs the rank's next step and records a violation if another rank used
+// a different map for it.
 func (w *world) runStep(rank int) {
 	state := w.engines[rank].State
 	at := stepKey{Generation: w.generation, Step: state.Next}
