--- a/policy/hotexperts/counts.go
+++ b/policy/hotexperts/counts.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// PackCounts encodes what the counts have gained since before, in one to two
-// bytes a number; the counts of a large group are most of what its agents
-// send. Counts that have fallen, as after a restart, gain nothing.
+// PackCounts encodes the increase of each counter since before as varints, one to
+// two bytes per number: in a large group, counters make up most of what agents
+// send. A counter that has decreased, as after a restart, is encoded as zero.
 func PackCounts(before, counts []int64) []byte {
 	packed := make([]byte, 0, 2*len(counts))
 	for i, count := range counts {
@@ -20,13 +20,13 @@
 	return packed
 }
 
-// UnpackCounts decodes packed gains.
+// UnpackCounts decodes the increases that PackCounts encoded.
 func UnpackCounts(packed []byte) ([]int64, error) {
 	var gains []int64
 	for len(packed) > 0 {
 		value, n := binary.Uvarint(packed)
 		if n <= 0 {
-			return nil, fmt.Errorf("packed counts end inside number %d", len(gains))
+			return nil, fmt.Errorf("packed counts: invalid varint at index %d", len(gains))
 		}
 		gains = append(gains, int64(value))
 		packed = packed[n:]
--- a/policy/hotexperts/demand.go
+++ b/policy/hotexperts/demand.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// forecastTimeConstant is the time constant of the forecast. Demand jumps every few
-	// seconds, and the mix of requests under way lasts about a request's length.
+	// forecastTimeConstant is the time constant of the forecast. Demand jumps every
+	// few seconds, and the mix of requests in flight lasts about as long as a request.
 	forecastTimeConstant = 500 * time.Millisecond
-	// recentTimeConstant is that of the latest counts, about two passes, against which
-	// the forecast is checked.
+	// recentTimeConstant is the time constant of the recent load, about two passes,
+	// against which the forecast is checked.
 	recentTimeConstant = 120 * time.Millisecond
 	// jumpThreshold is the share of choices that must have moved to other experts
-	// for the forecast to start over from the latest counts. The mix of requests
-	// under way moves about a tenth between two passes.
+	// for the forecast to restart from the recent load. Changes in the mix of
+	// requests in flight move about a tenth of the choices between two passes.
 	jumpThreshold = 0.25
 )
 
-// Demand forecasts the load of each expert from what ranks count.
+// Demand forecasts the load of each expert from the ranks' counters of choices: how
+// often requests were routed to each expert. Old counts decay exponentially.
 type Demand struct {
 	sets, experts int
-	forecast      [][]float64 // Within demandMemory.
-	recent        [][]float64 // Within latestMemory.
-	total         float64     // Choices within demandMemory.
+	forecast      [][]float64 // Decays with forecastTimeConstant.
+	recent        [][]float64 // Decays with recentTimeConstant.
+	total         float64     // All choices; decays with forecastTimeConstant.
 }
 
-// NewDemand returns a forecast that has seen nothing.
+// NewDemand returns a forecast without observations.
 func NewDemand(sets, experts int) *Demand {
 	d := &Demand{sets: sets, experts: experts}
 	d.forecast, d.recent = zeroes(sets, experts), zeroes(sets, experts)
@@ -41,8 +42,8 @@
 	return table
 }
 
-// Observe takes in what the counts of a rank have gained in the time: set by
-// set, how often its requests chose each expert. Gains of another length are
+// Observe adds the increases of one rank's counters during the elapsed time: set
+// by set, how often its requests chose each expert. Gains of the wrong length are
 // ignored; it reports whether they were used. Ranks is the number of ranks that
 // are observed in turn.
 func (d *Demand) Observe(gains []int64, elapsed time.Duration, ranks int) bool {
@@ -64,8 +65,9 @@
 	return true
 }
 
-// Load returns the forecast by set and expert; it is the Demand's own. Where
-// demand has jumped it starts over from the latest counts.
+// Load returns the forecast by set and expert. The slices belong to d and must
+// not be changed. If demand has jumped, the forecast restarts from the recent
+// load.
 func (d *Demand) Load() [][]float64 {
 	if shareMoved(d.forecast, d.recent) > jumpThreshold {
 		for set := range d.forecast {
@@ -75,8 +77,8 @@
 	return d.forecast
 }
 
-// shareMoved returns the share of choices that fall on other experts in one table
-// than in the other.
+// shareMoved returns the share of choices that fall on different experts in the
+// two tables, averaged over the sets that have choices in both.
 func shareMoved(a, b [][]float64) float64 {
 	moved, sets := 0.0, 0
 	for set := range a {
@@ -103,5 +105,5 @@
 	return total
 }
 
-// Choices returns how many choices the forecast rests on.
+// Choices returns the decayed number of choices on which the forecast is based.
 func (d *Demand) Choices() float64 { return d.total }
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -1,11 +1,11 @@
 // Package hotexperts plans the expert map of a group whose demand jumps every
-// few seconds: hot experts get more replicas, a few at a time, so that each
+// few seconds. It adds replicas of hot experts, a few at a time, so that each
 // small change is in force before demand jumps again.
 //
 // All ranks advance in lock-step and every set of layers waits for its slowest
 // rank, so the cost of a map is the time of the slowest rank, summed over sets.
-// A replicated expert's load is spread evenly over its replicas; a slow rank is
-// relieved of its experts.
+// A replicated expert's load is spread evenly over its replicas. Experts are
+// moved away from slow ranks.
 package hotexperts
 
 import (
@@ -15,26 +15,28 @@
 
 const (
 	// loadExponent is the power of a rank's load in the cost that the search
-	// lowers. A high power approaches the most loaded rank alone but still
-	// prefers to lower the second most loaded one where several are level.
+	// minimizes. A high power approximates the maximum over ranks, but where
+	// several ranks share the maximum it still rewards lowering one of them.
 	loadExponent = 8
-	// minRelativeGain is the share of a set's cost that a copy must save. A copy slows
-	// the passes of the whole group while it lasts, and it is priced.
+	// minRelativeGain is the share of the most loaded rank's time in a set that a copy
+	// must save. A copy slows the passes of the whole group while it lasts, and it
+	// has a price.
 	minRelativeGain = 0.01
 )
 
 // Shape is the size of a group.
 type Shape struct {
 	Ranks     int
-	Places    int // Experts that a rank holds in each set at most.
+	Places    int // Most experts that a rank can hold in each set.
 	Experts   int // In each set.
-	NewPerSet int // Experts that one change may bring to a rank in each set.
+	NewPerSet int // Most experts that one change may add to a rank in each set.
 
-	// Slowness is the time of a rank for one unit of load; nil or 1 is usual.
+	// Slowness is the time that each rank takes for one unit of load, relative to a
+	// normal rank; nil means 1 for all.
 	Slowness []float64
 }
 
-// slowness returns the rank's.
+// slowness returns the rank's slowness, at least 1.
 func (s Shape) slowness(rank int) float64 {
 	if rank >= len(s.Slowness) {
 		return 1
@@ -42,45 +44,46 @@
 	return max(1, s.Slowness[rank])
 }
 
-// Map places experts: by set and rank.
+// Map lists the experts that each rank holds, by set and rank.
 type Map = [][][]int
 
-// Plan is a map with what it is expected to bring.
+// Plan is a map with its copies and the skew forecast before and after.
 type Plan struct {
 	Map              Map
 	Copies           int // Experts copied, over all ranks.
-	MaxCopiesPerRank int // By one rank.
+	MaxCopiesPerRank int // Most experts copied by one rank.
 	SkewBefore       float64
 	SkewAfter        float64
 }
 
-// Costs weigh a change against what it saves.
+// Costs are the parameters by which a change is weighed against its savings.
 type Costs struct {
-	CopyTime        time.Duration // A rank's for one expert.
-	ExpertTimeShare float64       // Share of a pass that is spent on experts.
-	Occupancy       float64       // Share of the group's places that are taken.
+	CopyTime        time.Duration // Time that a rank takes to copy one expert.
+	ExpertTimeShare float64       // Share of a pass's time that is spent on experts.
+	Occupancy       float64       // Share of the group's places for requests that are in use.
 }
 
 const (
 	// copySlowdown is the share by which the group's passes take longer while a
-	// rank copies, as the platform's engines say.
+	// rank copies, according to the platform's engines.
 	copySlowdown = 0.15
-	// lightLoadOccupancy is the share of places below which passes are far shorter than
-	// the pauses that users allow, so only a large skew matters to them.
+	// lightLoadOccupancy is the share of places in use below which passes are far
+	// shorter than the pauses that users accept, so only a large skew matters.
 	lightLoadOccupancy = 0.5
-	// lightLoadMinGain is the share of the skew that a change must save under light load.
+	// lightLoadMinGain is the share of the skew that a change must remove under light
+	// load.
 	lightLoadMinGain = 0.15
-	// changeOverhead is what a change costs besides its copies: demand that jumps while
-	// a change is under way is answered a few hundred ms later, and the group may
-	// rest.
+	// changeOverhead is the cost of a change besides its copies: the response to a
+	// jump in demand during a change is delayed by a few hundred ms, and the group
+	// may pause.
 	changeOverhead = 15 * time.Millisecond
-	// planningHorizon is how long a map is taken to fit: demand jumps every 3 to 4 s, and
-	// the requests under way change within 2 s.
+	// planningHorizon is how long a map is assumed to fit: demand jumps every 3 to
+	// 4 s, and the requests in flight change within 2 s.
 	planningHorizon = 2 * time.Second
 )
 
-// IsWorthwhile reports whether the time that the plan saves within the horizon exceeds
-// what its copies cost the group.
+// IsWorthwhile reports whether the time that the plan saves within the planning
+// horizon exceeds the time that its copies cost the group.
 func (p Plan) IsWorthwhile(costs Costs) bool {
 	if p.Copies == 0 || p.SkewBefore <= 0 {
 		return false
@@ -94,16 +97,17 @@
 }
 
 const (
-	// switchTime is what a change takes besides its copies: about two passes.
+	// switchTime is the duration of a change besides its copies: about two passes.
 	switchTime = 100 * time.Millisecond
-	// recoveryWindow is the time after a jump over which plans are compared: the group
-	// makes two or three changes in it.
+	// recoveryWindow is the time after a jump in demand over which plans are compared:
+	// the group makes two or three changes in it.
 	recoveryWindow = 600 * time.Millisecond
 )
 
-// DecideLeastAverageSkew returns, among the plans of up to budget copies a rank, the one
-// with the least skew on average over the time after a jump: fewer copies are in
-// force sooner, and another change follows.
+// DecideLeastAverageSkew returns the plan with the lowest average skew over the
+// recovery window, among plans with up to budget copies per rank (halved from
+// plan to plan). A plan with fewer copies is in force sooner, and another change
+// can follow it.
 func DecideLeastAverageSkew(shape Shape, current Map, load [][]float64, budget int, copyTime time.Duration) Plan {
 	best, bestCost := Plan{}, math.Inf(1)
 	for copies := budget; copies >= 1; copies /= 2 {
@@ -117,8 +121,9 @@
 	return best
 }
 
-// Decide improves the current map for the load by set and expert. No rank
-// copies more than budget experts. The current map is not changed.
+// Decide plans a better map than the current one for the load, given by set and
+// expert. No rank copies more than budget experts. The current map is not
+// changed.
 func Decide(shape Shape, current Map, load [][]float64, budget int) Plan {
 	plan := Plan{SkewBefore: Skew(shape, current, load)}
 	sets := make([]*search, len(current))
@@ -143,13 +148,13 @@
 	}
 	plan.SkewAfter = Skew(shape, plan.Map, load)
 	if plan.SkewAfter > plan.SkewBefore {
-		// The search's cost weighs the second most loaded rank too.
+		// The search's cost depends on all ranks, so lowering it can raise the maximum.
 		return Plan{Map: current, SkewBefore: plan.SkewBefore, SkewAfter: plan.SkewBefore}
 	}
 	return plan
 }
 
-// pickSet returns the set whose next step gains most, nil where none is left.
+// pickSet returns the set whose best step gains most, or nil if no step is left.
 func pickSet(sets []*search, copies []int, budget int) *search {
 	var chosen *search
 	for _, s := range sets {
@@ -161,8 +166,8 @@
 	return chosen
 }
 
-// Skew returns the time of the most loaded rank, summed over sets, divided by
-// the time of an even load at usual ranks.
+// Skew returns the time of the slowest rank, summed over sets, divided by the time
+// that an even load would take on ranks of normal speed.
 func Skew(shape Shape, placement Map, load [][]float64) float64 {
 	var most, mean float64
 	for set := range placement {
@@ -180,24 +185,24 @@
 	return most / mean
 }
 
-// search improves the placement of one set.
+// search is a greedy search for a better placement of one set.
 type search struct {
 	shape         Shape
 	load          []float64
 	held          [][]int // Experts by rank.
 	holders       [][]int // Ranks by expert.
-	newByRank     []int   // Copies of this change by rank.
+	newByRank     []int   // Experts added by this change, by rank.
 	loads         []float64
 	mean          float64
 	cost          float64
-	bestStep      placementStep // The best step of the placement as it is.
-	bestStepPays  bool          // next is worth its copy.
-	bestStepValid bool          // next belongs to the placement as it is.
+	bestStep      placementStep // Best step from the current placement.
+	bestStepPays  bool          // bestStep gains enough to justify its copy.
+	bestStepValid bool          // bestStep was computed for the current placement.
 }
 
-// placementStep copies an expert to a rank, in place of the victim or, where that is
-// negative, to an empty place. Where it moves the expert, the rank from is
-// relieved of it; otherwise from is negative.
+// placementStep copies an expert to a rank. The copy replaces a replica of the
+// victim or, if victim is negative, takes an empty place. If the step moves the
+// expert, the rank from drops its replica; otherwise from is negative.
 type placementStep struct {
 	expert, rank, victim, from int
 	gain                       float64
@@ -227,7 +232,8 @@
 	return s
 }
 
-// rankCost is a rank's part of the cost.
+// rankCost returns a rank's contribution to the cost: its time relative to the
+// mean load, to the power of loadExponent.
 func (s *search) rankCost(rank int, load float64) float64 {
 	if s.mean == 0 {
 		return 0
@@ -246,8 +252,8 @@
 	return total
 }
 
-// refreshBestStep finds the best step again if the placement has changed or the step's
-// rank has used up its budget.
+// refreshBestStep recomputes the best step if the placement has changed or the
+// step's rank has used up its budget.
 func (s *search) refreshBestStep(copies []int, budget int) {
 	if s.bestStepValid && (!s.bestStepPays || copies[s.bestStep.rank] < budget) {
 		return
@@ -256,8 +262,9 @@
 	s.bestStepValid = true
 }
 
-// best returns the copy that lowers the cost most: an expert of the most loaded
-// rank to another rank with budget left.
+// best returns the step that lowers the cost most, among copies of an expert of
+// the slowest rank to another rank with budget left. It reports false if that
+// step gains less than minRelativeGain.
 func (s *search) best(copies []int, budget int) (placementStep, bool) {
 	var best placementStep
 	slowestRank := s.slowestRank()
@@ -275,7 +282,8 @@
 	return best, best.gain > 0 && s.relativeGain(best.gain) >= minRelativeGain
 }
 
-// relativeGain is the share of the set's most loaded rank that a gain stands for.
+// relativeGain converts a gain in cost to the share of the slowest rank's time that
+// it would save if that rank alone made up the cost.
 func (s *search) relativeGain(gain float64) float64 {
 	if s.cost <= 0 {
 		return 0
@@ -294,8 +302,8 @@
 	}
 }
 
-// considerReplicaAndMove offers the step as a further replica and, where the slowestRank rank is
-// slow, as a move away from it.
+// considerReplicaAndMove considers the step as an additional replica and, if the
+// slowest rank is slower than normal, also as a move away from it.
 func (s *search) considerReplicaAndMove(best *placementStep, candidate placementStep, slowestRank int) {
 	candidate.from = -1
 	s.considerStep(best, candidate)
@@ -312,7 +320,7 @@
 	}
 }
 
-// gain returns by how much the step lowers the cost.
+// gain returns the amount by which the step lowers the cost.
 func (s *search) gain(candidate placementStep) float64 {
 	holders := s.holders[candidate.expert]
 	load := s.load[candidate.expert]
@@ -371,7 +379,8 @@
 	s.cost = s.totalCost()
 }
 
-// removeReplica takes a replica away; the expert's other holders take its load.
+// removeReplica removes the rank's replica of the expert and spreads its load over
+// the expert's other holders.
 func (s *search) removeReplica(expert, rank int) {
 	n := float64(len(s.holders[expert]))
 	load := s.load[expert]
--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// referenceShape is that of the users' groups.
+// referenceShape is the shape of the users' groups.
 var referenceShape = Shape{Ranks: 12, Places: 8, Experts: 72, NewPerSet: 3}
 
 const referenceSets = 4
 
-// roundRobinMap is the map that a group begins with.
+// roundRobinMap returns the map that a group starts with.
 func roundRobinMap(shape Shape, sets int) Map {
 	placement := make(Map, sets)
 	for set := range placement {
@@ -44,7 +44,7 @@
 }
 
 func TestDecideAfterDemandJump(t *testing.T) {
-	Convey("After a jump of demand a few small changes spread the load", t, func() {
+	Convey("After a jump in demand a few small changes spread the load", t, func() {
 		total, jumps := 0.0, 0
 		for seed := range uint64(20) {
 			random := rand.New(rand.NewPCG(seed, 1))
@@ -60,10 +60,10 @@
 				jumps++
 			}
 		}
-		// The users' goal is a mean skew within 1.15 outside of the first second.
+		// The users' goal is a mean skew of at most 1.15 after the first second.
 		So(total/float64(jumps), ShouldBeLessThan, 1.15)
 	})
-	Convey("A change that saves less than its copies cost is not made", t, func() {
+	Convey("A change that saves less than its copies cost is not worthwhile", t, func() {
 		costs := Costs{CopyTime: 100 * time.Millisecond, ExpertTimeShare: 0.4, Occupancy: 0.9}
 		So(Plan{Copies: 1, MaxCopiesPerRank: 1, SkewBefore: 1.18, SkewAfter: 1.17}.IsWorthwhile(costs), ShouldBeFalse)
 		So(Plan{Copies: 24, MaxCopiesPerRank: 2, SkewBefore: 3, SkewAfter: 1.3}.IsWorthwhile(costs), ShouldBeTrue)
@@ -87,7 +87,7 @@
 
 func TestDecideLeastAverageSkew(t *testing.T) {
 	const copyTime = 100 * time.Millisecond
-	Convey("Right after a jump a plan of fewer copies is taken where it brings most of the gain sooner", t, func() {
+	Convey("Right after a jump in demand a plan with fewer copies is chosen if it brings most of the gain sooner", t, func() {
 		fewer := 0
 		for seed := range uint64(20) {
 			load := randomTopicLoad(rand.New(rand.NewPCG(seed, 3)), referenceShape, referenceSets)
@@ -105,7 +105,7 @@
 		}
 		So(fewer, ShouldBeGreaterThan, 0)
 	})
-	Convey("Where a copy takes no time all copies are made", t, func() {
+	Convey("If copies take no time, the plan uses the full budget", t, func() {
 		load := randomTopicLoad(rand.New(rand.NewPCG(1, 3)), referenceShape, referenceSets)
 		placement := roundRobinMap(referenceShape, referenceSets)
 		So(DecideLeastAverageSkew(referenceShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(referenceShape, placement, load, 3).SkewAfter)
@@ -113,7 +113,7 @@
 }
 
 func TestDecideRelievesSlowRank(t *testing.T) {
-	Convey("A rank three times as slow as usual keeps only what nobody asks for", t, func() {
+	Convey("Load is moved away from a rank that is three times as slow as normal", t, func() {
 		for seed := range uint64(20) {
 			shape := referenceShape
 			shape.Slowness = []float64{1, 1, 1, 1, 3, 1, 1, 1, 1, 1, 1, 1}
@@ -122,7 +122,7 @@
 			for range 5 {
 				placement = Decide(shape, placement, load, 3).Map
 			}
-			// Eleven ranks carry the load of twelve.
+			// The bound allows for eleven ranks carrying the load of twelve.
 			So(Skew(shape, placement, load), ShouldBeLessThan, 1.15*12/11)
 		}
 	})
@@ -158,8 +158,8 @@
 }
 
 func TestPlanNeverRaisesSkew(t *testing.T) {
-	Convey("A step that lowers the search's cost but raises the skew is not planned", t, func() {
-		// Found by TestPlanFits.
+	Convey("A plan that lowers the search's cost but raises the skew is discarded", t, func() {
+		// A failing case found by TestPlanRespectsLimits.
 		shape := Shape{Ranks: 2, Places: 8, Experts: 14, NewPerSet: 1, Slowness: []float64{2.75}}
 		load := [][]float64{{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 6.75, 1, 26.875, 100}}
 		plan := Decide(shape, roundRobinMap(shape, 1), load, 1)
@@ -208,19 +208,19 @@
 
 func TestDemand(t *testing.T) {
 	const round = 100 * time.Millisecond
-	Convey("Given what a rank's counts have gained", t, func() {
+	Convey("Given the increases of a rank's counters", t, func() {
 		d := NewDemand(1, 2)
 		So(d.Observe([]int64{0, 50}, round, 1), ShouldBeTrue)
 		So(d.Load()[0], ShouldResemble, []float64{0, 50})
 
-		Convey("what is liked no more fades", func() {
+		Convey("the load of an expert that is no longer chosen decays", func() {
 			for range 20 {
 				d.Observe([]int64{10, 0}, round, 1)
 			}
 			So(d.Load()[0][1], ShouldBeLessThan, 2.0)
 			So(d.Load()[0][0], ShouldBeGreaterThan, 8.0)
 		})
-		Convey("a jump is followed within a few counts", func() {
+		Convey("the forecast follows a jump in demand within a few observations", func() {
 			for range 20 {
 				d.Observe([]int64{0, 50}, round, 1)
 			}
@@ -230,11 +230,11 @@
 			load := d.Load()[0]
 			So(load[0]/(load[0]+load[1]), ShouldBeGreaterThan, 0.75)
 		})
-		Convey("gains of another size are refused", func() {
+		Convey("gains of the wrong length are rejected", func() {
 			So(d.Observe([]int64{1}, round, 1), ShouldBeFalse)
 		})
 	})
-	Convey("Packed counts hold what was gained, and nothing where counts have fallen", t, func() {
+	Convey("Packed counts contain the increases, and zero for counters that have decreased", t, func() {
 		gains, err := UnpackCounts(PackCounts([]int64{5, 1000, 7}, []int64{5, 1300, 2, 9}))
 		So(err, ShouldBeNil)
 		So(gains, ShouldResemble, []int64{0, 300, 0, 9})
