--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -28,7 +28,8 @@
 	return placement
 }
 
-// randomTopicLoad draws a demand: few randomTopicLoad are much liked, each with its own experts.
+// randomTopicLoad draws a load from topics with power-law popularity, each with its
+// own experts: few topics account for most of the load.
 func randomTopicLoad(random *rand.Rand, shape Shape, sets int) [][]float64 {
 	load := make([][]float64, sets)
 	for set := range load {
--- a/policy/planner/forecast.go
+++ b/policy/planner/forecast.go
@@ -4,27 +4,27 @@
 
 const (
 	smoothingFactor = 0.4 // Weight of the newest observation in the forecast.
-	// significanceFactor is how often the change since the last plan must exceed the
-	// change that noise alone explains.
+	// significanceFactor is the factor by which the squared change since the last
+	// plan must exceed the change that noise alone explains.
 	significanceFactor = 2
-	// A layer that was never planned is looked at once, after this many
+	// A layer that has not been planned yet is checked once, after this many
 	// observations, and changed if that saves more than noise explains.
 	firstCheckObservations = 8
 	firstCheckSigmas       = 4.0  // Standard deviations of the forecast.
-	firstCheckMinSaving    = 0.05 // Part of an even layer's time.
-	slownessChanged        = 0.05 // Part by which a rank's slowness must change.
+	firstCheckMinSaving    = 0.05 // Share of the layer's time under an even spread.
+	slownessChanged        = 0.05 // Relative change of a rank's slowness that triggers a plan.
 )
 
-// State is what the planner keeps between plans. The zero value is ready.
+// State is the planner's state between plans. The zero value is ready to use.
 type State struct {
-	forecast        [][]float64 // Tokens a step by layer and expert.
+	forecast        [][]float64 // Tokens per step by layer and expert.
 	last            [][]float64 // Last observation.
-	weight          []float64   // By layer: variance of the forecast as a part of the noise's.
+	weight          []float64   // By layer: variance of the forecast as a fraction of the noise.
 	noise           []float64   // By layer: variance of one observation, relative to the squared load.
-	reference       [][]float64 // Forecast at the layer's last plan.
+	reference       [][]float64 // Forecast when the layer was last changed.
 	referenceWeight []float64
-	count           []int     // By layer: observations.
-	slowness        []float64 // At the last plan.
+	count           []int     // By layer: number of observations.
+	slowness        []float64 // When the map was last changed.
 }
 
 func (s *State) observe(input Input) {
@@ -66,7 +66,8 @@
 	copy(s.last[layer], observed)
 }
 
-// setReference makes the forecast the reference for later changes of the layer.
+// setReference makes the layer's current forecast the reference that later
+// forecasts are compared with.
 func (s *State) setReference(layer int) {
 	s.reference[layer] = append(s.reference[layer][:0], s.forecast[layer]...)
 	s.referenceWeight[layer] = s.weight[layer]
@@ -77,7 +78,8 @@
 }
 
 // changedLayers returns the layers whose popularity has changed by more than
-// noise since their last plan; all of them when a rank's slowness has changed.
+// noise since their last plan and those due for their first check. If a rank's
+// slowness has changed, it returns all observed layers.
 func (s *State) changedLayers(input Input) []int {
 	var layers []int
 	all := s.slownessChanged(input.Slowness)
@@ -89,8 +91,8 @@
 	return layers
 }
 
-// exceedsNoise reports whether a plan at the first look saves more than noise
-// explains; later looks have their own test.
+// exceedsNoise reports whether a plan at the first check saves more than noise
+// explains. Plans for other reasons have passed a test already and always count.
 func (s *State) exceedsNoise(p layerPlan, input Input) bool {
 	if s.count[p.layer] != firstCheckObservations || s.slownessChanged(input.Slowness) || s.changed(p.layer) {
 		return true
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -1,9 +1,10 @@
-// Package planner decides where the replicas of a group's experts lie: it
-// follows the observed popularity and moves only what pays.
+// Package planner decides on which ranks the replicas of a group's experts are
+// placed. It follows the observed popularity and moves an expert only if that
+// saves more time than it costs.
 //
 // Layers run one after another and every layer waits for its slowest rank, so
-// the load of a layer is the time of its slowest rank. A replicated expert's
-// tokens are spread evenly over its replicas.
+// the time of a layer is that of its slowest rank. A replicated expert's tokens
+// are spread evenly over its replicas.
 package planner
 
 import (
@@ -20,11 +21,11 @@
 	Layers  int
 }
 
-// Placement gives the expert in every slot, by layer; slot i belongs to rank
+// Placement lists the expert in every slot, by layer; slot i belongs to rank
 // i / Shape.Slots.
 type Placement [][]uint16
 
-// Clone returns a copy.
+// Clone returns a deep copy.
 func (p Placement) Clone() Placement {
 	clone := make(Placement, len(p))
 	for layer := range p {
@@ -33,21 +34,22 @@
 	return clone
 }
 
-// Costs weigh a change of the map against the time that it saves.
+// Costs are the parameters by which a change of the map is weighed against the
+// time that it saves.
 type Costs struct {
 	SecondsPerLoad float64 // Time of one unit of load on the slowest rank.
-	MoveSeconds    float64 // Time that steps lose for one expert loaded.
+	MoveSeconds    float64 // Delay of the steps caused by loading one expert.
 	SwitchSeconds  float64 // Time that a change of the map takes.
-	HorizonSteps   float64 // Steps for which the forecast is taken to hold.
-	MaxMoves       int     // Experts that the weight store can deliver until the next plan.
+	HorizonSteps   float64 // Steps for which the forecast is assumed to hold.
+	MaxMoves       int     // Most experts that the weight store can deliver until the next plan.
 }
 
-// Input is what a plan starts from.
+// Input is the input of one planning round.
 type Input struct {
 	Shape    Shape
 	Costs    Costs
-	Observed [][]float64 // Tokens a step by layer and expert; a nil layer was not observed.
-	Slowness []float64   // Time of a rank for one unit of load; 1 is usual.
+	Observed [][]float64 // Tokens per step by layer and expert; a nil layer was not observed.
+	Slowness []float64   // Time of a rank for one unit of load, relative to a normal rank; nil means 1 for all.
 	Current  Placement
 }
 
@@ -57,42 +59,43 @@
 	Expert      uint16
 }
 
-// Plan is a decision with its reason.
+// Plan is the result of a planning round, with its reason.
 type Plan struct {
-	Placement    Placement // The current one where nothing pays.
-	Moves        []Move    // The most valuable layers first.
+	Placement    Placement // The current placement if no change is worthwhile.
+	Moves        []Move    // Layers with the highest value per move first.
 	Reason       string
 	SkewBefore   float64 // Forecast.
 	SkewAfter    float64 // Forecast.
-	SavedSeconds float64 // Over the horizon, less the cost of the change.
+	SavedSeconds float64 // Seconds saved over the horizon, minus the cost of the change.
 }
 
-// paybackFactor is how often the saved time must cover the cost of a move.
+// paybackFactor is the factor by which the saved time must exceed the cost of the
+// moves.
 const paybackFactor = 1.5
 
-// layerPlan is what pays in one layer.
+// layerPlan is the most valuable change of one layer.
 type layerPlan struct {
 	layer   int
 	changes []change
 	moves   int
-	saved   float64 // Of the slowest rank's time.
-	value   float64 // Seconds over the horizon, less the cost of the moves.
+	saved   float64 // Reduction of the slowest rank's time.
+	value   float64 // Seconds saved over the horizon, minus the weighted cost of the moves.
 }
 
-// value returns what saving this much of the slowest rank's time is worth over
-// the horizon, less the cost of the moves, in seconds.
+// value returns the seconds saved over the horizon if each step saves this much of
+// the slowest rank's time, minus paybackFactor times the cost of the moves.
 func (c Costs) value(saved float64, moves int) float64 {
 	return saved*c.SecondsPerLoad*c.HorizonSteps - paybackFactor*float64(moves)*c.MoveSeconds
 }
 
-// Decide takes in the observation and returns the plan.
+// Decide updates the forecast with the observation and returns the plan.
 func Decide(state *State, input Input) Plan {
 	state.observe(input)
 	plan := Plan{Placement: input.Current, SkewBefore: Skew(input.Shape, input.Current, state.forecast, input.Slowness)}
 	plan.SkewAfter = plan.SkewBefore
 	open := state.changedLayers(input)
 	if len(open) == 0 {
-		plan.Reason = "the popularity differs from the last plan by no more than its noise"
+		plan.Reason = "the popularity has changed by no more than noise since the last plan"
 		return plan
 	}
 	var pays []layerPlan
@@ -133,8 +136,8 @@
 	return best
 }
 
-// selectLayers takes the layers that pay most until the weight store's rate is used
-// up.
+// selectLayers adds the layers in order of value per move, skipping those that
+// would exceed the number of experts that the weight store can deliver.
 func (s *State) selectLayers(plan Plan, input Input, pays []layerPlan, open int) Plan {
 	var value float64
 	next := input.Current.Clone()
@@ -163,9 +166,8 @@
 	return plan
 }
 
-// Skew returns the sum over layers of the slowest rank's time, divided by the
-// sum of the times that a perfect spread would take. Layers without a load are
-// left out.
+// Skew returns the sum over layers of the slowest rank's time, divided by the sum
+// of the times under an even spread. Layers without a load are left out.
 func Skew(shape Shape, placement Placement, load [][]float64, slowness []float64) float64 {
 	var slowestTime, even float64
 	for layer := range placement {
@@ -182,7 +184,7 @@
 	return slowestTime / even
 }
 
-// evenTime is the time of a layer whose ranks all end together.
+// evenTime returns the time of a layer whose ranks all finish at the same time.
 func evenTime(load, slowness []float64) float64 {
 	var total, speed float64
 	for _, tokens := range load {
--- a/policy/planner/planner_test.go
+++ b/policy/planner/planner_test.go
@@ -18,7 +18,7 @@
 	return planner.Shape{Ranks: 8, Slots: 5, Experts: 32, Layers: 4}
 }
 
-// popularity draws a log-normal load for every expert.
+// popularity draws a log-normally distributed load for every expert.
 func popularity(shape planner.Shape, random *rand.Rand) [][]float64 {
 	load := make([][]float64, shape.Layers)
 	for layer := range load {
@@ -60,7 +60,7 @@
 }
 
 func TestDecide(t *testing.T) {
-	Convey("Given a group placed for its popularity", t, func() {
+	Convey("Given a group whose placement fits its popularity", t, func() {
 		shape := smallShape()
 		random := rand.New(rand.NewPCG(1, 2))
 		load := popularity(shape, random)
@@ -68,14 +68,14 @@
 		input := planner.Input{Shape: shape, Costs: costs(), Observed: load, Current: planner.Recompute(shape, load, nil)}
 		So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
 
-		Convey("noise alone moves nothing", func() {
+		Convey("noise alone causes no moves", func() {
 			for range 200 {
 				input.Observed = withNoise(load, 0.1, random)
 				So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
 			}
 		})
 
-		Convey("a lasting change is followed, the moves give the placement, no expert is lost", func() {
+		Convey("a lasting change is followed, the moves produce the placement and every expert keeps a replica", func() {
 			input.Observed = withNoise(load, 0.02, random)
 			So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
 			shifted := withNoise(load, 0.8, random)
@@ -96,7 +96,7 @@
 			So(planner.Skew(shape, input.Current, shifted, nil), ShouldBeLessThan, 1.25)
 		})
 
-		Convey("a straggling rank is relieved", func() {
+		Convey("load is moved away from a slow rank", func() {
 			input.Slowness = []float64{1, 1, 1.5, 1, 1, 1, 1, 1}
 			before := planner.Skew(shape, input.Current, load, input.Slowness)
 			plan := planner.Decide(&state, input)
@@ -104,7 +104,7 @@
 			So(plan.Reason, ShouldNotBeEmpty)
 		})
 
-		Convey("a placement that never fitted is mended", func() {
+		Convey("a placement that never fitted the popularity is improved", func() {
 			var fresh planner.State
 			shifted := withNoise(load, 0.8, random)
 			moves := 0
@@ -117,13 +117,13 @@
 			So(moves, ShouldBeGreaterThan, 0)
 		})
 
-		Convey("a layer that was never observed keeps its place", func() {
+		Convey("a layer that was never observed keeps its placement", func() {
 			var fresh planner.State
 			input.Observed = [][]float64{load[0], nil, load[2], nil}
 			So(planner.Decide(&fresh, input).Placement, ShouldResemble, input.Current)
 		})
 
-		Convey("the weight store's rate bounds the moves", func() {
+		Convey("the number of moves stays within what the weight store can deliver", func() {
 			input.Costs.MaxMoves = 3
 			input.Slowness = []float64{1, 1, 1.5, 1, 1, 1, 1, 1}
 			So(len(planner.Decide(&state, input).Moves), ShouldBeLessThanOrEqualTo, 3)
@@ -132,7 +132,7 @@
 }
 
 func TestRelabelKeepsSkewWithoutMoreMoves(t *testing.T) {
-	Convey("A relabelled placement has the same skew and moves no more", t, func() {
+	Convey("A relabelled placement has the same skew and needs no more moves", t, func() {
 		shape := smallShape()
 		random := rand.New(rand.NewPCG(3, 4))
 		load := popularity(shape, random)
@@ -144,7 +144,8 @@
 	})
 }
 
-// BenchmarkPlanTargetSize plans the target group after a drift in every layer.
+// BenchmarkPlanTargetSize plans a group of the target size after the popularity of
+// every layer has drifted.
 func BenchmarkPlanTargetSize(b *testing.B) {
 	shape := targetShape(5)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/policy/planner/recompute.go
+++ b/policy/planner/recompute.go
@@ -2,9 +2,9 @@
 
 import "sort"
 
-// Recompute returns the placement of a planner that starts afresh: it
-// replicates the experts with the largest share, then packs the largest
-// replicas first onto the least loaded ranks.
+// Recompute returns a placement computed from scratch: it replicates the experts
+// with the highest load per replica, then assigns the replicas, largest first, to
+// the least loaded ranks.
 func Recompute(shape Shape, load [][]float64, slowness []float64) Placement {
 	placement := make(Placement, len(load))
 	for layer := range load {
@@ -29,8 +29,8 @@
 	count   []int
 }
 
-// replicate gives every expert one replica and each further one to the expert
-// with the largest share.
+// replicate gives every expert one replica, then fills the remaining slots one by
+// one with a replica of the expert that has the highest load per replica.
 func replicate(load []float64, slots int) replicaSet {
 	r := replicaSet{count: make([]int, len(load))}
 	for expert := range load {
@@ -65,8 +65,8 @@
 	}
 }
 
-// placeReplica puts the replica on the rank that ends first, preferably one without
-// this expert.
+// placeReplica puts the replica on the rank with the least time so far, preferring
+// ranks without this expert.
 func (p *packing) placeReplica(expert uint16, share float64) {
 	best := -1
 	bestHolds := false
@@ -98,7 +98,7 @@
 	return false
 }
 
-// Refine improves the placement for the load without regard to moves.
+// Refine improves the placement for the load, regardless of the number of moves.
 func Refine(shape Shape, placement Placement, load [][]float64, slowness []float64) Placement {
 	refined := make(Placement, len(placement))
 	for layer := range placement {
@@ -174,7 +174,8 @@
 	return common
 }
 
-// alignSlots writes next into result so that experts that stay keep their slots.
+// alignSlots writes next into result such that experts that stay on the rank keep
+// their slots.
 func alignSlots(result, current, next []uint16) {
 	rest := append([]uint16(nil), next...)
 	kept := make([]bool, len(current))
@@ -194,8 +195,8 @@
 	}
 }
 
-// CountMoves returns how many experts have to be loaded by ranks that don't
-// hold them yet.
+// CountMoves returns how many experts have to be loaded onto ranks that don't hold
+// them.
 func CountMoves(shape Shape, current, next Placement) int {
 	moves := 0
 	for layer := range next {
--- a/policy/planner/fresh.go
+++ b/policy/planner/scratch.go
@@ -1,11 +1,12 @@
 package planner
 
-// stuckSkewThreshold is the skew of a layer above which the search is taken to be stuck
-// and a placement made afresh is weighed too.
+// stuckSkewThreshold is the skew of a planned layer above which the search is
+// considered stuck in a local optimum, so that a placement computed from scratch
+// is considered too.
 const stuckSkewThreshold = 1.1
 
-// searchStuck reports whether the plan leaves the layer's slowest rank far behind an
-// even spread.
+// searchStuck reports whether the planned layer's slowest rank still takes far
+// longer than with an even spread.
 func (s *State) searchStuck(p layerPlan, input Input) bool {
 	slowness := input.Slowness
 	if slowness == nil {
@@ -15,8 +16,9 @@
 	return start-p.saved > stuckSkewThreshold*evenTime(s.forecast[p.layer], slowness)
 }
 
-// planFromScratch plans the layer from a recomputed placement, with replicas
-// relabelled so that few experts move.
+// planFromScratch plans the layer by computing a new placement and relabelling its
+// ranks and slots so that few experts move. Ranks are not relabelled if they
+// differ in speed.
 func planFromScratch(state *State, input Input, layer int) layerPlan {
 	current, load := input.Current[layer], state.forecast[layer]
 	next := recomputeLayer(input.Shape, load, input.Slowness)
--- a/policy/planner/fresh_test.go
+++ b/policy/planner/scratch_test.go
@@ -6,7 +6,8 @@
 	"persimmonwind.dev/policy/planner"
 )
 
-// loadWithHotExperts is a load of which three experts in a row carry the most.
+// loadWithHotExperts returns a load in which three consecutive experts carry the
+// most.
 func loadWithHotExperts(shape planner.Shape, first int) [][]float64 {
 	load := make([][]float64, shape.Layers)
 	for layer := range load {
@@ -21,7 +22,7 @@
 	return load
 }
 
-// planUntilStable lets a new planner observe the load until it has had time to plan.
+// planUntilStable lets a new planner observe the load for enough rounds to plan.
 func planUntilStable(shape planner.Shape, current planner.Placement, load [][]float64) planner.Placement {
 	var state planner.State
 	for range 20 {
@@ -30,8 +31,9 @@
 	return current
 }
 
-// TestNewPlannerImprovesPredecessorsMap lets planners without memory, as after a
-// coordinator's restart, take over each other's maps.
+// TestNewPlannerImprovesPredecessorsMap guards against a planner without state, as
+// after a coordinator's restart, that keeps a map which its predecessor made for
+// another load.
 func TestNewPlannerImprovesPredecessorsMap(t *testing.T) {
 	shape := planner.Shape{Ranks: 4, Slots: 5, Experts: 16, Layers: 1}
 	for first := range shape.Experts - 2 {
@@ -42,10 +44,10 @@
 			have := planner.Skew(shape, placement, load, nil)
 			want := planner.Skew(shape, planner.Recompute(shape, load, nil), load, nil)
 			if have > max(1.1, want+0.01) {
-				t.Errorf("hot from %d to %d: skew %.3f, afresh %.3f", first, next, have, want)
+				t.Errorf("hot experts move from %d to %d: skew %.3f, recomputed from scratch %.3f", first, next, have, want)
 			}
 			if !placesEveryExpert(shape, placement) {
-				t.Errorf("hot from %d to %d: an expert is missing", first, next)
+				t.Errorf("hot experts move from %d to %d: an expert has no replica", first, next)
 			}
 		}
 	}
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -6,7 +6,7 @@
 	expert uint16
 }
 
-// search improves one layer's placement step by step.
+// search is a greedy local search for a better placement of one layer.
 type search struct {
 	slotsPerRank  int
 	load          []float64
@@ -14,7 +14,7 @@
 	slotExperts   []uint16
 	replicas      []int     // By expert.
 	share         []float64 // By expert: load of each replica.
-	slotsByExpert [][]int   // By expert: its slots.
+	slotsByExpert [][]int   // By expert: slots that hold it.
 	rankTime      []float64 // By rank.
 	changes       []change
 }
@@ -62,17 +62,18 @@
 
 func (s *search) slowestTime() float64 { return s.rankTime[s.slowestRank()] }
 
-// candidate is a step of the search with its outcome for the ranks concerned.
+// candidate is a possible step of the search with its gain.
 type candidate struct {
 	changes [2]change
 	moves   int
-	gain    float64 // Time that the hottest of the ranks concerned loses, per move.
+	gain    float64 // Reduction of the slowest affected rank's time, per move.
 }
 
-// minGain is the part of the slowest rank's time that a step must save.
+// minGain is the share of the slowest rank's time that a step must save per move.
 const minGain = 1e-3
 
-// improve takes the best step that makes the slowest rank faster.
+// improve applies the step that gains most for the slowest rank and returns its
+// changes; it reports false if no step gains enough.
 func (s *search) improve() ([]change, bool) {
 	hot := s.slowestRank()
 	best := candidate{gain: minGain * s.rankTime[hot]}
@@ -96,7 +97,8 @@
 	return taken, true
 }
 
-// trySwap exchanges the experts of two slots.
+// trySwap makes the swap of the experts in two slots the best candidate if it
+// gains more.
 func (s *search) trySwap(best *candidate, slot, other int) {
 	a, b := s.slotExperts[slot], s.slotExperts[other]
 	less := s.share[a] - s.share[b]
@@ -112,8 +114,8 @@
 	*best = candidate{changes: [2]change{{slot, b}, {other, a}}, moves: 2, gain: gain}
 }
 
-// tryReplica puts one more replica of the expert in place of another expert's
-// spare replica.
+// tryReplica makes another replica of the expert, in place of another expert's
+// spare replica, the best candidate if it gains more.
 func (s *search) tryReplica(best *candidate, expert uint16, hot, other int) {
 	spare := s.slotExperts[other]
 	if s.replicas[spare] < 2 || spare == expert {
@@ -150,7 +152,7 @@
 	return false
 }
 
-// applyChange carries out a change and renews the times of the ranks concerned.
+// applyChange applies a change and updates the times of the affected ranks.
 func (s *search) applyChange(c change) {
 	before := s.slotExperts[c.slot]
 	s.addLoad(before, -1)
@@ -164,7 +166,7 @@
 	s.addLoad(c.expert, 1)
 }
 
-// addLoad adds the expert's load, times sign, to the ranks that hold it.
+// addLoad adds the expert's load, multiplied by sign, to the ranks that hold it.
 func (s *search) addLoad(expert uint16, sign float64) {
 	s.share[expert] = s.load[expert] / float64(max(1, s.replicas[expert]))
 	for _, slot := range s.slotsByExpert[expert] {
