--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -273,7 +273,8 @@
 	s.startRound()
 }
 
-// startProposedChange starts the proposed change.
+// startProposedChange starts a proposed change once the coordinator is steady and
+// knows the record; after a write of unknown outcome it reads the record first.
 func (s *transition) startProposedChange() {
 	if s.Phase != Steady || !s.ChangeProposed {
 		return
--- a/policy/expertmap/random_test.go
+++ b/policy/expertmap/random_test.go
@@ -35,10 +35,10 @@
 // machine is the rapid state machine that applies random actions to a world.
 type machine struct {
 	*world
-	group int
+	size int
 }
 
-func (m *machine) rank(t *rapid.T) int { return rapid.IntRange(0, m.group-1).Draw(t, "rank") }
+func (m *machine) rank(t *rapid.T) int { return rapid.IntRange(0, m.size-1).Draw(t, "rank") }
 
 func (m *machine) Deliver(t *rapid.T) {
 	for range 8 {
@@ -177,7 +177,7 @@
 
 // runOn runs at least the number of steps on every rank.
 func (m *machine) runOn(steps int) error {
-	for range steps * m.group * 2 {
+	for range steps * m.size * 2 {
 		for rank := range m.engines {
 			if m.canRun(rank) {
 				m.runStep(rank)
@@ -187,7 +187,7 @@
 	if m.violation != "" {
 		return fmt.Errorf("after healing: %s", m.violation)
 	}
-	first, last := m.engines[0].State, m.engines[m.group-1].State
+	first, last := m.engines[0].State, m.engines[m.size-1].State
 	if first.InForce.IsNone() || first.InForce != last.InForce || !first.Hold.IsNone() {
 		return fmt.Errorf("first and last rank end in states %+v and %+v", first, last)
 	}
@@ -202,8 +202,8 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				group := rapid.IntRange(2, 4).Draw(t, "ranks")
-				m := &machine{world: newWorld(group, enforceFencing), group: group}
+				size := rapid.IntRange(2, 4).Draw(t, "ranks")
+				m := &machine{world: newWorld(size, enforceFencing), size: size}
 				if rapid.Bool().Draw(t, "founded") {
 					m.installFirstMap()
 				}
@@ -219,7 +219,7 @@
 
 func TestChangeWithoutFaults(t *testing.T) {
 	Convey("A group that starts without a map gets its first map and then changes it", t, func() {
-		m := &machine{world: newWorld(3, true), group: 3}
+		m := &machine{world: newWorld(3, true), size: 3}
 		So(m.heal(), ShouldBeNil)
 		first := m.engines[0].State.InForce
 		m.coordinate(0, expertmap.Propose{})
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -112,8 +112,8 @@
 	best, bestCost := Plan{}, math.Inf(1)
 	for copies := budget; copies >= 1; copies /= 2 {
 		plan := Decide(shape, current, load, copies)
-		until := switchTime + time.Duration(plan.MaxCopiesPerRank)*copyTime
-		cost := plan.SkewBefore*until.Seconds() + plan.SkewAfter*max(0, recoveryWindow-until).Seconds()
+		switchDelay := switchTime + time.Duration(plan.MaxCopiesPerRank)*copyTime
+		cost := plan.SkewBefore*switchDelay.Seconds() + plan.SkewAfter*max(0, recoveryWindow-switchDelay).Seconds()
 		if cost < bestCost {
 			best, bestCost = plan, cost
 		}
@@ -328,13 +328,13 @@
 	if candidate.from >= 0 {
 		after--
 	}
-	taken, left := 0.0, 0.0
+	addedShare, droppedShare := 0.0, 0.0
 	var victims []int
 	if candidate.victim >= 0 {
 		victims = s.holders[candidate.victim]
 		n := float64(len(victims))
-		left = s.load[candidate.victim] / n
-		taken = s.load[candidate.victim]/(n-1) - left
+		droppedShare = s.load[candidate.victim] / n
+		addedShare = s.load[candidate.victim]/(n-1) - droppedShare
 	}
 	gain := 0.0
 	change := func(rank int, delta float64) {
@@ -346,16 +346,16 @@
 			delta = -load / before
 		}
 		if candidate.victim >= 0 && s.holds(holder, candidate.victim) {
-			delta += taken
+			delta += addedShare
 		}
 		change(holder, delta)
 	}
 	for _, holder := range victims {
 		if holder != candidate.rank && !s.holds(holder, candidate.expert) {
-			change(holder, taken)
+			change(holder, addedShare)
 		}
 	}
-	change(candidate.rank, load/after-left)
+	change(candidate.rank, load/after-droppedShare)
 	return gain
 }
 
--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -93,16 +93,16 @@
 		for seed := range uint64(20) {
 			load := randomTopicLoad(rand.New(rand.NewPCG(seed, 3)), referenceShape, referenceSets)
 			placement := roundRobinMap(referenceShape, referenceSets)
-			whole := Decide(referenceShape, placement, load, 3)
-			soonest := DecideLeastAverageSkew(referenceShape, placement, load, 3, copyTime)
-			if soonest.MaxCopiesPerRank < whole.MaxCopiesPerRank {
+			full := Decide(referenceShape, placement, load, 3)
+			best := DecideLeastAverageSkew(referenceShape, placement, load, 3, copyTime)
+			if best.MaxCopiesPerRank < full.MaxCopiesPerRank {
 				fewer++
 			}
 			cost := func(p Plan) float64 {
-				until := (switchTime + time.Duration(p.MaxCopiesPerRank)*copyTime).Seconds()
-				return p.SkewBefore*until + p.SkewAfter*(recoveryWindow.Seconds()-until)
+				switchDelay := (switchTime + time.Duration(p.MaxCopiesPerRank)*copyTime).Seconds()
+				return p.SkewBefore*switchDelay + p.SkewAfter*(recoveryWindow.Seconds()-switchDelay)
 			}
-			So(cost(soonest), ShouldBeLessThanOrEqualTo, cost(whole))
+			So(cost(best), ShouldBeLessThanOrEqualTo, cost(full))
 		}
 		So(fewer, ShouldBeGreaterThan, 0)
 	})
--- a/policy/planner/forecast.go
+++ b/policy/planner/forecast.go
@@ -21,7 +21,7 @@
 	last            [][]float64 // Last observation.
 	weight          []float64   // By layer: variance of the forecast as a fraction of the noise.
 	noise           []float64   // By layer: variance of one observation, relative to the squared load.
-	reference       [][]float64 // Forecast when the layer was last changed.
+	reference       [][]float64 // Forecast at the first observation or the last plan of the layer.
 	referenceWeight []float64
 	count           []int     // By layer: number of observations.
 	slowness        []float64 // When the map was last changed.
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -93,13 +93,13 @@
 	state.observe(input)
 	plan := Plan{Placement: input.Current, SkewBefore: Skew(input.Shape, input.Current, state.forecast, input.Slowness)}
 	plan.SkewAfter = plan.SkewBefore
-	open := state.changedLayers(input)
-	if len(open) == 0 {
+	changed := state.changedLayers(input)
+	if len(changed) == 0 {
 		plan.Reason = "the popularity has changed by no more than noise since the last plan"
 		return plan
 	}
-	var pays []layerPlan
-	for _, layer := range open {
+	var worthwhile []layerPlan
+	for _, layer := range changed {
 		p := planLayer(state, input, layer)
 		if state.searchStuck(p, input) {
 			if fresh := planFromScratch(state, input, layer); fresh.value > p.value {
@@ -107,13 +107,13 @@
 			}
 		}
 		if p.value > 0 && state.exceedsNoise(p, input) {
-			pays = append(pays, p)
+			worthwhile = append(worthwhile, p)
 		}
 	}
-	sort.SliceStable(pays, func(i, j int) bool {
-		return pays[i].value*float64(pays[j].moves) > pays[j].value*float64(pays[i].moves)
+	sort.SliceStable(worthwhile, func(i, j int) bool {
+		return worthwhile[i].value*float64(worthwhile[j].moves) > worthwhile[j].value*float64(worthwhile[i].moves)
 	})
-	return state.selectLayers(plan, input, pays, len(open))
+	return state.selectLayers(plan, input, worthwhile, len(changed))
 }
 
 func planLayer(state *State, input Input, layer int) layerPlan {
@@ -138,10 +138,10 @@
 
 // selectLayers adds the layers in order of value per move, skipping those that
 // would exceed the number of experts that the weight store can deliver.
-func (s *State) selectLayers(plan Plan, input Input, pays []layerPlan, open int) Plan {
+func (s *State) selectLayers(plan Plan, input Input, worthwhile []layerPlan, changed int) Plan {
 	var value float64
 	next := input.Current.Clone()
-	for _, p := range pays {
+	for _, p := range worthwhile {
 		if len(plan.Moves)+p.moves > input.Costs.MaxMoves {
 			continue
 		}
@@ -154,7 +154,7 @@
 	}
 	if value <= input.Costs.SwitchSeconds {
 		plan.Moves = nil
-		plan.Reason = fmt.Sprintf("%d layers changed, but no move saves more time than it costs", open)
+		plan.Reason = fmt.Sprintf("%d layers changed, but no move saves more time than it costs", changed)
 		return plan
 	}
 	s.setSlowness(input.Slowness)
@@ -162,7 +162,7 @@
 	plan.SkewAfter = Skew(input.Shape, next, s.forecast, input.Slowness)
 	plan.SavedSeconds = value - input.Costs.SwitchSeconds
 	plan.Reason = fmt.Sprintf("%d moves in %d of %d changed layers lower the skew from %.3f to %.3f and save %.1f s over %.0f steps",
-		len(plan.Moves), len(pays), open, plan.SkewBefore, plan.SkewAfter, plan.SavedSeconds, input.Costs.HorizonSteps)
+		len(plan.Moves), len(worthwhile), changed, plan.SkewBefore, plan.SkewAfter, plan.SavedSeconds, input.Costs.HorizonSteps)
 	return plan
 }
 
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -101,12 +101,12 @@
 // gains more.
 func (s *search) trySwap(best *candidate, slot, other int) {
 	a, b := s.slotExperts[slot], s.slotExperts[other]
-	less := s.share[a] - s.share[b]
-	if less <= 0 {
+	shifted := s.share[a] - s.share[b]
+	if shifted <= 0 {
 		return
 	}
 	hot, cold := slot/s.slotsPerRank, other/s.slotsPerRank
-	worst := max(s.rankTime[hot]-less*s.slowness[hot], s.rankTime[cold]+less*s.slowness[cold])
+	worst := max(s.rankTime[hot]-shifted*s.slowness[hot], s.rankTime[cold]+shifted*s.slowness[cold])
 	gain := (s.rankTime[hot] - worst) / 2
 	if gain <= best.gain || s.holds(cold, a) || s.holds(hot, b) {
 		return
@@ -123,18 +123,18 @@
 	}
 	share := s.load[expert] / float64(s.replicas[expert]+1)
 	cold := other / s.slotsPerRank
-	less := (s.share[expert] - share) * s.slowness[hot]
-	worst := max(s.rankTime[hot]-less, s.rankTime[cold]+(share-s.share[spare])*s.slowness[cold])
+	saved := (s.share[expert] - share) * s.slowness[hot]
+	worst := max(s.rankTime[hot]-saved, s.rankTime[cold]+(share-s.share[spare])*s.slowness[cold])
 	if s.rankTime[hot]-worst <= best.gain || s.holds(cold, expert) {
 		return
 	}
-	more := s.load[spare]/float64(s.replicas[spare]-1) - s.share[spare]
+	added := s.load[spare]/float64(s.replicas[spare]-1) - s.share[spare]
 	for _, slot := range s.slotsByExpert[spare] {
 		rank := slot / s.slotsPerRank
 		if rank == hot {
-			worst = max(worst, s.rankTime[hot]-less+more*s.slowness[rank])
+			worst = max(worst, s.rankTime[hot]-saved+added*s.slowness[rank])
 		} else if rank != cold {
-			worst = max(worst, s.rankTime[rank]+more*s.slowness[rank])
+			worst = max(worst, s.rankTime[rank]+added*s.slowness[rank])
 		}
 	}
 	gain := s.rankTime[hot] - worst
