--- a/policy/expertmap/enumerate_test.go
+++ b/policy/expertmap/enumerate_test.go
@@ -100,7 +100,7 @@
 	for index, write := range p.writes {
 		name := fmt.Sprintf("apply write of %d %v", write.Node, write.Write.Record)
 		e.visit(p, name, func(n *position) { n.applyWrite(index) })
-		if p.remaining.Unknown > 0 && !write.ResultReported {
+		if p.remaining.Unknown > 0 && !write.ResultLost {
 			e.visit(p, "lose result of: "+name, func(n *position) { n.remaining.Unknown--; n.loseWriteResult(index) })
 		}
 	}
--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -96,7 +96,7 @@
 	for _, write := range p.writes {
 		e.numbers(uint64(write.Node), write.Write.Record.Fence, write.Write.IfVersion)
 		e.change(write.Write.Record.Change)
-		e.flags(write.ResultReported)
+		e.flags(write.ResultLost)
 	}
 	for step := range p.remaining.Steps {
 		e.change(p.mapUsed[stepKey{Generation: p.generation, Step: step}])
--- a/policy/expertmap/random_test.go
+++ b/policy/expertmap/random_test.go
@@ -76,7 +76,7 @@
 		return
 	}
 	index := rapid.IntRange(0, len(m.writes)-1).Draw(t, "write")
-	if !m.writes[index].ResultReported {
+	if !m.writes[index].ResultLost {
 		m.loseWriteResult(index)
 	}
 }
--- a/policy/expertmap/world_test.go
+++ b/policy/expertmap/world_test.go
@@ -24,9 +24,9 @@
 
 // tableWrite is a write of the record in flight to the table service.
 type tableWrite struct {
-	Node           int
-	Write          expertmap.WriteRecord
-	ResultReported bool // The coordinator was told that the outcome is unknown.
+	Node       int
+	Write      expertmap.WriteRecord
+	ResultLost bool // The coordinator was told that the outcome is unknown, or has restarted.
 }
 
 type engine struct {
@@ -203,7 +203,7 @@
 		w.record = write.Write.Record
 		answer = expertmap.RecordWritten{Record: w.record, Version: w.recordVersion}
 	}
-	if !write.ResultReported {
+	if !write.ResultLost {
 		w.coordinate(write.Node, answer)
 	}
 }
@@ -211,7 +211,7 @@
 // loseWriteResult tells the coordinator that a write's outcome is unknown; the
 // write may still be applied.
 func (w *world) loseWriteResult(index int) {
-	w.writes[index].ResultReported = true
+	w.writes[index].ResultLost = true
 	w.coordinate(w.writes[index].Node, expertmap.RecordWriteUnknown{})
 }
 
@@ -226,7 +226,7 @@
 	w.ranks[rank] = expertmap.Rank{}
 	w.coords[rank] = expertmap.Coordinator{MarginSteps: 1}
 	for index := range w.writes {
-		w.writes[index].ResultReported = w.writes[index].ResultReported || w.writes[index].Node == rank
+		w.writes[index].ResultLost = w.writes[index].ResultLost || w.writes[index].Node == rank
 	}
 }
 
--- a/policy/hotexperts/demand.go
+++ b/policy/hotexperts/demand.go
@@ -52,13 +52,13 @@
 	}
 	seconds := elapsed.Seconds() / float64(max(1, ranks))
 	decay := math.Exp(-seconds / forecastTimeConstant.Seconds())
-	latestDecay := math.Exp(-seconds / recentTimeConstant.Seconds())
+	recentDecay := math.Exp(-seconds / recentTimeConstant.Seconds())
 	d.total *= decay
 	for set := range d.forecast {
 		for expert := range d.forecast[set] {
 			chosen := float64(gains[set*d.experts+expert])
 			d.forecast[set][expert] = d.forecast[set][expert]*decay + chosen
-			d.recent[set][expert] = d.recent[set][expert]*latestDecay + chosen
+			d.recent[set][expert] = d.recent[set][expert]*recentDecay + chosen
 			d.total += chosen
 		}
 	}
