--- a/policy/hotexperts/bench_test.go
+++ b/policy/hotexperts/bench_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// BenchmarkDecide plans after a jump of demand at the users' sizes of today
-// and after growth.
+// BenchmarkDecide plans after a jump in demand, at the users' present group size
+// and at a larger one that allows for growth.
 func BenchmarkDecide(b *testing.B) {
 	sizes := map[string]struct {
 		shape  Shape
 		sets   int
 		budget int
 	}{
-		"12-ranks": {usersShape, usersSets, 2},
+		"12-ranks": {referenceShape, referenceSets, 2},
 		"63-ranks": {Shape{Ranks: 63, Places: 5, Experts: 252, NewPerSet: 2}, 8, 12},
 	}
 	for name, size := range sizes {
 		b.Run(name, func(b *testing.B) {
-			load := topics(rand.New(rand.NewPCG(1, 1)), size.shape, size.sets)
-			placement := inTurn(size.shape, size.sets)
+			load := randomTopicLoad(rand.New(rand.NewPCG(1, 1)), size.shape, size.sets)
+			placement := roundRobinMap(size.shape, size.sets)
 			for b.Loop() {
 				Decide(size.shape, placement, load, size.budget)
 			}
@@ -27,11 +27,11 @@
 	}
 }
 
-// BenchmarkDecideSettled considers a change where demand has not jumped.
+// BenchmarkDecideSettled plans for a map that already fits the demand.
 func BenchmarkDecideSettled(b *testing.B) {
 	shape := Shape{Ranks: 63, Places: 5, Experts: 252, NewPerSet: 2}
-	load := topics(rand.New(rand.NewPCG(1, 1)), shape, 8)
-	placement := inTurn(shape, 8)
+	load := randomTopicLoad(rand.New(rand.NewPCG(1, 1)), shape, 8)
+	placement := roundRobinMap(shape, 8)
 	for range 12 {
 		placement = Decide(shape, placement, load, 3).Map
 	}
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -1,11 +1,11 @@
 // Package hotexperts plans the expert map of a group whose demand jumps every
-// few seconds: hot experts get more replicas, a few at a time, so that each
+// few seconds. It adds replicas of hot experts, a few at a time, so that each
 // small change is in force before demand jumps again.
 //
 // All ranks advance in lock-step and every set of layers waits for its slowest
 // rank, so the cost of a map is the time of the slowest rank, summed over sets.
-// A replicated expert's load is spread evenly over its replicas; a slow rank is
-// relieved of its experts.
+// A replicated expert's load is spread evenly over its replicas. Experts are
+// moved away from slow ranks.
 package hotexperts
 
 import (
@@ -14,27 +14,29 @@
 )
 
 const (
-	// unevenness is the power of a rank's load in the cost that the search
-	// lowers. A high power approaches the most loaded rank alone but still
-	// prefers to lower the second most loaded one where several are level.
-	unevenness = 8
-	// minGain is the share of a set's cost that a copy must save. A copy slows
-	// the passes of the whole group while it lasts, and it is priced.
-	minGain = 0.01
+	// loadExponent is the power of a rank's load in the cost that the search
+	// minimizes. A high power approximates the maximum over ranks, but where
+	// several ranks share the maximum it still rewards lowering one of them.
+	loadExponent = 8
+	// minRelativeGain is the share of the most loaded rank's time in a set that a copy
+	// must save. A copy slows the passes of the whole group while it lasts, and it
+	// has a price.
+	minRelativeGain = 0.01
 )
 
 // Shape is the size of a group.
 type Shape struct {
 	Ranks     int
-	Places    int // Experts that a rank holds in each set at most.
+	Places    int // Most experts that a rank can hold in each set.
 	Experts   int // In each set.
-	NewPerSet int // Experts that one change may bring to a rank in each set.
+	NewPerSet int // Most experts that one change may add to a rank in each set.
 
-	// Slowness is the time of a rank for one unit of load; nil or 1 is usual.
+	// Slowness is the time that each rank takes for one unit of load, relative to a
+	// normal rank; nil means 1 for all.
 	Slowness []float64
 }
 
-// slowness returns the rank's.
+// slowness returns the rank's slowness, at least 1.
 func (s Shape) slowness(rank int) float64 {
 	if rank >= len(s.Slowness) {
 		return 1
@@ -42,74 +44,76 @@
 	return max(1, s.Slowness[rank])
 }
 
-// Map places experts: by set and rank.
+// Map lists the experts that each rank holds, by set and rank.
 type Map = [][][]int
 
-// Plan is a map with what it is expected to bring.
+// Plan is a map with its copies and the skew forecast before and after.
 type Plan struct {
 	Map              Map
 	Copies           int // Experts copied, over all ranks.
-	MaxCopiesPerRank int // By one rank.
+	MaxCopiesPerRank int // Most experts copied by one rank.
 	SkewBefore       float64
 	SkewAfter        float64
 }
 
-// Costs weigh a change against what it saves.
+// Costs are the parameters by which a change is weighed against its savings.
 type Costs struct {
-	CopyTime        time.Duration // A rank's for one expert.
-	ExpertTimeShare float64       // Share of a pass that is spent on experts.
-	Occupancy       float64       // Share of the group's places that are taken.
+	CopyTime        time.Duration // Time that a rank takes to copy one expert.
+	ExpertTimeShare float64       // Share of a pass's time that is spent on experts.
+	Occupancy       float64       // Share of the group's places for requests that are in use.
 }
 
 const (
 	// copySlowdown is the share by which the group's passes take longer while a
-	// rank copies, as the platform's engines say.
+	// rank copies, according to the platform's engines.
 	copySlowdown = 0.15
-	// lightLoad is the share of places below which passes are far shorter than
-	// the pauses that users allow, so only a large skew matters to them.
-	lightLoad = 0.5
-	// lightGain is the share of the skew that a change must save under light load.
-	lightGain = 0.15
-	// changeCost is what a change costs besides its copies: demand that jumps while
-	// a change is under way is answered a few hundred ms later, and the group may
-	// rest.
-	changeCost = 15 * time.Millisecond
-	// horizon is how long a map is taken to fit: demand jumps every 3 to 4 s, and
-	// the requests under way change within 2 s.
-	horizon = 2 * time.Second
+	// lightLoadOccupancy is the share of places in use below which passes are far
+	// shorter than the pauses that users accept, so only a large skew matters.
+	lightLoadOccupancy = 0.5
+	// lightLoadMinGain is the share of the skew that a change must remove under light
+	// load.
+	lightLoadMinGain = 0.15
+	// changeOverhead is the cost of a change besides its copies: the response to a
+	// jump in demand during a change is delayed by a few hundred ms, and the group
+	// may pause.
+	changeOverhead = 15 * time.Millisecond
+	// planningHorizon is how long a map is assumed to fit: demand jumps every 3 to
+	// 4 s, and the requests in flight change within 2 s.
+	planningHorizon = 2 * time.Second
 )
 
-// IsWorthwhile reports whether the time that the plan saves within the horizon exceeds
-// what its copies cost the group.
+// IsWorthwhile reports whether the time that the plan saves within the planning
+// horizon exceeds the time that its copies cost the group.
 func (p Plan) IsWorthwhile(costs Costs) bool {
 	if p.Copies == 0 || p.SkewBefore <= 0 {
 		return false
 	}
 	gain := (p.SkewBefore - p.SkewAfter) / p.SkewBefore
-	if costs.Occupancy < lightLoad && gain < lightGain {
+	if costs.Occupancy < lightLoadOccupancy && gain < lightLoadMinGain {
 		return false
 	}
-	saved := gain * costs.ExpertTimeShare * horizon.Seconds()
-	return saved > changeCost.Seconds()+copySlowdown*float64(p.MaxCopiesPerRank)*costs.CopyTime.Seconds()
+	saved := gain * costs.ExpertTimeShare * planningHorizon.Seconds()
+	return saved > changeOverhead.Seconds()+copySlowdown*float64(p.MaxCopiesPerRank)*costs.CopyTime.Seconds()
 }
 
 const (
-	// switchTime is what a change takes besides its copies: about two passes.
+	// switchTime is the duration of a change besides its copies: about two passes.
 	switchTime = 100 * time.Millisecond
-	// recovery is the time after a jump over which plans are compared: the group
-	// makes two or three changes in it.
-	recovery = 600 * time.Millisecond
+	// recoveryWindow is the time after a jump in demand over which plans are compared:
+	// the group makes two or three changes in it.
+	recoveryWindow = 600 * time.Millisecond
 )
 
-// DecideLeastAverageSkew returns, among the plans of up to budget copies a rank, the one
-// with the least skew on average over the time after a jump: fewer copies are in
-// force sooner, and another change follows.
+// DecideLeastAverageSkew returns the plan with the lowest average skew over the
+// recovery window, among plans with up to budget copies per rank (halved from
+// plan to plan). A plan with fewer copies is in force sooner, and another change
+// can follow it.
 func DecideLeastAverageSkew(shape Shape, current Map, load [][]float64, budget int, copyTime time.Duration) Plan {
 	best, bestCost := Plan{}, math.Inf(1)
 	for copies := budget; copies >= 1; copies /= 2 {
 		plan := Decide(shape, current, load, copies)
-		until := switchTime + time.Duration(plan.MaxCopiesPerRank)*copyTime
-		cost := plan.SkewBefore*until.Seconds() + plan.SkewAfter*max(0, recovery-until).Seconds()
+		switchDelay := switchTime + time.Duration(plan.MaxCopiesPerRank)*copyTime
+		cost := plan.SkewBefore*switchDelay.Seconds() + plan.SkewAfter*max(0, recoveryWindow-switchDelay).Seconds()
 		if cost < bestCost {
 			best, bestCost = plan, cost
 		}
@@ -117,8 +121,9 @@
 	return best
 }
 
-// Decide improves the current map for the load by set and expert. No rank
-// copies more than budget experts. The current map is not changed.
+// Decide plans a better map than the current one for the load, given by set and
+// expert. No rank copies more than budget experts. The current map is not
+// changed.
 func Decide(shape Shape, current Map, load [][]float64, budget int) Plan {
 	plan := Plan{SkewBefore: Skew(shape, current, load)}
 	sets := make([]*search, len(current))
@@ -131,9 +136,9 @@
 		if chosen == nil {
 			break
 		}
-		copies[chosen.next.rank]++
+		copies[chosen.bestStep.rank]++
 		plan.Copies++
-		chosen.apply(chosen.next)
+		chosen.apply(chosen.bestStep)
 	}
 	for _, s := range sets {
 		plan.Map = append(plan.Map, s.held)
@@ -143,26 +148,26 @@
 	}
 	plan.SkewAfter = Skew(shape, plan.Map, load)
 	if plan.SkewAfter > plan.SkewBefore {
-		// The search's cost weighs the second most loaded rank too.
+		// The search's cost depends on all ranks, so lowering it can raise the maximum.
 		return Plan{Map: current, SkewBefore: plan.SkewBefore, SkewAfter: plan.SkewBefore}
 	}
 	return plan
 }
 
-// pickSet returns the set whose next step gains most, nil where none is left.
+// pickSet returns the set whose best step gains most, or nil if no step is left.
 func pickSet(sets []*search, copies []int, budget int) *search {
 	var chosen *search
 	for _, s := range sets {
-		s.findNext(copies, budget)
-		if s.found && (chosen == nil || s.next.gain > chosen.next.gain) {
+		s.refreshBestStep(copies, budget)
+		if s.bestStepPays && (chosen == nil || s.bestStep.gain > chosen.bestStep.gain) {
 			chosen = s
 		}
 	}
 	return chosen
 }
 
-// Skew returns the time of the most loaded rank, summed over sets, divided by
-// the time of an even load at usual ranks.
+// Skew returns the time of the slowest rank, summed over sets, divided by the time
+// that an even load would take on ranks of normal speed.
 func Skew(shape Shape, placement Map, load [][]float64) float64 {
 	var most, mean float64
 	for set := range placement {
@@ -180,25 +185,25 @@
 	return most / mean
 }
 
-// search improves the placement of one set.
+// search is a greedy search for a better placement of one set.
 type search struct {
-	shape   Shape
-	load    []float64
-	held    [][]int // Experts by rank.
-	holders [][]int // Ranks by expert.
-	fresh   []int   // Copies of this change by rank.
-	loads   []float64
-	mean    float64
-	cost    float64
-	next    step // The best step of the placement as it is.
-	found   bool // next is worth its copy.
-	current bool // next belongs to the placement as it is.
+	shape         Shape
+	load          []float64
+	held          [][]int // Experts by rank.
+	holders       [][]int // Ranks by expert.
+	newByRank     []int   // Experts added by this change, by rank.
+	loads         []float64
+	mean          float64
+	cost          float64
+	bestStep      placementStep // Best step from the current placement.
+	bestStepPays  bool          // bestStep gains enough to justify its copy.
+	bestStepValid bool          // bestStep was computed for the current placement.
 }
 
-// step copies an expert to a rank, in place of the victim or, where that is
-// negative, to an empty place. Where it moves the expert, the rank from is
-// relieved of it; otherwise from is negative.
-type step struct {
+// placementStep copies an expert to a rank. The copy replaces a replica of the
+// victim or, if victim is negative, takes an empty place. If the step moves the
+// expert, the rank from drops its replica; otherwise from is negative.
+type placementStep struct {
 	expert, rank, victim, from int
 	gain                       float64
 }
@@ -207,7 +212,7 @@
 	s := &search{
 		shape: shape, load: load,
 		held: make([][]int, shape.Ranks), holders: make([][]int, shape.Experts),
-		fresh: make([]int, shape.Ranks), loads: make([]float64, shape.Ranks),
+		newByRank: make([]int, shape.Ranks), loads: make([]float64, shape.Ranks),
 	}
 	for rank, experts := range placement {
 		s.held[rank] = append([]int(nil), experts...)
@@ -223,12 +228,13 @@
 	for _, l := range s.loads {
 		s.mean += l / float64(shape.Ranks)
 	}
-	s.cost = s.costOf()
+	s.cost = s.totalCost()
 	return s
 }
 
-// term is a rank's part of the cost.
-func (s *search) term(rank int, load float64) float64 {
+// rankCost returns a rank's contribution to the cost: its time relative to the
+// mean load, to the power of loadExponent.
+func (s *search) rankCost(rank int, load float64) float64 {
 	if s.mean == 0 {
 		return 0
 	}
@@ -238,99 +244,101 @@
 	return x * x
 }
 
-func (s *search) costOf() float64 {
+func (s *search) totalCost() float64 {
 	total := 0.0
 	for rank, l := range s.loads {
-		total += s.term(rank, l)
+		total += s.rankCost(rank, l)
 	}
 	return total
 }
 
-// findNext finds the best step again if the placement has changed or the step's
-// rank has used up its budget.
-func (s *search) findNext(copies []int, budget int) {
-	if s.current && (!s.found || copies[s.next.rank] < budget) {
+// refreshBestStep recomputes the best step if the placement has changed or the
+// step's rank has used up its budget.
+func (s *search) refreshBestStep(copies []int, budget int) {
+	if s.bestStepValid && (!s.bestStepPays || copies[s.bestStep.rank] < budget) {
 		return
 	}
-	s.next, s.found = s.best(copies, budget)
-	s.current = true
+	s.bestStep, s.bestStepPays = s.best(copies, budget)
+	s.bestStepValid = true
 }
 
-// best returns the copy that lowers the cost most: an expert of the most loaded
-// rank to another rank with budget left.
-func (s *search) best(copies []int, budget int) (step, bool) {
-	var best step
-	hottest := s.hottest()
-	for _, expert := range s.held[hottest] {
+// best returns the step that lowers the cost most, among copies of an expert of
+// the slowest rank to another rank with budget left. It reports false if that
+// step gains less than minRelativeGain.
+func (s *search) best(copies []int, budget int) (placementStep, bool) {
+	var best placementStep
+	slowestRank := s.slowestRank()
+	for _, expert := range s.held[slowestRank] {
 		if s.load[expert] == 0 {
 			continue
 		}
 		for rank := range s.shape.Ranks {
-			if copies[rank] >= budget || s.fresh[rank] >= s.shape.NewPerSet || s.holds(rank, expert) {
+			if copies[rank] >= budget || s.newByRank[rank] >= s.shape.NewPerSet || s.holds(rank, expert) {
 				continue
 			}
-			s.consider(&best, expert, rank, hottest)
+			s.considerCopy(&best, expert, rank, slowestRank)
 		}
 	}
-	return best, best.gain > 0 && s.relative(best.gain) >= minGain
+	return best, best.gain > 0 && s.relativeGain(best.gain) >= minRelativeGain
 }
 
-// relative is the share of the set's most loaded rank that a gain stands for.
-func (s *search) relative(gain float64) float64 {
+// relativeGain converts a gain in cost to the share of the slowest rank's time that
+// it would save if that rank alone made up the cost.
+func (s *search) relativeGain(gain float64) float64 {
 	if s.cost <= 0 {
 		return 0
 	}
-	return 1 - math.Pow(max(0, 1-gain/s.cost), 1.0/unevenness)
+	return 1 - math.Pow(max(0, 1-gain/s.cost), 1.0/loadExponent)
 }
 
-func (s *search) consider(best *step, expert, rank, hottest int) {
+func (s *search) considerCopy(best *placementStep, expert, rank, slowestRank int) {
 	if len(s.held[rank]) < s.shape.Places {
-		s.offerBoth(best, step{expert: expert, rank: rank, victim: -1}, hottest)
+		s.considerReplicaAndMove(best, placementStep{expert: expert, rank: rank, victim: -1}, slowestRank)
 	}
 	for _, victim := range s.held[rank] {
 		if len(s.holders[victim]) > 1 {
-			s.offerBoth(best, step{expert: expert, rank: rank, victim: victim}, hottest)
+			s.considerReplicaAndMove(best, placementStep{expert: expert, rank: rank, victim: victim}, slowestRank)
 		}
 	}
 }
 
-// offerBoth offers the step as a further replica and, where the hottest rank is
-// slow, as a move away from it.
-func (s *search) offerBoth(best *step, candidate step, hottest int) {
+// considerReplicaAndMove considers the step as an additional replica and, if the
+// slowest rank is slower than normal, also as a move away from it.
+func (s *search) considerReplicaAndMove(best *placementStep, candidate placementStep, slowestRank int) {
 	candidate.from = -1
-	s.offer(best, candidate)
-	if s.shape.slowness(hottest) > 1 {
-		candidate.from = hottest
-		s.offer(best, candidate)
+	s.considerStep(best, candidate)
+	if s.shape.slowness(slowestRank) > 1 {
+		candidate.from = slowestRank
+		s.considerStep(best, candidate)
 	}
 }
 
-func (s *search) offer(best *step, candidate step) {
+func (s *search) considerStep(best *placementStep, candidate placementStep) {
 	candidate.gain = s.gain(candidate)
 	if candidate.gain > best.gain {
 		*best = candidate
 	}
 }
 
-// gain returns by how much the step lowers the cost.
-func (s *search) gain(candidate step) float64 {
+// gain returns the amount by which the step lowers the cost.
+func (s *search) gain(candidate placementStep) float64 {
 	holders := s.holders[candidate.expert]
 	load := s.load[candidate.expert]
 	before, after := float64(len(holders)), float64(len(holders)+1)
 	if candidate.from >= 0 {
 		after--
 	}
-	taken, left := 0.0, 0.0
+	addedShare, droppedShare := 0.0, 0.0
 	var victims []int
 	if candidate.victim >= 0 {
 		victims = s.holders[candidate.victim]
 		n := float64(len(victims))
-		left = s.load[candidate.victim] / n
-		taken = s.load[candidate.victim]/(n-1) - left
+		droppedShare = s.load[candidate.victim] / n
+		addedShare = s.load[candidate.victim]/(n-1) - droppedShare
 	}
 	gain := 0.0
 	change := func(rank int, delta float64) {
-		gain += s.term(rank, s.loads[rank]) - s.term(rank, s.loads[rank]+delta)
+		gain += s.rankCost(rank, s.loads[rank]) - s.rankCost(rank, s.loads[rank]+delta)
 	}
 	for _, holder := range holders {
 		delta := load/after - load/before
@@ -338,23 +346,23 @@
 			delta = -load / before
 		}
 		if candidate.victim >= 0 && s.holds(holder, candidate.victim) {
-			delta += taken
+			delta += addedShare
 		}
 		change(holder, delta)
 	}
 	for _, holder := range victims {
 		if holder != candidate.rank && !s.holds(holder, candidate.expert) {
-			change(holder, taken)
+			change(holder, addedShare)
 		}
 	}
-	change(candidate.rank, load/after-left)
+	change(candidate.rank, load/after-droppedShare)
 	return gain
 }
 
-func (s *search) apply(chosen step) {
-	s.current = false
+func (s *search) apply(chosen placementStep) {
+	s.bestStepValid = false
 	if chosen.victim >= 0 {
-		s.release(chosen.victim, chosen.rank)
+		s.removeReplica(chosen.victim, chosen.rank)
 	}
 	before := float64(len(s.holders[chosen.expert]))
 	load := s.load[chosen.expert]
@@ -364,15 +372,16 @@
 	s.loads[chosen.rank] += load / (before + 1)
 	s.held[chosen.rank] = append(s.held[chosen.rank], chosen.expert)
 	s.holders[chosen.expert] = append(s.holders[chosen.expert], chosen.rank)
-	s.fresh[chosen.rank]++
+	s.newByRank[chosen.rank]++
 	if chosen.from >= 0 {
-		s.release(chosen.expert, chosen.from)
+		s.removeReplica(chosen.expert, chosen.from)
 	}
-	s.cost = s.costOf()
+	s.cost = s.totalCost()
 }
 
-// release takes a replica away; the expert's other holders take its load.
-func (s *search) release(expert, rank int) {
+// removeReplica removes the rank's replica of the expert and spreads its load over
+// the expert's other holders.
+func (s *search) removeReplica(expert, rank int) {
 	n := float64(len(s.holders[expert]))
 	load := s.load[expert]
 	s.loads[rank] -= load / n
@@ -383,15 +392,15 @@
 	}
 }
 
-func (s *search) hottest() int {
-	hottest := 0
+func (s *search) slowestRank() int {
+	slowestRank := 0
 	most := 0.0
 	for rank, l := range s.loads {
 		if time := l * s.shape.slowness(rank); time > most {
-			hottest, most = rank, time
+			slowestRank, most = rank, time
 		}
 	}
-	return hottest
+	return slowestRank
 }
 
 func (s *search) holds(rank, expert int) bool {
--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// usersShape is that of the users' groups.
-var usersShape = Shape{Ranks: 12, Places: 8, Experts: 72, NewPerSet: 3}
+// referenceShape is the shape of the users' groups.
+var referenceShape = Shape{Ranks: 12, Places: 8, Experts: 72, NewPerSet: 3}
 
-const usersSets = 4
+const referenceSets = 4
 
-// inTurn is the map that a group begins with.
-func inTurn(shape Shape, sets int) Map {
+// roundRobinMap returns the map that a group starts with.
+func roundRobinMap(shape Shape, sets int) Map {
 	placement := make(Map, sets)
 	for set := range placement {
 		placement[set] = make([][]int, shape.Ranks)
@@ -28,8 +28,9 @@
 	return placement
 }
 
-// topics draws a demand: few topics are much liked, each with its own experts.
-func topics(random *rand.Rand, shape Shape, sets int) [][]float64 {
+// randomTopicLoad draws a load from topics with power-law popularity, each with its
+// own experts: few topics account for most of the load.
+func randomTopicLoad(random *rand.Rand, shape Shape, sets int) [][]float64 {
 	load := make([][]float64, sets)
 	for set := range load {
 		load[set] = make([]float64, shape.Experts)
@@ -43,27 +44,27 @@
 	return load
 }
 
-func TestJumpOfDemand(t *testing.T) {
-	Convey("After a jump of demand a few small changes spread the load", t, func() {
+func TestDecideAfterDemandJump(t *testing.T) {
+	Convey("After a jump in demand a few small changes spread the load", t, func() {
 		total, jumps := 0.0, 0
 		for seed := range uint64(20) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			placement := inTurn(usersShape, usersSets)
+			placement := roundRobinMap(referenceShape, referenceSets)
 			for range 3 {
-				load := topics(random, usersShape, usersSets)
-				before := Skew(usersShape, placement, load)
+				load := randomTopicLoad(random, referenceShape, referenceSets)
+				before := Skew(referenceShape, placement, load)
 				for range 4 {
-					placement = Decide(usersShape, placement, load, 3).Map
+					placement = Decide(referenceShape, placement, load, 3).Map
 				}
 				So(before, ShouldBeGreaterThan, 1.3)
-				total += Skew(usersShape, placement, load)
+				total += Skew(referenceShape, placement, load)
 				jumps++
 			}
 		}
-		// The users' goal is a mean skew within 1.15 outside of the first second.
+		// The users' goal is a mean skew of at most 1.15 after the first second.
 		So(total/float64(jumps), ShouldBeLessThan, 1.15)
 	})
-	Convey("A change that saves less than its copies cost is not made", t, func() {
+	Convey("A change that saves less than its copies cost is not worthwhile", t, func() {
 		costs := Costs{CopyTime: 100 * time.Millisecond, ExpertTimeShare: 0.4, Occupancy: 0.9}
 		So(Plan{Copies: 1, MaxCopiesPerRank: 1, SkewBefore: 1.18, SkewAfter: 1.17}.IsWorthwhile(costs), ShouldBeFalse)
 		So(Plan{Copies: 24, MaxCopiesPerRank: 2, SkewBefore: 3, SkewAfter: 1.3}.IsWorthwhile(costs), ShouldBeTrue)
@@ -74,61 +75,61 @@
 		So(Plan{Copies: 24, MaxCopiesPerRank: 2, SkewBefore: 3, SkewAfter: 1.3}.IsWorthwhile(costs), ShouldBeTrue)
 	})
 	Convey("An even load needs no copies", t, func() {
-		load := make([][]float64, usersSets)
+		load := make([][]float64, referenceSets)
 		for set := range load {
-			load[set] = make([]float64, usersShape.Experts)
+			load[set] = make([]float64, referenceShape.Experts)
 			for expert := range load[set] {
 				load[set][expert] = 1
 			}
 		}
-		So(Decide(usersShape, inTurn(usersShape, usersSets), load, 3).Copies, ShouldEqual, 0)
+		So(Decide(referenceShape, roundRobinMap(referenceShape, referenceSets), load, 3).Copies, ShouldEqual, 0)
 	})
 }
 
-func TestSoonestPlan(t *testing.T) {
+func TestDecideLeastAverageSkew(t *testing.T) {
 	const copyTime = 100 * time.Millisecond
-	Convey("Right after a jump a plan of fewer copies is taken where it brings most of the gain sooner", t, func() {
+	Convey("Right after a jump in demand a plan with fewer copies is chosen if it brings most of the gain sooner", t, func() {
 		fewer := 0
 		for seed := range uint64(20) {
-			load := topics(rand.New(rand.NewPCG(seed, 3)), usersShape, usersSets)
-			placement := inTurn(usersShape, usersSets)
-			whole := Decide(usersShape, placement, load, 3)
-			soonest := DecideLeastAverageSkew(usersShape, placement, load, 3, copyTime)
-			if soonest.MaxCopiesPerRank < whole.MaxCopiesPerRank {
+			load := randomTopicLoad(rand.New(rand.NewPCG(seed, 3)), referenceShape, referenceSets)
+			placement := roundRobinMap(referenceShape, referenceSets)
+			full := Decide(referenceShape, placement, load, 3)
+			best := DecideLeastAverageSkew(referenceShape, placement, load, 3, copyTime)
+			if best.MaxCopiesPerRank < full.MaxCopiesPerRank {
 				fewer++
 			}
 			cost := func(p Plan) float64 {
-				until := (switchTime + time.Duration(p.MaxCopiesPerRank)*copyTime).Seconds()
-				return p.SkewBefore*until + p.SkewAfter*(recovery.Seconds()-until)
+				switchDelay := (switchTime + time.Duration(p.MaxCopiesPerRank)*copyTime).Seconds()
+				return p.SkewBefore*switchDelay + p.SkewAfter*(recoveryWindow.Seconds()-switchDelay)
 			}
-			So(cost(soonest), ShouldBeLessThanOrEqualTo, cost(whole))
+			So(cost(best), ShouldBeLessThanOrEqualTo, cost(full))
 		}
 		So(fewer, ShouldBeGreaterThan, 0)
 	})
-	Convey("Where a copy takes no time all copies are made", t, func() {
-		load := topics(rand.New(rand.NewPCG(1, 3)), usersShape, usersSets)
-		placement := inTurn(usersShape, usersSets)
-		So(DecideLeastAverageSkew(usersShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(usersShape, placement, load, 3).SkewAfter)
+	Convey("If copies take no time, the plan uses the full budget", t, func() {
+		load := randomTopicLoad(rand.New(rand.NewPCG(1, 3)), referenceShape, referenceSets)
+		placement := roundRobinMap(referenceShape, referenceSets)
+		So(DecideLeastAverageSkew(referenceShape, placement, load, 3, 0).SkewAfter, ShouldEqual, Decide(referenceShape, placement, load, 3).SkewAfter)
 	})
 }
 
-func TestSlowRank(t *testing.T) {
-	Convey("A rank three times as slow as usual keeps only what nobody asks for", t, func() {
+func TestDecideRelievesSlowRank(t *testing.T) {
+	Convey("Load is moved away from a rank that is three times as slow as normal", t, func() {
 		for seed := range uint64(20) {
-			shape := usersShape
+			shape := referenceShape
 			shape.Slowness = []float64{1, 1, 1, 1, 3, 1, 1, 1, 1, 1, 1, 1}
-			load := topics(rand.New(rand.NewPCG(seed, 2)), shape, usersSets)
-			placement := inTurn(shape, usersSets)
+			load := randomTopicLoad(rand.New(rand.NewPCG(seed, 2)), shape, referenceSets)
+			placement := roundRobinMap(shape, referenceSets)
 			for range 5 {
 				placement = Decide(shape, placement, load, 3).Map
 			}
-			// Eleven ranks carry the load of twelve.
+			// The bound allows for eleven ranks carrying the load of twelve.
 			So(Skew(shape, placement, load), ShouldBeLessThan, 1.15*12/11)
 		}
 	})
 }
 
-func TestPlanFits(t *testing.T) {
+func TestPlanRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := Shape{
 			Ranks:     rapid.IntRange(2, 8).Draw(t, "ranks"),
@@ -141,14 +142,14 @@
 		shape.Places = (shape.Experts+shape.Ranks-1)/shape.Ranks + rapid.IntRange(0, 2).Draw(t, "spare places")
 		sets := rapid.IntRange(1, 3).Draw(t, "sets")
 		budget := rapid.IntRange(1, 4).Draw(t, "budget")
-		placement := inTurn(shape, sets)
+		placement := roundRobinMap(shape, sets)
 		for range 4 {
 			load := make([][]float64, sets)
 			for set := range load {
 				load[set] = rapid.SliceOfN(rapid.Float64Range(0, 100), shape.Experts, shape.Experts).Draw(t, "load")
 			}
 			plan := Decide(shape, placement, load, budget)
-			checkFits(t, shape, placement, plan, budget)
+			checkPlanLimits(t, shape, placement, plan, budget)
 			if plan.SkewAfter > plan.SkewBefore+1e-9 {
 				t.Fatalf("skew rises from %v to %v", plan.SkewBefore, plan.SkewAfter)
 			}
@@ -158,16 +159,16 @@
 }
 
 func TestPlanNeverRaisesSkew(t *testing.T) {
-	Convey("A step that lowers the search's cost but raises the skew is not planned", t, func() {
-		// Found by TestPlanFits.
+	Convey("A plan that lowers the search's cost but raises the skew is discarded", t, func() {
+		// A failing case found by TestPlanRespectsLimits.
 		shape := Shape{Ranks: 2, Places: 8, Experts: 14, NewPerSet: 1, Slowness: []float64{2.75}}
 		load := [][]float64{{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 6.75, 1, 26.875, 100}}
-		plan := Decide(shape, inTurn(shape, 1), load, 1)
+		plan := Decide(shape, roundRobinMap(shape, 1), load, 1)
 		So(plan.SkewAfter, ShouldBeLessThanOrEqualTo, plan.SkewBefore)
 	})
 }
 
-func checkFits(t *rapid.T, shape Shape, before Map, plan Plan, budget int) {
+func checkPlanLimits(t *rapid.T, shape Shape, before Map, plan Plan, budget int) {
 	copies := make([]int, shape.Ranks)
 	for set := range plan.Map {
 		covered := map[int]bool{}
@@ -208,19 +209,19 @@
 
 func TestDemand(t *testing.T) {
 	const round = 100 * time.Millisecond
-	Convey("Given what a rank's counts have gained", t, func() {
+	Convey("Given the increases of a rank's counters", t, func() {
 		d := NewDemand(1, 2)
 		So(d.Observe([]int64{0, 50}, round, 1), ShouldBeTrue)
 		So(d.Load()[0], ShouldResemble, []float64{0, 50})
 
-		Convey("what is liked no more fades", func() {
+		Convey("the load of an expert that is no longer chosen decays", func() {
 			for range 20 {
 				d.Observe([]int64{10, 0}, round, 1)
 			}
 			So(d.Load()[0][1], ShouldBeLessThan, 2.0)
 			So(d.Load()[0][0], ShouldBeGreaterThan, 8.0)
 		})
-		Convey("a jump is followed within a few counts", func() {
+		Convey("the forecast follows a jump in demand within a few observations", func() {
 			for range 20 {
 				d.Observe([]int64{0, 50}, round, 1)
 			}
@@ -230,11 +231,11 @@
 			load := d.Load()[0]
 			So(load[0]/(load[0]+load[1]), ShouldBeGreaterThan, 0.75)
 		})
-		Convey("gains of another size are refused", func() {
+		Convey("gains of the wrong length are rejected", func() {
 			So(d.Observe([]int64{1}, round, 1), ShouldBeFalse)
 		})
 	})
-	Convey("Packed counts hold what was gained, and nothing where counts have fallen", t, func() {
+	Convey("Packed counts contain the increases, and zero for counters that have decreased", t, func() {
 		gains, err := UnpackCounts(PackCounts([]int64{5, 1000, 7}, []int64{5, 1300, 2, 9}))
 		So(err, ShouldBeNil)
 		So(gains, ShouldResemble, []int64{0, 300, 0, 9})
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -1,9 +1,10 @@
-// Package planner decides where the replicas of a group's experts lie: it
-// follows the observed popularity and moves only what pays.
+// Package planner decides on which ranks the replicas of a group's experts are
+// placed. It follows the observed popularity and moves an expert only if that
+// saves more time than it costs.
 //
 // Layers run one after another and every layer waits for its slowest rank, so
-// the load of a layer is the time of its slowest rank. A replicated expert's
-// tokens are spread evenly over its replicas.
+// the time of a layer is that of its slowest rank. A replicated expert's tokens
+// are spread evenly over its replicas.
 package planner
 
 import (
@@ -20,11 +21,11 @@
 	Layers  int
 }
 
-// Placement gives the expert in every slot, by layer; slot i belongs to rank
+// Placement lists the expert in every slot, by layer; slot i belongs to rank
 // i / Shape.Slots.
 type Placement [][]uint16
 
-// Clone returns a copy.
+// Clone returns a deep copy.
 func (p Placement) Clone() Placement {
 	clone := make(Placement, len(p))
 	for layer := range p {
@@ -33,21 +34,22 @@
 	return clone
 }
 
-// Costs weigh a change of the map against the time that it saves.
+// Costs are the parameters by which a change of the map is weighed against the
+// time that it saves.
 type Costs struct {
 	SecondsPerLoad float64 // Time of one unit of load on the slowest rank.
-	MoveSeconds    float64 // Time that steps lose for one expert loaded.
+	MoveSeconds    float64 // Delay of the steps caused by loading one expert.
 	SwitchSeconds  float64 // Time that a change of the map takes.
-	HorizonSteps   float64 // Steps for which the forecast is taken to hold.
-	MaxMoves       int     // Experts that the weight store can deliver until the next plan.
+	HorizonSteps   float64 // Steps for which the forecast is assumed to hold.
+	MaxMoves       int     // Most experts that the weight store can deliver until the next plan.
 }
 
-// Input is what a plan starts from.
+// Input is the input of one planning round.
 type Input struct {
 	Shape    Shape
 	Costs    Costs
-	Observed [][]float64 // Tokens a step by layer and expert; a nil layer was not observed.
-	Slowness []float64   // Time of a rank for one unit of load; 1 is usual.
+	Observed [][]float64 // Tokens per step by layer and expert; a nil layer was not observed.
+	Slowness []float64   // Time of a rank for one unit of load, relative to a normal rank; nil means 1 for all.
 	Current  Placement
 }
 
@@ -57,65 +59,66 @@
 	Expert      uint16
 }
 
-// Plan is a decision with its reason.
+// Plan is the result of a planning round, with its reason.
 type Plan struct {
-	Placement    Placement // The current one where nothing pays.
-	Moves        []Move    // The most valuable layers first.
+	Placement    Placement // The current placement if no change is worthwhile.
+	Moves        []Move    // Layers with the highest value per move first.
 	Reason       string
 	SkewBefore   float64 // Forecast.
 	SkewAfter    float64 // Forecast.
-	SavedSeconds float64 // Over the horizon, less the cost of the change.
+	SavedSeconds float64 // Seconds saved over the horizon, minus the cost of the change.
 }
 
-// payback is how often the saved time must cover the cost of a move.
-const payback = 1.5
+// paybackFactor is the factor by which the saved time must exceed the cost of the
+// moves.
+const paybackFactor = 1.5
 
-// layerPlan is what pays in one layer.
+// layerPlan is the most valuable change of one layer.
 type layerPlan struct {
 	layer   int
 	changes []change
 	moves   int
-	saved   float64 // Of the slowest rank's time.
-	value   float64 // Seconds over the horizon, less the cost of the moves.
+	saved   float64 // Reduction of the slowest rank's time.
+	value   float64 // Seconds saved over the horizon, minus the weighted cost of the moves.
 }
 
-// value returns what saving this much of the slowest rank's time is worth over
-// the horizon, less the cost of the moves, in seconds.
+// value returns the seconds saved over the horizon if each step saves this much of
+// the slowest rank's time, minus paybackFactor times the cost of the moves.
 func (c Costs) value(saved float64, moves int) float64 {
-	return saved*c.SecondsPerLoad*c.HorizonSteps - payback*float64(moves)*c.MoveSeconds
+	return saved*c.SecondsPerLoad*c.HorizonSteps - paybackFactor*float64(moves)*c.MoveSeconds
 }
 
-// Decide takes in the observation and returns the plan.
+// Decide updates the forecast with the observation and returns the plan.
 func Decide(state *State, input Input) Plan {
 	state.observe(input)
 	plan := Plan{Placement: input.Current, SkewBefore: Skew(input.Shape, input.Current, state.forecast, input.Slowness)}
 	plan.SkewAfter = plan.SkewBefore
-	open := state.changedLayers(input)
-	if len(open) == 0 {
-		plan.Reason = "the popularity differs from the last plan by no more than its noise"
+	changed := state.changedLayers(input)
+	if len(changed) == 0 {
+		plan.Reason = "the popularity has changed by no more than noise since the last plan"
 		return plan
 	}
-	var pays []layerPlan
-	for _, layer := range open {
+	var worthwhile []layerPlan
+	for _, layer := range changed {
 		p := planLayer(state, input, layer)
-		if state.stuck(p, input) {
-			if fresh := planFresh(state, input, layer); fresh.value > p.value {
+		if state.searchStuck(p, input) {
+			if fresh := planFromScratch(state, input, layer); fresh.value > p.value {
 				p = fresh
 			}
 		}
-		if p.value > 0 && state.convincing(p, input) {
-			pays = append(pays, p)
+		if p.value > 0 && state.exceedsNoise(p, input) {
+			worthwhile = append(worthwhile, p)
 		}
 	}
-	sort.SliceStable(pays, func(i, j int) bool {
-		return pays[i].value*float64(pays[j].moves) > pays[j].value*float64(pays[i].moves)
+	sort.SliceStable(worthwhile, func(i, j int) bool {
+		return worthwhile[i].value*float64(worthwhile[j].moves) > worthwhile[j].value*float64(worthwhile[i].moves)
 	})
-	return state.choose(plan, input, pays, len(open))
+	return state.selectLayers(plan, input, worthwhile, len(changed))
 }
 
 func planLayer(state *State, input Input, layer int) layerPlan {
 	search := newSearch(input.Shape, input.Current[layer], state.forecast[layer], input.Slowness)
-	start := search.slowest()
+	start := search.slowestTime()
 	best := layerPlan{layer: layer}
 	moves := 0
 	for moves < len(input.Current[layer]) {
@@ -124,7 +127,7 @@
 			break
 		}
 		moves += len(step)
-		saved := start - search.slowest()
+		saved := start - search.slowestTime()
 		if value := input.Costs.value(saved, moves); value > best.value {
 			best.value, best.moves, best.saved = value, moves, saved
 			best.changes = append([]change(nil), search.changes...)
@@ -133,17 +136,17 @@
 	return best
 }
 
-// choose takes the layers that pay most until the weight store's rate is used
-// up.
-func (s *State) choose(plan Plan, input Input, pays []layerPlan, open int) Plan {
+// selectLayers adds the layers in order of value per move, skipping those that
+// would exceed the number of experts that the weight store can deliver.
+func (s *State) selectLayers(plan Plan, input Input, worthwhile []layerPlan, changed int) Plan {
 	var value float64
 	next := input.Current.Clone()
-	for _, p := range pays {
+	for _, p := range worthwhile {
 		if len(plan.Moves)+p.moves > input.Costs.MaxMoves {
 			continue
 		}
 		value += p.value
-		s.planned(p.layer)
+		s.setReference(p.layer)
 		for _, c := range p.changes {
 			next[p.layer][c.slot] = c.expert
 			plan.Moves = append(plan.Moves, Move{Layer: p.layer, Slot: c.slot, Expert: c.expert})
@@ -151,38 +154,37 @@
 	}
 	if value <= input.Costs.SwitchSeconds {
 		plan.Moves = nil
-		plan.Reason = fmt.Sprintf("%d layers changed, but no move saves more time than it costs", open)
+		plan.Reason = fmt.Sprintf("%d layers changed, but no move saves more time than it costs", changed)
 		return plan
 	}
-	s.rememberSlowness(input.Slowness)
+	s.setSlowness(input.Slowness)
 	plan.Placement = next
 	plan.SkewAfter = Skew(input.Shape, next, s.forecast, input.Slowness)
 	plan.SavedSeconds = value - input.Costs.SwitchSeconds
 	plan.Reason = fmt.Sprintf("%d moves in %d of %d changed layers lower the skew from %.3f to %.3f and save %.1f s over %.0f steps",
-		len(plan.Moves), len(pays), open, plan.SkewBefore, plan.SkewAfter, plan.SavedSeconds, input.Costs.HorizonSteps)
+		len(plan.Moves), len(worthwhile), changed, plan.SkewBefore, plan.SkewAfter, plan.SavedSeconds, input.Costs.HorizonSteps)
 	return plan
 }
 
-// Skew returns the sum over layers of the slowest rank's time, divided by the
-// sum of the times that a perfect spread would take. Layers without a load are
-// left out.
+// Skew returns the sum over layers of the slowest rank's time, divided by the sum
+// of the times under an even spread. Layers without a load are left out.
 func Skew(shape Shape, placement Placement, load [][]float64, slowness []float64) float64 {
-	var slowest, even float64
+	var slowestTime, even float64
 	for layer := range placement {
 		if load[layer] == nil {
 			continue
 		}
 		s := newSearch(shape, placement[layer], load[layer], slowness)
-		slowest += s.slowest()
+		slowestTime += s.slowestTime()
 		even += evenTime(load[layer], s.slowness)
 	}
 	if even == 0 {
 		return 1
 	}
-	return slowest / even
+	return slowestTime / even
 }
 
-// evenTime is the time of a layer whose ranks all end together.
+// evenTime returns the time of a layer whose ranks all finish at the same time.
 func evenTime(load, slowness []float64) float64 {
 	var total, speed float64
 	for _, tokens := range load {
--- a/policy/planner/planner_test.go
+++ b/policy/planner/planner_test.go
@@ -10,15 +10,15 @@
 	"persimmonwind.dev/policy/planner"
 )
 
-func target(slots int) planner.Shape {
+func targetShape(slots int) planner.Shape {
 	return planner.Shape{Ranks: 64, Slots: slots, Experts: 256, Layers: 60}
 }
 
-func small() planner.Shape {
+func smallShape() planner.Shape {
 	return planner.Shape{Ranks: 8, Slots: 5, Experts: 32, Layers: 4}
 }
 
-// popularity draws a log-normal load for every expert.
+// popularity draws a log-normally distributed load for every expert.
 func popularity(shape planner.Shape, random *rand.Rand) [][]float64 {
 	load := make([][]float64, shape.Layers)
 	for layer := range load {
@@ -30,8 +30,8 @@
 	return load
 }
 
-// disturbed multiplies every load by a log-normal factor.
-func disturbed(load [][]float64, sigma float64, random *rand.Rand) [][]float64 {
+// withNoise multiplies every load by a log-normal factor.
+func withNoise(load [][]float64, sigma float64, random *rand.Rand) [][]float64 {
 	next := make([][]float64, len(load))
 	for layer := range load {
 		next[layer] = make([]float64, len(load[layer]))
@@ -46,7 +46,7 @@
 	return planner.Costs{SecondsPerLoad: 1e-4, MoveSeconds: 1e-3, SwitchSeconds: 1e-3, HorizonSteps: 10000, MaxMoves: 5000}
 }
 
-func complete(shape planner.Shape, placement planner.Placement) bool {
+func placesEveryExpert(shape planner.Shape, placement planner.Placement) bool {
 	for _, layer := range placement {
 		seen := map[uint16]bool{}
 		for _, expert := range layer {
@@ -60,35 +60,35 @@
 }
 
 func TestDecide(t *testing.T) {
-	Convey("Given a group placed for its popularity", t, func() {
-		shape := small()
+	Convey("Given a group whose placement fits its popularity", t, func() {
+		shape := smallShape()
 		random := rand.New(rand.NewPCG(1, 2))
 		load := popularity(shape, random)
 		var state planner.State
 		input := planner.Input{Shape: shape, Costs: costs(), Observed: load, Current: planner.Recompute(shape, load, nil)}
 		So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
 
-		Convey("noise alone moves nothing", func() {
+		Convey("noise alone causes no moves", func() {
 			for range 200 {
-				input.Observed = disturbed(load, 0.1, random)
+				input.Observed = withNoise(load, 0.1, random)
 				So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
 			}
 		})
 
-		Convey("a lasting change is followed, the moves give the placement, no expert is lost", func() {
-			input.Observed = disturbed(load, 0.02, random)
+		Convey("a lasting change is followed, the moves produce the placement and every expert keeps a replica", func() {
+			input.Observed = withNoise(load, 0.02, random)
 			So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
-			shifted := disturbed(load, 0.8, random)
+			shifted := withNoise(load, 0.8, random)
 			moves := 0
 			for range 8 {
-				input.Observed = disturbed(shifted, 0.02, random)
+				input.Observed = withNoise(shifted, 0.02, random)
 				plan := planner.Decide(&state, input)
 				applied := input.Current.Clone()
 				for _, move := range plan.Moves {
 					applied[move.Layer][move.Slot] = move.Expert
 				}
 				So(applied, ShouldResemble, plan.Placement)
-				So(complete(shape, plan.Placement), ShouldBeTrue)
+				So(placesEveryExpert(shape, plan.Placement), ShouldBeTrue)
 				moves += len(plan.Moves)
 				input.Current = plan.Placement
 			}
@@ -96,7 +96,7 @@
 			So(planner.Skew(shape, input.Current, shifted, nil), ShouldBeLessThan, 1.25)
 		})
 
-		Convey("a straggling rank is relieved", func() {
+		Convey("load is moved away from a slow rank", func() {
 			input.Slowness = []float64{1, 1, 1.5, 1, 1, 1, 1, 1}
 			before := planner.Skew(shape, input.Current, load, input.Slowness)
 			plan := planner.Decide(&state, input)
@@ -104,9 +104,9 @@
 			So(plan.Reason, ShouldNotBeEmpty)
 		})
 
-		Convey("a placement that never fitted is mended", func() {
+		Convey("a placement that never fitted the popularity is improved", func() {
 			var fresh planner.State
-			shifted := disturbed(load, 0.8, random)
+			shifted := withNoise(load, 0.8, random)
 			moves := 0
 			for range 10 {
 				input.Observed = shifted
@@ -117,13 +117,13 @@
 			So(moves, ShouldBeGreaterThan, 0)
 		})
 
-		Convey("a layer that was never observed keeps its place", func() {
+		Convey("a layer that was never observed keeps its placement", func() {
 			var fresh planner.State
 			input.Observed = [][]float64{load[0], nil, load[2], nil}
 			So(planner.Decide(&fresh, input).Placement, ShouldResemble, input.Current)
 		})
 
-		Convey("the weight store's rate bounds the moves", func() {
+		Convey("the number of moves stays within what the weight store can deliver", func() {
 			input.Costs.MaxMoves = 3
 			input.Slowness = []float64{1, 1, 1.5, 1, 1, 1, 1, 1}
 			So(len(planner.Decide(&state, input).Moves), ShouldBeLessThanOrEqualTo, 3)
@@ -131,26 +131,27 @@
 	})
 }
 
-func TestRelabelKeepsThePlan(t *testing.T) {
-	Convey("A relabelled placement has the same skew and moves no more", t, func() {
-		shape := small()
+func TestRelabelKeepsSkewWithoutMoreMoves(t *testing.T) {
+	Convey("A relabelled placement has the same skew and needs no more moves", t, func() {
+		shape := smallShape()
 		random := rand.New(rand.NewPCG(3, 4))
 		load := popularity(shape, random)
 		current := planner.Recompute(shape, load, nil)
-		next := planner.Recompute(shape, disturbed(load, 0.2, random), nil)
+		next := planner.Recompute(shape, withNoise(load, 0.2, random), nil)
 		relabelled := planner.Relabel(shape, current, next)
 		So(planner.Skew(shape, relabelled, load, nil), ShouldAlmostEqual, planner.Skew(shape, next, load, nil), 1e-9)
 		So(planner.CountMoves(shape, current, relabelled), ShouldBeLessThanOrEqualTo, planner.CountMoves(shape, current, next))
 	})
 }
 
-// BenchmarkPlanTargetSize plans the target group after a drift in every layer.
+// BenchmarkPlanTargetSize plans a group of the target size after the popularity of
+// every layer has drifted.
 func BenchmarkPlanTargetSize(b *testing.B) {
-	shape := target(5)
+	shape := targetShape(5)
 	random := rand.New(rand.NewPCG(1, 2))
 	load := popularity(shape, random)
 	current := planner.Refine(shape, planner.Recompute(shape, load, nil), load, nil)
-	drifted := disturbed(load, 0.1, random)
+	drifted := withNoise(load, 0.1, random)
 	b.ReportAllocs()
 	for b.Loop() {
 		var state planner.State
@@ -158,7 +159,7 @@
 		input.Costs.MaxMoves = 1 << 30
 		planner.Decide(&state, input)
 		for range 6 {
-			input.Observed = disturbed(drifted, 0.01, random)
+			input.Observed = withNoise(drifted, 0.01, random)
 			plan := planner.Decide(&state, input)
 			if len(plan.Moves) > 0 {
 				b.ReportMetric(float64(len(plan.Moves)), "moves")
--- a/policy/planner/fresh.go
+++ b/policy/planner/scratch.go
@@ -1,23 +1,25 @@
 package planner
 
-// stuckSkew is the skew of a layer above which the search is taken to be stuck
-// and a placement made afresh is weighed too.
-const stuckSkew = 1.1
+// stuckSkewThreshold is the skew of a planned layer above which the search is
+// considered stuck in a local optimum, so that a placement computed from scratch
+// is considered too.
+const stuckSkewThreshold = 1.1
 
-// stuck reports whether the plan leaves the layer's slowest rank far behind an
-// even spread.
-func (s *State) stuck(p layerPlan, input Input) bool {
+// searchStuck reports whether the planned layer's slowest rank still takes far
+// longer than with an even spread.
+func (s *State) searchStuck(p layerPlan, input Input) bool {
 	slowness := input.Slowness
 	if slowness == nil {
 		slowness = evenSlowness(input.Shape.Ranks)
 	}
-	start := newSearch(input.Shape, input.Current[p.layer], s.forecast[p.layer], slowness).slowest()
-	return start-p.saved > stuckSkew*evenTime(s.forecast[p.layer], slowness)
+	start := newSearch(input.Shape, input.Current[p.layer], s.forecast[p.layer], slowness).slowestTime()
+	return start-p.saved > stuckSkewThreshold*evenTime(s.forecast[p.layer], slowness)
 }
 
-// planFresh plans the layer from a recomputed placement, with replicas
-// relabelled so that few experts move.
-func planFresh(state *State, input Input, layer int) layerPlan {
+// planFromScratch plans the layer by computing a new placement and relabelling its
+// ranks and slots so that few experts move. Ranks are not relabelled if they
+// differ in speed.
+func planFromScratch(state *State, input Input, layer int) layerPlan {
 	current, load := input.Current[layer], state.forecast[layer]
 	next := recomputeLayer(input.Shape, load, input.Slowness)
 	if input.Slowness == nil {
@@ -30,8 +32,8 @@
 		}
 	}
 	plan.moves = CountMoves(input.Shape, Placement{current}, Placement{next})
-	before := newSearch(input.Shape, current, load, input.Slowness).slowest()
-	after := newSearch(input.Shape, next, load, input.Slowness).slowest()
+	before := newSearch(input.Shape, current, load, input.Slowness).slowestTime()
+	after := newSearch(input.Shape, next, load, input.Slowness).slowestTime()
 	plan.saved = before - after
 	plan.value = input.Costs.value(plan.saved, plan.moves)
 	return plan
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -6,38 +6,38 @@
 	expert uint16
 }
 
-// search improves one layer's placement step by step.
+// search is a greedy local search for a better placement of one layer.
 type search struct {
-	slots    int
-	load     []float64
-	slowness []float64
-	place    []uint16
-	replicas []int     // By expert.
-	share    []float64 // By expert: load of each replica.
-	holders  [][]int   // By expert: its slots.
-	time     []float64 // By rank.
-	changes  []change
+	slotsPerRank  int
+	load          []float64
+	slowness      []float64
+	slotExperts   []uint16
+	replicas      []int     // By expert.
+	share         []float64 // By expert: load of each replica.
+	slotsByExpert [][]int   // By expert: slots that hold it.
+	rankTime      []float64 // By rank.
+	changes       []change
 }
 
-func newSearch(shape Shape, place []uint16, load, slowness []float64) *search {
+func newSearch(shape Shape, slotExperts []uint16, load, slowness []float64) *search {
 	if slowness == nil {
 		slowness = evenSlowness(shape.Ranks)
 	}
 	s := &search{
-		slots: shape.Slots, load: load, slowness: slowness,
-		place:    append([]uint16(nil), place...),
-		replicas: make([]int, len(load)), share: make([]float64, len(load)),
-		holders: make([][]int, len(load)), time: make([]float64, shape.Ranks),
+		slotsPerRank: shape.Slots, load: load, slowness: slowness,
+		slotExperts: append([]uint16(nil), slotExperts...),
+		replicas:    make([]int, len(load)), share: make([]float64, len(load)),
+		slotsByExpert: make([][]int, len(load)), rankTime: make([]float64, shape.Ranks),
 	}
-	for slot, expert := range place {
+	for slot, expert := range slotExperts {
 		s.replicas[expert]++
-		s.holders[expert] = append(s.holders[expert], slot)
+		s.slotsByExpert[expert] = append(s.slotsByExpert[expert], slot)
 	}
 	for expert := range load {
 		s.share[expert] = load[expert] / float64(max(1, s.replicas[expert]))
 	}
-	for slot, expert := range place {
-		s.time[slot/s.slots] += s.share[expert] * s.slowness[slot/s.slots]
+	for slot, expert := range slotExperts {
+		s.rankTime[slot/s.slotsPerRank] += s.share[expert] * s.slowness[slot/s.slotsPerRank]
 	}
 	return s
 }
@@ -50,39 +50,40 @@
 	return slowness
 }
 
-func (s *search) hottest() int {
+func (s *search) slowestRank() int {
 	hot := 0
-	for rank, time := range s.time {
-		if time > s.time[hot] {
+	for rank, rankTime := range s.rankTime {
+		if rankTime > s.rankTime[hot] {
 			hot = rank
 		}
 	}
 	return hot
 }
 
-func (s *search) slowest() float64 { return s.time[s.hottest()] }
+func (s *search) slowestTime() float64 { return s.rankTime[s.slowestRank()] }
 
-// candidate is a step of the search with its outcome for the ranks concerned.
+// candidate is a possible step of the search with its gain.
 type candidate struct {
 	changes [2]change
 	moves   int
-	gain    float64 // Time that the hottest of the ranks concerned loses, per move.
+	gain    float64 // Reduction of the slowest affected rank's time, per move.
 }
 
-// minGain is the part of the slowest rank's time that a step must save.
+// minGain is the share of the slowest rank's time that a step must save per move.
 const minGain = 1e-3
 
-// improve takes the best step that makes the slowest rank faster.
+// improve applies the step that gains most for the slowest rank and returns its
+// changes; it reports false if no step gains enough.
 func (s *search) improve() ([]change, bool) {
-	hot := s.hottest()
-	best := candidate{gain: minGain * s.time[hot]}
-	for slot := hot * s.slots; slot < (hot+1)*s.slots; slot++ {
-		for other := range s.place {
-			if other/s.slots == hot {
+	hot := s.slowestRank()
+	best := candidate{gain: minGain * s.rankTime[hot]}
+	for slot := hot * s.slotsPerRank; slot < (hot+1)*s.slotsPerRank; slot++ {
+		for other := range s.slotExperts {
+			if other/s.slotsPerRank == hot {
 				continue
 			}
 			s.trySwap(&best, slot, other)
-			s.tryReplica(&best, s.place[slot], hot, other)
+			s.tryReplica(&best, s.slotExperts[slot], hot, other)
 		}
 	}
 	if best.moves == 0 {
@@ -90,59 +91,60 @@
 	}
 	taken := best.changes[:best.moves]
 	for _, c := range taken {
-		s.put(c)
+		s.applyChange(c)
 	}
 	s.changes = append(s.changes, taken...)
 	return taken, true
 }
 
-// trySwap exchanges the experts of two slots.
+// trySwap makes the swap of the experts in two slots the best candidate if it
+// gains more.
 func (s *search) trySwap(best *candidate, slot, other int) {
-	a, b := s.place[slot], s.place[other]
-	less := s.share[a] - s.share[b]
-	if less <= 0 {
+	a, b := s.slotExperts[slot], s.slotExperts[other]
+	shifted := s.share[a] - s.share[b]
+	if shifted <= 0 {
 		return
 	}
-	hot, cold := slot/s.slots, other/s.slots
-	worst := max(s.time[hot]-less*s.slowness[hot], s.time[cold]+less*s.slowness[cold])
-	gain := (s.time[hot] - worst) / 2
+	hot, cold := slot/s.slotsPerRank, other/s.slotsPerRank
+	worst := max(s.rankTime[hot]-shifted*s.slowness[hot], s.rankTime[cold]+shifted*s.slowness[cold])
+	gain := (s.rankTime[hot] - worst) / 2
 	if gain <= best.gain || s.holds(cold, a) || s.holds(hot, b) {
 		return
 	}
 	*best = candidate{changes: [2]change{{slot, b}, {other, a}}, moves: 2, gain: gain}
 }
 
-// tryReplica puts one more replica of the expert in place of another expert's
-// spare replica.
+// tryReplica makes another replica of the expert, in place of another expert's
+// spare replica, the best candidate if it gains more.
 func (s *search) tryReplica(best *candidate, expert uint16, hot, other int) {
-	spare := s.place[other]
+	spare := s.slotExperts[other]
 	if s.replicas[spare] < 2 || spare == expert {
 		return
 	}
 	share := s.load[expert] / float64(s.replicas[expert]+1)
-	cold := other / s.slots
-	less := (s.share[expert] - share) * s.slowness[hot]
-	worst := max(s.time[hot]-less, s.time[cold]+(share-s.share[spare])*s.slowness[cold])
-	if s.time[hot]-worst <= best.gain || s.holds(cold, expert) {
+	cold := other / s.slotsPerRank
+	saved := (s.share[expert] - share) * s.slowness[hot]
+	worst := max(s.rankTime[hot]-saved, s.rankTime[cold]+(share-s.share[spare])*s.slowness[cold])
+	if s.rankTime[hot]-worst <= best.gain || s.holds(cold, expert) {
 		return
 	}
-	more := s.load[spare]/float64(s.replicas[spare]-1) - s.share[spare]
-	for _, slot := range s.holders[spare] {
-		rank := slot / s.slots
+	added := s.load[spare]/float64(s.replicas[spare]-1) - s.share[spare]
+	for _, slot := range s.slotsByExpert[spare] {
+		rank := slot / s.slotsPerRank
 		if rank == hot {
-			worst = max(worst, s.time[hot]-less+more*s.slowness[rank])
+			worst = max(worst, s.rankTime[hot]-saved+added*s.slowness[rank])
 		} else if rank != cold {
-			worst = max(worst, s.time[rank]+more*s.slowness[rank])
+			worst = max(worst, s.rankTime[rank]+added*s.slowness[rank])
 		}
 	}
-	gain := s.time[hot] - worst
+	gain := s.rankTime[hot] - worst
 	if gain > best.gain {
 		*best = candidate{changes: [2]change{{other, expert}}, moves: 1, gain: gain}
 	}
 }
 
 func (s *search) holds(rank int, expert uint16) bool {
-	for _, held := range s.place[rank*s.slots : (rank+1)*s.slots] {
+	for _, held := range s.slotExperts[rank*s.slotsPerRank : (rank+1)*s.slotsPerRank] {
 		if held == expert {
 			return true
 		}
@@ -150,26 +152,26 @@
 	return false
 }
 
-// put carries out a change and renews the times of the ranks concerned.
-func (s *search) put(c change) {
-	before := s.place[c.slot]
-	s.charge(before, -1)
-	s.charge(c.expert, -1)
-	s.place[c.slot] = c.expert
+// applyChange applies a change and updates the times of the affected ranks.
+func (s *search) applyChange(c change) {
+	before := s.slotExperts[c.slot]
+	s.addLoad(before, -1)
+	s.addLoad(c.expert, -1)
+	s.slotExperts[c.slot] = c.expert
 	s.replicas[before]--
 	s.replicas[c.expert]++
-	s.holders[before] = without(s.holders[before], c.slot)
-	s.holders[c.expert] = append(s.holders[c.expert], c.slot)
-	s.charge(before, 1)
-	s.charge(c.expert, 1)
+	s.slotsByExpert[before] = without(s.slotsByExpert[before], c.slot)
+	s.slotsByExpert[c.expert] = append(s.slotsByExpert[c.expert], c.slot)
+	s.addLoad(before, 1)
+	s.addLoad(c.expert, 1)
 }
 
-// charge adds the expert's load, times sign, to the ranks that hold it.
-func (s *search) charge(expert uint16, sign float64) {
+// addLoad adds the expert's load, multiplied by sign, to the ranks that hold it.
+func (s *search) addLoad(expert uint16, sign float64) {
 	s.share[expert] = s.load[expert] / float64(max(1, s.replicas[expert]))
-	for _, slot := range s.holders[expert] {
-		rank := slot / s.slots
-		s.time[rank] += sign * s.share[expert] * s.slowness[rank]
+	for _, slot := range s.slotsByExpert[expert] {
+		rank := slot / s.slotsPerRank
+		s.rankTime[rank] += sign * s.share[expert] * s.slowness[rank]
 	}
 }
 
