--- a/ctl/load/events.go
+++ b/ctl/load/events.go
@@ -77,7 +77,7 @@
 		f.kind = Failed
 		return f
 	}
-	var event openai.Answer
+	var event openai.Response
 	if err := json.Unmarshal(data, &event); err != nil {
 		return failed(Cut, "malformed event: %v", err)
 	}
--- a/ctl/load/run_test.go
+++ b/ctl/load/run_test.go
@@ -37,7 +37,7 @@
 
 func writeChat(w http.ResponseWriter, text string, tokens int) {
 	for index := range tokens {
-		body, _ := json.Marshal(openai.Answer{Choices: []openai.Choice{{
+		body, _ := json.Marshal(openai.Response{Choices: []openai.Choice{{
 			Delta: &openai.ChatText{Content: engine.Token(enginePrompt(text), index)},
 		}}})
 		fmt.Fprintf(w, "data: %s\n\n", body)
--- a/server/e2e/leaving_test.go
+++ b/server/e2e/leaving_test.go
@@ -129,7 +129,7 @@
 		if event == "[DONE]" {
 			return joined.String(), true
 		}
-		var answer openai.Answer
+		var answer openai.Response
 		if !ok || json.Unmarshal([]byte(event), &answer) != nil || len(answer.Choices) == 0 {
 			joined.WriteString(scanner.Text())
 			continue
--- a/server/entry/callers.go
+++ b/server/entry/callers.go
@@ -77,7 +77,7 @@
 	if r.Method != http.MethodPost {
 		return next(w, r, snapshot, org)
 	}
-	release, refusal := e.limiter.Take(r.Context(), org)
+	release, refusal := e.limiter.Admit(r.Context(), org)
 	if refusal != nil {
 		return refusal
 	}
--- a/server/entry/generation.go
+++ b/server/entry/generation.go
@@ -70,7 +70,7 @@
 		return refusal
 	}
 	boundAnswer(w, request.Deadline)
-	answer := openai.Answer{ID: request.ID, Created: time.Now().Unix(), Model: request.Model}
+	answer := openai.Response{ID: request.ID, Created: time.Now().Unix(), Model: request.Model}
 	if asked.Stream {
 		answer.Object = form.eventObject
 		return e.streamAnswer(w, r, request, answer, form, asked.StreamOptions.IncludeUsage)
@@ -104,7 +104,7 @@
 	return request, nil
 }
 
-func (e *Entry) wholeAnswer(w http.ResponseWriter, r *http.Request, request attempt.Request, answer openai.Answer, form shape) *result.Error {
+func (e *Entry) wholeAnswer(w http.ResponseWriter, r *http.Request, request attempt.Request, answer openai.Response, form shape) *result.Error {
 	var text strings.Builder
 	finish := ""
 	refusal := e.runner.Generate(r.Context(), request, func(piece stream.Piece) error {
@@ -127,7 +127,7 @@
 
 // streamAnswer sends server-sent events. Once the answer has begun, a failure
 // is sent as an error event and the stream ends without [DONE].
-func (e *Entry) streamAnswer(w http.ResponseWriter, r *http.Request, request attempt.Request, answer openai.Answer, form shape, usage bool) *result.Error {
+func (e *Entry) streamAnswer(w http.ResponseWriter, r *http.Request, request attempt.Request, answer openai.Response, form shape, usage bool) *result.Error {
 	events := &eventWriter{w: w}
 	refusal := e.runner.Generate(r.Context(), request, func(piece stream.Piece) error {
 		return sendPiece(events, answer, form, piece, usage)
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func sendPiece(events *eventWriter, answer openai.Answer, form shape, piece stream.Piece, usage bool) error {
+func sendPiece(events *eventWriter, answer openai.Response, form shape, piece stream.Piece, usage bool) error {
 	choice := form.event(piece.Text)
 	if piece.End {
 		choice.FinishReason = &piece.Finish
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Take admits one request of the organisation; release must be called when the
+// Admit admits one request of the organisation; release must be called when the
 // request has ended.
-func (l *Limiter) Take(ctx context.Context, org config.Organisation) (release func(), err *result.Error) {
+func (l *Limiter) Admit(ctx context.Context, org config.Organisation) (release func(), err *result.Error) {
 	limits := limitsOf(org)
 	if limits == (share.Limits{}) {
 		return func() {}, nil
--- a/server/entry/openai/openai.go
+++ b/server/entry/openai/openai.go
@@ -133,8 +133,8 @@
 	FinishReason *string   `json:"finish_reason"`
 }
 
-// Answer is a whole answer or one event of a stream.
-type Answer struct {
+// Response is a whole answer or one event of a stream.
+type Response struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"` // Unix seconds.
