--- /dev/null
+++ b/server/agent/admitter.go
@@ -0,0 +1,170 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+
+	"persimmonwind.dev/policy/admission"
+	"persimmonwind.dev/policy/prefix"
+	"persimmonwind.dev/policy/reduce"
+	"persimmonwind.dev/policy/result"
+	"persimmonwind.dev/server/node"
+	"persimmonwind.dev/server/ports"
+	"persimmonwind.dev/server/wire"
+)
+
+// admitter asks the control loop for slots on behalf of traffic goroutines.
+type admitter struct {
+	node       *node.Node
+	lastTicket atomic.Uint64
+
+	mu      sync.Mutex
+	pending map[uint64]chan *result.Error
+	probes  map[uint64]chan admission.Offer
+}
+
+func newAdmitter(n *node.Node) *admitter {
+	a := &admitter{
+		node: n, pending: map[uint64]chan *result.Error{}, probes: map[uint64]chan admission.Offer{},
+	}
+	n.AddExecutor(a.execute)
+	return a
+}
+
+// slot is the permission to run one piece of work; release gives it back.
+type slot struct {
+	admitter    *admitter
+	ticket      uint64
+	broken      bool // The backend server broke the answer off.
+	startOnce   sync.Once
+	releaseOnce sync.Once
+}
+
+// markStarted tells that the backend server has sent the first piece of the answer.
+func (s *slot) markStarted() {
+	s.startOnce.Do(func() {
+		s.admitter.node.Loop.Post(admission.Begun{Ticket: s.ticket})
+	})
+}
+
+// release gives the slot back; completed tells that the backend server
+// answered in whole.
+func (s *slot) release(completed bool) {
+	s.releaseOnce.Do(func() {
+		s.admitter.node.Loop.Post(admission.Released{Ticket: s.ticket, Completed: completed, Broken: s.broken})
+	})
+}
+
+// fail takes in an error of the backend server: its work is broken off, and
+// the server is unreachable where it refused the connection.
+func (s *slot) fail(ctx context.Context, err error) {
+	if ctx.Err() != nil {
+		return
+	}
+	s.broken = true
+	if errors.Is(err, ports.ErrUnavailable) {
+		s.admitter.node.Loop.Post(admission.Unreachable{})
+	}
+}
+
+// admit waits for the control loop's decision.
+func (a *admitter) admit(ctx context.Context, work wire.Work, prompt prefix.Prompt) (*slot, *result.Error) {
+	ticket := a.lastTicket.Add(1)
+	decision := a.addPending(ticket)
+	a.node.Loop.Post(admission.Asked{
+		Ticket: ticket, Org: work.Org, Weight: a.weight(work.Org), Priority: work.Priority, Deadline: work.Deadline,
+		Prompt: prompt,
+	})
+	select {
+	case err := <-decision:
+		if err != nil {
+			return nil, err
+		}
+		return &slot{admitter: a, ticket: ticket}, nil
+	case <-ctx.Done():
+		go a.abandon(ticket, decision)
+		return nil, result.Errorf(result.Cancelled, "the caller left before the work was admitted")
+	case <-a.node.Loop.Done():
+		return nil, result.Errorf(result.Leaving, "the agent has stopped")
+	}
+}
+
+func (a *admitter) weight(org string) float64 {
+	if snapshot := a.node.State().View.InForce; snapshot != nil {
+		return snapshot.Organisations[org].Weight
+	}
+	return 0
+}
+
+// abandon leaves the queue, and gives the slot back if it was granted
+// meanwhile.
+func (a *admitter) abandon(ticket uint64, decision <-chan *result.Error) {
+	a.node.Loop.Post(admission.Left{Ticket: ticket})
+	select {
+	case err := <-decision:
+		if err == nil {
+			a.node.Loop.Post(admission.Released{Ticket: ticket})
+		}
+	case <-a.node.Loop.Done():
+	}
+}
+
+func (a *admitter) addPending(ticket uint64) <-chan *result.Error {
+	decision := make(chan *result.Error, 1)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.pending[ticket] = decision
+	return decision
+}
+
+func (a *admitter) execute(_ context.Context, effect reduce.Effect) bool {
+	switch effect := effect.(type) {
+	case admission.Admit:
+		a.resolve(effect.Ticket, nil)
+	case admission.Refuse:
+		a.resolve(effect.Ticket, effect.Err)
+	case admission.Offer:
+		a.deliverOffer(effect)
+	default:
+		return false
+	}
+	return true
+}
+
+func (a *admitter) resolve(ticket uint64, err *result.Error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	decision, ok := a.pending[ticket]
+	if !ok {
+		return
+	}
+	delete(a.pending, ticket)
+	decision <- err
+}
+
+// probe asks the control loop what the agent could take.
+func (a *admitter) probe(event admission.Probed) (admission.Offer, *result.Error) {
+	event.Ticket = a.lastTicket.Add(1)
+	answered := make(chan admission.Offer, 1)
+	a.mu.Lock()
+	a.probes[event.Ticket] = answered
+	a.mu.Unlock()
+	a.node.Loop.Post(event)
+	select {
+	case offer := <-answered:
+		return offer, nil
+	case <-a.node.Loop.Done():
+		return admission.Offer{}, result.Errorf(result.Leaving, "the agent has stopped")
+	}
+}
+
+func (a *admitter) deliverOffer(offer admission.Offer) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if answered, ok := a.probes[offer.Ticket]; ok {
+		delete(a.probes, offer.Ticket)
+		answered <- offer
+	}
+}
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -38,7 +38,7 @@
 type Agent struct {
 	settings settings.Agent
 	node     *node.Node
-	gate     *gate
+	admitter *admitter
 	engine   ports.Engine  // Nil for a plain service.
 	service  ports.Service // Nil for a model engine.
 	group    *group.Group  // Nil for a plain service.
@@ -63,7 +63,7 @@
 		traffic:  listeners.Traffic,
 		health:   listeners.Health,
 	}
-	a.gate = newGate(a.node)
+	a.admitter = newAdmitter(a.node)
 	a.metrics = metrics.New(a.node.State)
 	a.metrics.InFlight(a.inFlight.Count)
 	if config.Kind == settings.KindEngine {
@@ -86,36 +86,36 @@
 // Run serves until ctx ends, then drains.
 func (a *Agent) Run(ctx context.Context) error {
 	var group run.Group
-	life, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	if a.group != nil {
-		group.Add(func() error { return a.group.Run(life) }, func(error) { stop() })
+		group.Add(func() error { return a.group.Run(runCtx) }, func(error) { stop() })
 	}
-	group.Add(func() error { return a.node.Run(life) }, func(error) { stop() })
-	group.Add(func() error { return leave.Serve(life, a.server, a.node.Secured(a.traffic)) }, func(error) { _ = a.server.Close() })
+	group.Add(func() error { return a.node.Run(runCtx) }, func(error) { stop() })
+	group.Add(func() error { return leave.Serve(runCtx, a.server, a.node.Secured(a.traffic)) }, func(error) { _ = a.server.Close() })
 	if a.health != nil {
 		health := &http.Server{Handler: a.healthHandler(), ReadHeaderTimeout: headerTimeout}
-		group.Add(func() error { return leave.Serve(life, health, a.health) }, func(error) { _ = health.Close() })
+		group.Add(func() error { return leave.Serve(runCtx, health, a.health) }, func(error) { _ = health.Close() })
 	}
-	group.Add(func() error { return (&poller{agent: a}).run(life) }, func(error) { stop() })
-	group.Add(func() error { return a.drainAfter(ctx, life) }, func(error) { stop() })
+	group.Add(func() error { return (&poller{agent: a}).run(runCtx) }, func(error) { stop() })
+	group.Add(func() error { return a.drainAfter(ctx, runCtx) }, func(error) { stop() })
 	return group.Run()
 }
 
 // drainAfter refuses new work once ctx has ended and returns when nothing is
 // in flight. Refusals are answered for the leave delay, since entries may not
-// have noticed yet.
-func (a *Agent) drainAfter(ctx, life context.Context) error {
-	if !leave.Told(ctx, life) {
+// have delayEnd yet.
+func (a *Agent) drainAfter(ctx, runCtx context.Context) error {
+	if !leave.Told(ctx, runCtx) {
 		return nil
 	}
 	a.node.Leave()
-	noticed := time.Now().Add(a.settings.LeaveDelay())
-	drain, cancel := context.WithTimeout(life, leave.MaxDrain)
+	delayEnd := time.Now().Add(a.settings.LeaveDelay())
+	drain, cancel := context.WithTimeout(runCtx, leave.MaxDrain)
 	defer cancel()
 	if err := a.inFlight.Wait(drain); err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
-	wait.For(drain, time.Until(noticed))
+	wait.For(drain, time.Until(delayEnd))
 	return a.server.Shutdown(drain)
 }
--- a/server/agent/generate.go
+++ b/server/agent/generate.go
@@ -37,11 +37,11 @@
 		refuse(w, backendError(err))
 		return false
 	}
-	c := newCarrier(a.engine, request, w)
-	c.next = (&observer{slot: slot}).next
-	if err := c.carry(ctx, pieces); err != nil {
+	r := newRelay(a.engine, request, w)
+	r.next = (&observer{slot: slot}).next
+	if err := r.run(ctx, pieces); err != nil {
 		a.cancel(request.ID)
-		c.sendFailure(err)
+		r.sendFailure(err)
 		return false
 	}
 	return true
@@ -54,8 +54,8 @@
 	_ = a.engine.Cancel(ctx, id)
 }
 
-// carrier copies one generation's pieces and resumes a broken stream.
-type carrier struct {
+// relay copies one generation's pieces and resumes a broken stream.
+type relay struct {
 	engine    ports.Engine
 	next      func(context.Context, *stream.Reader) (stream.Piece, error)
 	id        string
@@ -65,32 +65,32 @@
 	sendErr   error // Set once the entry can't be reached.
 }
 
-func newCarrier(engine ports.Engine, request ports.Generation, w http.ResponseWriter) *carrier {
+func newRelay(engine ports.Engine, request ports.Generation, w http.ResponseWriter) *relay {
 	flusher, _ := w.(http.Flusher)
-	return &carrier{
+	return &relay{
 		engine: engine, id: request.ID, writer: stream.NewWriter(w, flusher.Flush),
 		next:      func(_ context.Context, pieces *stream.Reader) (stream.Piece, error) { return pieces.Next() },
 		assembler: answer.ResumeAt[stream.Piece](request.From),
 	}
 }
 
-// carry copies pieces to the end; a stream that breaks is resumed behind the
+// run copies pieces to the end; a stream that breaks is resumed behind the
 // last token sent.
-func (c *carrier) carry(ctx context.Context, pieces *stream.Reader) error {
+func (r *relay) run(ctx context.Context, pieces *stream.Reader) error {
 	for resumes := 0; ; resumes++ {
-		before := c.assembler.Delivered()
-		err := c.copyPieces(ctx, pieces)
+		before := r.assembler.Delivered()
+		err := r.copyPieces(ctx, pieces)
 		_ = pieces.Close()
-		c.writer.Flush()
-		if c.assembler.Delivered() > before {
+		r.writer.Flush()
+		if r.assembler.Delivered() > before {
 			resumes = 0
 		}
-		if err == nil || c.sendErr != nil || ctx.Err() != nil || resumes == maxResumes {
+		if err == nil || r.sendErr != nil || ctx.Err() != nil || resumes == maxResumes {
 			return err
 		}
 		time.Sleep(resumePause)
-		c.assembler.DropPending()
-		resumed, resumeErr := c.engine.Resume(ctx, c.id, c.assembler.Delivered())
+		r.assembler.DropPending()
+		resumed, resumeErr := r.engine.Resume(ctx, r.id, r.assembler.Delivered())
 		if resumeErr != nil {
 			return errors.Join(err, resumeErr)
 		}
@@ -98,52 +98,52 @@
 	}
 }
 
-func (c *carrier) copyPieces(ctx context.Context, pieces *stream.Reader) error {
+func (r *relay) copyPieces(ctx context.Context, pieces *stream.Reader) error {
 	for {
-		piece, err := c.next(ctx, pieces)
+		piece, err := r.next(ctx, pieces)
 		if errors.Is(err, io.EOF) {
-			return c.assembler.CheckComplete()
+			return r.assembler.CheckComplete()
 		}
 		if err != nil {
 			return err
 		}
-		due, err := c.assembler.Accept(c.id, stream.PartOf(piece))
+		due, err := r.assembler.Accept(r.id, stream.PartOf(piece))
 		if err != nil {
 			return err
 		}
-		if err := c.send(due, piece.More); err != nil {
+		if err := r.send(due, piece.More); err != nil {
 			return err
 		}
-		if c.assembler.Ended() {
+		if r.assembler.Ended() {
 			return nil
 		}
 	}
 }
 
 // send sends the pieces; more tells that another one is at hand.
-func (c *carrier) send(pieces []stream.Piece, more bool) error {
+func (r *relay) send(pieces []stream.Piece, more bool) error {
 	if len(pieces) == 0 && !more {
-		c.writer.Flush()
+		r.writer.Flush()
 	}
 	for index, piece := range pieces {
-		piece.Seq = c.sent
+		piece.Seq = r.sent
 		piece.More = more || index < len(pieces)-1
-		if err := c.writer.Write(piece); err != nil {
-			c.sendErr = err
+		if err := r.writer.Write(piece); err != nil {
+			r.sendErr = err
 			return err
 		}
-		c.sent++
+		r.sent++
 	}
 	return nil
 }
 
 // sendFailure ends the answer as cut.
-func (c *carrier) sendFailure(err error) {
-	if c.sendErr != nil {
+func (r *relay) sendFailure(err error) {
+	if r.sendErr != nil {
 		panic(http.ErrAbortHandler)
 	}
-	_ = c.writer.Write(stream.Piece{
-		ID: c.id, Seq: c.sent, From: c.assembler.Delivered(),
+	_ = r.writer.Write(stream.Piece{
+		ID: r.id, Seq: r.sent, From: r.assembler.Delivered(),
 		End: true, Code: result.CutAnswer, Detail: err.Error(),
 	})
 }
--- a/server/agent/generate_test.go
+++ b/server/agent/generate_test.go
@@ -20,14 +20,14 @@
 
 const testTokens = 40
 
-// carryOnce carries the tokens behind the first from of one generation from a
-// stand-in engine with the faults.
-func carryOnce(from int, faults engine.StreamFaults) (text string, ended bool, err error) {
+// relayOnce carries the tokens behind the first from of one generation from a
+// standIn-in engine with the faults.
+func relayOnce(from int, faults engine.StreamFaults) (text string, ended bool, err error) {
 	options := engine.DefaultOptions()
 	options.TokenTime = 0
-	stand := engine.New(options)
-	stand.SetStreamFaults(faults)
-	server := httptest.NewServer(stand.Handler())
+	standIn := engine.New(options)
+	standIn.SetStreamFaults(faults)
+	server := httptest.NewServer(standIn.Handler())
 	defer server.Close()
 	transport := httpapi.NewTransport()
 	defer transport.CloseIdleConnections()
@@ -40,7 +40,7 @@
 		return "", false, err
 	}
 	recorder := httptest.NewRecorder()
-	err = newCarrier(adapter, request, recorder).carry(ctx, pieces)
+	err = newRelay(adapter, request, recorder).run(ctx, pieces)
 	text, ended = readAnswer(recorder)
 	return text, ended, err
 }
@@ -76,7 +76,7 @@
 	Convey("A carried answer is whole and in order under", t, func() {
 		for _, row := range rows {
 			Convey(row.name, func() {
-				text, ended, err := carryOnce(0, row.faults)
+				text, ended, err := relayOnce(0, row.faults)
 				So(err, ShouldBeNil)
 				So(ended, ShouldBeTrue)
 				So(text, ShouldEqual, whole.String())
@@ -84,13 +84,13 @@
 		}
 	})
 	Convey("A continuation brings the rest of the answer", t, func() {
-		text, ended, err := carryOnce(testTokens-1, engine.StreamFaults{DuplicateEvery: 1})
+		text, ended, err := relayOnce(testTokens-1, engine.StreamFaults{DuplicateEvery: 1})
 		So(err, ShouldBeNil)
 		So(ended, ShouldBeTrue)
 		So(text, ShouldEqual, engine.Token("prompt", testTokens-1))
 	})
 	Convey("An answer that can't be completed has no end", t, func() {
-		text, ended, err := carryOnce(0, engine.StreamFaults{CutEvery: 1})
+		text, ended, err := relayOnce(0, engine.StreamFaults{CutEvery: 1})
 		So(err, ShouldNotBeNil)
 		So(ended, ShouldBeFalse)
 		So(text, ShouldBeEmpty)
@@ -101,21 +101,21 @@
 	Convey("A generation that nobody waits for frees its slot", t, func() {
 		options := engine.DefaultOptions()
 		options.TokenTime = time.Millisecond
-		stand := engine.New(options)
-		server := httptest.NewServer(stand.Handler())
+		standIn := engine.New(options)
+		server := httptest.NewServer(standIn.Handler())
 		defer server.Close()
 		a := &Agent{engine: httpapi.NewEngine(server.URL, http.DefaultTransport)}
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		pieces, err := a.engine.Submit(ctx, ports.Generation{ID: "a", Prompt: "p", MaxTokens: 1_000_000})
 		So(err, ShouldBeNil)
 		_, err = pieces.Next()
 		So(err, ShouldBeNil)
-		So(stand.Running(), ShouldEqual, 1)
-		leave()
+		So(standIn.Running(), ShouldEqual, 1)
+		disconnect()
 		a.cancel("a")
-		for deadline := time.Now().Add(30 * time.Second); stand.Running() > 0 && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(30 * time.Second); standIn.Running() > 0 && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
-		So(stand.Running(), ShouldEqual, 0)
+		So(standIn.Running(), ShouldEqual, 0)
 	})
 }
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -23,7 +23,7 @@
 
 const (
 	maxExecutions      = 4096 // Executions that are active at a time.
-	storePatience      = 2 * time.Second
+	storeWait          = 2 * time.Second
 	defaultCallTimeout = 60 * time.Second
 	maxExecutionWait   = 5 * time.Second
 )
@@ -52,20 +52,20 @@
 
 // execution is one run of a key's work.
 type execution struct {
-	owner    *executions
-	id       policy.Execution
-	work     wire.Work
-	body     []byte
-	fail     func(error) // Told when the call of the backend server fails.
-	answer   policy.Answer
-	refusal  *result.Error // Set before ended is closed.
-	answered chan struct{} // Closed once answer is known.
-	ended    chan struct{} // Closed once the execution is inactive.
+	owner     *executions
+	id        policy.Execution
+	work      wire.Work
+	body      []byte
+	onFailure func(error) // Told when the call of the backend server fails.
+	answer    policy.Answer
+	refusal   *result.Error // Set before ended is closed.
+	answered  chan struct{} // Closed once answer is known.
+	ended     chan struct{} // Closed once the execution is inactive.
 }
 
-func (e *executions) begin(work wire.Work, body []byte, fail func(error)) (*execution, *result.Error) {
+func (e *executions) begin(work wire.Work, body []byte, onFailure func(error)) (*execution, *result.Error) {
 	x := &execution{
-		owner: e, work: work, body: body, fail: fail,
+		owner: e, work: work, body: body, onFailure: onFailure,
 		id:       policy.Execution{Agent: e.agent, Boot: e.boot, Nonce: uuid.NewString()},
 		answered: make(chan struct{}), ended: make(chan struct{}),
 	}
@@ -105,7 +105,7 @@
 		if _, ok := effect.(policy.Finish); ok {
 			return
 		}
-		machine, effect = machine.Step(x.do(ctx, effect))
+		machine, effect = machine.Step(x.execute(ctx, effect))
 		if answer, ok := machine.Storing(); ok {
 			x.publish(answer)
 		}
@@ -122,19 +122,19 @@
 	}
 }
 
-func (x *execution) do(ctx context.Context, effect reduce.Effect) reduce.Event {
+func (x *execution) execute(ctx context.Context, effect reduce.Effect) reduce.Event {
 	switch effect := effect.(type) {
 	case policy.ReadRow:
 		event := x.owner.rows.Read(ctx, x.work.Key, effect)
 		if read, ok := event.(policy.RowRead); ok {
-			read.Late = x.late()
+			read.Late = x.pastDeadline()
 			return read
 		}
 		return event
 	case policy.WriteRow:
 		event := x.owner.rows.Write(ctx, x.work.Key, effect)
 		if _, ok := event.(policy.WriteSucceeded); ok {
-			return policy.WriteSucceeded{Late: x.late()}
+			return policy.WriteSucceeded{Late: x.pastDeadline()}
 		}
 		return event
 	default:
@@ -142,7 +142,7 @@
 	}
 }
 
-func (x *execution) late() bool { return time.Now().After(x.work.Deadline) }
+func (x *execution) pastDeadline() bool { return time.Now().After(x.work.Deadline) }
 
 func (x *execution) call(ctx context.Context) reduce.Event {
 	ctx, cancel := context.WithTimeout(ctx, x.owner.callTimeout(x.work))
@@ -153,7 +153,7 @@
 	if err == nil {
 		return policy.Answered{Answer: policy.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: string(answer.Body)}}
 	}
-	x.fail(err)
+	x.onFailure(err)
 	if errors.Is(err, ports.ErrUnavailable) {
 		return policy.BackendNotCalled{}
 	}
@@ -200,7 +200,7 @@
 		refuse(w, x.refusal)
 		return false
 	}
-	whole := writeStored(w, x.answer)
+	whole := writeAnswer(w, x.answer)
 	slot.release(whole)
 	<-x.ended
 	return whole
@@ -210,13 +210,13 @@
 func (x *execution) awaitStored() {
 	select {
 	case <-x.ended:
-	case <-time.After(storePatience):
+	case <-time.After(storeWait):
 		logevent.Write(x.owner.node.Log(), logevent.AnswerNotStored, logrus.Fields{"request": x.work.RequestID})
 	}
 }
 
-// writeStored sends the answer in whole; it reports whether there is one.
-func writeStored(w http.ResponseWriter, answer policy.Answer) bool {
+// writeAnswer sends the answer in whole; it reports whether there is one.
+func writeAnswer(w http.ResponseWriter, answer policy.Answer) bool {
 	if answer.Code != 0 {
 		refuse(w, result.Errorf(result.Code(answer.Code), "the backend server gave no answer"))
 		return false
--- a/server/agent/observer.go
+++ b/server/agent/observer.go
@@ -24,6 +24,6 @@
 		o.slot.fail(ctx, err)
 		return piece, err
 	}
-	o.slot.begun()
+	o.slot.markStarted()
 	return piece, nil
 }
--- a/server/agent/receiver.go
+++ b/server/agent/receiver.go
@@ -18,7 +18,7 @@
 		refuseProbe(reply, err)
 		return nil
 	}
-	offer, err := r.agent.gate.probe(admission.Probed{Tokens: request.Tokens, Blocks: request.Blocks, Sample: request.Prefix})
+	offer, err := r.agent.admitter.probe(admission.Probed{Tokens: request.Tokens, Blocks: request.Blocks, Sample: request.Prefix})
 	if err != nil {
 		refuseProbe(reply, err)
 		return nil
--- a/server/agent/traffic.go
+++ b/server/agent/traffic.go
@@ -18,8 +18,8 @@
 
 func (a *Agent) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+wire.PathGenerate, a.admitted(a.generate))
-	mux.HandleFunc("POST "+wire.PathCall, a.admitted(a.call))
+	mux.HandleFunc("POST "+wire.PathGenerate, a.withAdmission(a.generate))
+	mux.HandleFunc("POST "+wire.PathCall, a.withAdmission(a.call))
 	return mux
 }
 
@@ -41,8 +41,8 @@
 // server answered in whole.
 type workHandler func(ctx context.Context, w http.ResponseWriter, slot *slot, work wire.Work, body []byte) bool
 
-// admitted reads the work, admits it and passes it on.
-func (a *Agent) admitted(next workHandler) http.HandlerFunc {
+// withAdmission reads the work, admits it and passes it on.
+func (a *Agent) withAdmission(next workHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		work, err := wire.DecodeWork(r.Header)
 		if err != nil {
@@ -55,7 +55,7 @@
 			refuse(w, result.Errorf(result.BodyTooLarge, "read work %q: %v", work.RequestID, err))
 			return
 		}
-		slot, refusal := a.gate.admit(r.Context(), work, promptOf(body))
+		slot, refusal := a.admitter.admit(r.Context(), work, promptOf(body))
 		if refusal != nil {
 			refuse(w, refusal)
 			return
--- a/server/entry/attempt/agent_client.go
+++ b/server/entry/attempt/agent_client.go
@@ -40,8 +40,8 @@
 		return nil, result.From(err)
 	}
 	// The wrapped body keeps the transport from sending the work twice.
-	once := io.MultiReader(bytes.NewReader(body))
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.scheme+"://"+target.Traffic+path, once)
+	reader := io.MultiReader(bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.scheme+"://"+target.Traffic+path, reader)
 	if err != nil {
 		return nil, result.From(err)
 	}
@@ -62,8 +62,8 @@
 }
 
 func sendError(err error) *result.Error {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return result.Errorf(result.NoBackendServer, "%v", err)
 	}
 	return result.Errorf(result.OutcomeUnknown, "%v", err)
--- a/server/entry/attempt/cancels.go
+++ b/server/entry/attempt/cancels.go
@@ -11,63 +11,63 @@
 	"persimmonwind.dev/server/once"
 )
 
-// cancels writes final cancellations within the budget; equal ones that come
+// cancelWriter writes final cancellations within the budget; equal ones that come
 // together share one write.
-type cancels struct {
+type cancelWriter struct {
 	rows    *once.Rows
 	entries func() int // Number of live entries.
 
-	mu      sync.Mutex
-	budget  policy.Budget
-	flights map[string]*flight
+	mu       sync.Mutex
+	budget   policy.Budget
+	inflight map[string]*inflightWrite
 }
 
-// flight is one write that is under way.
-type flight struct {
+// inflightWrite is one write that is under way.
+type inflightWrite struct {
 	done  chan struct{}
 	event reduce.Event // Valid after done is closed.
 }
 
-func newCancels(rows *once.Rows, entries func() int) *cancels {
-	return &cancels{rows: rows, entries: entries, flights: map[string]*flight{}}
+func newCancelWriter(rows *once.Rows, entries func() int) *cancelWriter {
+	return &cancelWriter{rows: rows, entries: entries, inflight: map[string]*inflightWrite{}}
 }
 
-func (c *cancels) write(ctx context.Context, key, fingerprint string, effect policy.WriteRow) reduce.Event {
+func (c *cancelWriter) write(ctx context.Context, key, fingerprint string, effect policy.WriteRow) reduce.Event {
 	name := key + "/" + strconv.FormatUint(effect.Version, 10) + "/" + fingerprint
-	f, own := c.join(name)
-	if f == nil {
+	w, leader := c.join(name)
+	if w == nil {
 		return policy.WriteSkipped{}
 	}
-	if own {
-		f.event = c.rows.Write(context.WithoutCancel(ctx), key, effect)
+	if leader {
+		w.event = c.rows.Write(context.WithoutCancel(ctx), key, effect)
 		c.leave(name)
-		close(f.done)
+		close(w.done)
 	}
-	<-f.done
-	return f.event
+	<-w.done
+	return w.event
 }
 
-// join returns the flight of the name; own tells that the caller must make it.
+// join returns the flight of the name; leader tells that the caller must make it.
 // It returns nil where the budget is spent.
-func (c *cancels) join(name string) (f *flight, own bool) {
+func (c *cancelWriter) join(name string) (w *inflightWrite, leader bool) {
 	entries := c.entries()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if f := c.flights[name]; f != nil {
-		return f, false
+	if w := c.inflight[name]; w != nil {
+		return w, false
 	}
 	var allowed bool
 	c.budget, allowed = c.budget.Take(time.Now(), entries)
 	if !allowed {
 		return nil, false
 	}
-	f = &flight{done: make(chan struct{})}
-	c.flights[name] = f
-	return f, true
+	w = &inflightWrite{done: make(chan struct{})}
+	c.inflight[name] = w
+	return w, true
 }
 
-func (c *cancels) leave(name string) {
+func (c *cancelWriter) leave(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.flights, name)
+	delete(c.inflight, name)
 }
--- a/server/entry/attempt/cancels_test.go
+++ b/server/entry/attempt/cancels_test.go
@@ -14,23 +14,23 @@
 	"persimmonwind.dev/server/standin/store"
 )
 
-// heldTable tells each commit and delays it until it is let go.
-type heldTable struct {
+// blockingTable tells each commit and delays it until it is let go.
+type blockingTable struct {
 	ports.Table
-	commits, held chan struct{}
+	commits, unblock chan struct{}
 }
 
-func (h heldTable) Commit(ctx context.Context, tx ports.Tx) error {
+func (h blockingTable) Commit(ctx context.Context, tx ports.Tx) error {
 	h.commits <- struct{}{}
-	<-h.held
+	<-h.unblock
 	return h.Table.Commit(ctx, tx)
 }
 
 func TestEqualCancellationsShareOneWrite(t *testing.T) {
 	Convey("Given a refusal's write that is under way", t, func() {
 		table := store.New()
-		commits, held := make(chan struct{}), make(chan struct{})
-		c := newCancels(&once.Rows{Table: heldTable{Table: table, commits: commits, held: held}}, func() int { return 1 })
+		commits, unblock := make(chan struct{}), make(chan struct{})
+		c := newCancelWriter(&once.Rows{Table: blockingTable{Table: table, commits: commits, unblock: unblock}}, func() int { return 1 })
 		effect := policy.WriteRow{Row: policy.Row{State: policy.Cancelled, Epoch: 1, Ended: 1}}
 		write := func() reduce.Event { return c.write(context.Background(), "once/1", "body", effect) }
 		first := make(chan reduce.Event)
@@ -39,11 +39,11 @@
 
 		Convey("equal refusals join it beyond the budget", func() {
 			for range 100 {
-				f, own := c.join("once/1/0/body")
-				So(f, ShouldNotBeNil)
-				So(own, ShouldBeFalse)
+				w, leader := c.join("once/1/0/body")
+				So(w, ShouldNotBeNil)
+				So(leader, ShouldBeFalse)
 			}
-			close(held)
+			close(unblock)
 			So(<-first, ShouldResemble, policy.WriteSucceeded{})
 			So(table.Counts().Writes, ShouldEqual, 1)
 		})
@@ -51,7 +51,7 @@
 
 	Convey("Given refusals of many keys, the budget skips most writes", t, func() {
 		table := store.New()
-		c := newCancels(&once.Rows{Table: table}, func() int { return 330 })
+		c := newCancelWriter(&once.Rows{Table: table}, func() int { return 330 })
 		skipped := 0
 		for index := range 100 {
 			event := c.write(context.Background(), policy.RowKey("org", time.Duration(index).String()), "body", policy.WriteRow{Row: policy.Row{State: policy.Cancelled, Epoch: 1, Ended: 1}})
--- a/server/entry/attempt/execution.go
+++ b/server/entry/attempt/execution.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	askPause = 500 * time.Millisecond
-	askWait  = 5 * time.Second // Longest wait of the agent before it replies.
+	queryRetryPause = 500 * time.Millisecond
+	queryWait       = 5 * time.Second // Longest wait of the agent before it replies.
 )
 
 var errAgentNotListed = errors.New("the execution's agent is not in the instance list")
@@ -21,24 +21,24 @@
 // sendWatched sends a call and gives it up once its agent is silent: it answers
 // neither the call nor heartbeats.
 func (r *Runner) sendWatched(ctx context.Context, target route.Target, work wire.Work, body []byte) (Answer, *result.Error) {
-	ctx, dog := newWatchdog(ctx, time.Until(work.Deadline))
-	defer dog.stop()
-	defer r.liveness.watch(target.Control, dog)()
+	ctx, wd := newWatchdog(ctx, time.Until(work.Deadline))
+	defer wd.stop()
+	defer r.liveness.watch(target.Control, wd)()
 	return r.agents.call(ctx, target, work, body)
 }
 
-// askExecution asks an execution's agent about it; the agent replies once it
+// queryExecution asks an execution's agent about it; the agent replies once it
 // knows more, or after askWait.
-func (r *Runner) askExecution(ctx context.Context, execution policy.Execution) (*wire.ExecutionReply, error) {
-	control, ok := r.controlOf(execution.Agent)
+func (r *Runner) queryExecution(ctx context.Context, execution policy.Execution) (*wire.ExecutionReply, error) {
+	control, ok := r.controlAddress(execution.Agent)
 	if !ok {
 		return nil, errAgentNotListed
 	}
-	ctx, dog := newWatchdog(ctx, askWait+heartbeatTimeout)
-	defer dog.stop()
-	defer r.liveness.watch(control, dog)()
+	ctx, wd := newWatchdog(ctx, queryWait+heartbeatTimeout)
+	defer wd.stop()
+	defer r.liveness.watch(control, wd)()
 	reply := new(wire.ExecutionReply)
-	request := wire.ExecutionRequest{Stamp: r.node.Stamp(), Execution: execution, WaitMS: askWait.Milliseconds()}
+	request := wire.ExecutionRequest{Stamp: r.node.Stamp(), Execution: execution, WaitMS: queryWait.Milliseconds()}
 	if err := r.node.Pool.Call(ctx, control, "Execution.Wait", request, reply); err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 	return reply, nil
 }
 
-func (r *Runner) controlOf(agent string) (string, bool) {
+func (r *Runner) controlAddress(agent string) (string, bool) {
 	for _, instance := range r.node.Instances() {
 		if instance.ID == agent {
 			return instance.Control, true
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -37,7 +37,7 @@
 			return deadlineErr
 		}
 		if !g.continuable(err) || continuation == maxContinuations {
-			return g.final(err)
+			return g.finalError(err)
 		}
 		if err.NotRun() {
 			wait.For(ctx, continuationPause)
@@ -76,9 +76,9 @@
 	}
 }
 
-// final returns the result of an answer that isn't continued. Once a part was
+// finalError returns the result of an answer that isn't continued. Once a part was
 // passed on, the work has run and the answer is cut.
-func (g *generation) final(err *result.Error) *result.Error {
+func (g *generation) finalError(err *result.Error) *result.Error {
 	if g.assembler.Delivered() == 0 {
 		return err
 	}
@@ -88,7 +88,7 @@
 // attempt makes one attempt; begun tells the retry loop that it passed on a part
 // of the answer, which is to be continued.
 func (g *generation) attempt(ctx context.Context, target route.Target, work wire.Work) (begun bool, refusal *result.Error) {
-	g.request.earlier = max(g.request.earlier, work.Attempt)
+	g.request.priorAttempts = max(g.request.priorAttempts, work.Attempt)
 	before := g.assembler.Delivered()
 	g.assembler.DropPending()
 	ctx, watchdog := newWatchdog(ctx, firstPieceTimeout)
@@ -97,10 +97,10 @@
 	pieces, refusal := g.runner.agents.openGeneration(ctx, target, work, g.remaining())
 	if refusal == nil {
 		defer pieces.Close()
-		refusal = g.pass(work.AnswerID(), pieces, watchdog)
+		refusal = g.forward(work.AnswerID(), pieces, watchdog)
 	}
 	if refusal != nil && !refusal.NotRun() {
-		g.request.avoided = append(g.request.avoided, target.BackendServer)
+		g.request.failedServers = append(g.request.failedServers, target.BackendServer)
 	}
 	return g.assembler.Delivered() > before, refusal
 }
@@ -113,8 +113,8 @@
 	}
 }
 
-// pass hands the pieces on until the end piece.
-func (g *generation) pass(id string, pieces *stream.Reader, watchdog *watchdog) *result.Error {
+// forward hands the pieces on until the end piece.
+func (g *generation) forward(id string, pieces *stream.Reader, watchdog *watchdog) *result.Error {
 	for {
 		piece, err := pieces.Next()
 		if errors.Is(err, io.EOF) {
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -17,24 +17,24 @@
 
 const (
 	maxKeyLength      = 255
-	keyRetryAfter     = time.Second
-	answerGrace       = time.Second // Left for the answer before the deadline.
-	minimumForAttempt = 50 * time.Millisecond
+	defaultRetryAfter = time.Second
+	answerMargin      = time.Second // Left for the answer before the deadline.
+	minAttemptTime    = 50 * time.Millisecond
 )
 
 // keyedCall carries one non-idempotent call: it carries out what the pure
 // state machine of package policy/once asks for.
 type keyedCall struct {
-	runner  *Runner
-	request Request
-	row     string // Key of the row in the table service.
-	body    string // Fingerprint of the request.
-	query   route.Query
-	number  int           // Attempts sent.
-	waited  time.Duration // Retry-After of the latest refusal.
-	detail  string
-	code    result.Code // Of the latest refusal.
-	free    bool        // The latest attempt reached no backend server.
+	runner       *Runner
+	request      Request
+	rowKey       string // Key of the row in the table service.
+	fingerprint  string // Fingerprint of the request.
+	query        route.Query
+	attempts     int           // Attempts sent.
+	retryAfter   time.Duration // Retry-After of the latest refusal.
+	lastDetail   string
+	lastCode     result.Code // Of the latest refusal.
+	budgetExempt bool        // The latest attempt reached no backend server.
 }
 
 // callKeyed runs a call that must not run twice.
@@ -42,14 +42,14 @@
 	if len(request.Key) > maxKeyLength {
 		return Answer{}, result.Errorf(result.BadRequest, "The Idempotency-Key has %d characters; %d are allowed.", len(request.Key), maxKeyLength)
 	}
-	ctx, cancel := context.WithDeadline(ctx, request.Deadline.Add(-min(answerGrace, time.Until(request.Deadline)/4)))
+	ctx, cancel := context.WithDeadline(ctx, request.Deadline.Add(-min(answerMargin, time.Until(request.Deadline)/4)))
 	defer cancel()
 	c := &keyedCall{
-		runner: r, request: request, query: queryOf(request), waited: keyRetryAfter, code: result.NoBackendServer,
-		row:  policy.RowKey(request.Org, request.Key),
-		body: policy.Fingerprint(request.Service, request.Operation, request.Body),
+		runner: r, request: request, query: newQuery(request), retryAfter: defaultRetryAfter, lastCode: result.NoBackendServer,
+		rowKey:      policy.RowKey(request.Org, request.Key),
+		fingerprint: policy.Fingerprint(request.Service, request.Operation, request.Body),
 	}
-	machine, effect := policy.NewEntry(!request.KeyGenerated, c.body)
+	machine, effect := policy.NewEntry(!request.KeyGenerated, c.fingerprint)
 	for {
 		switch end := effect.(type) {
 		case policy.Finish:
@@ -57,7 +57,7 @@
 		case policy.Refuse:
 			return Answer{}, c.refuse(end)
 		}
-		event := c.do(ctx, effect)
+		event := c.execute(ctx, effect)
 		if ctx.Err() != nil && !conclusive(event) {
 			event = policy.Expired{}
 		}
@@ -78,16 +78,16 @@
 func (c *keyedCall) finish(ctx context.Context, answer policy.Answer) (Answer, *result.Error) {
 	loaded, err := c.runner.rows.Load(context.WithoutCancel(ctx), answer)
 	if err != nil {
-		err.RetryAfter = keyRetryAfter
+		err.RetryAfter = defaultRetryAfter
 		return Answer{}, err
 	}
 	return Answer{Status: loaded.Status, ContentType: loaded.ContentType, Body: []byte(loaded.Body)}, nil
 }
 
 func (c *keyedCall) refuse(end policy.Refuse) *result.Error {
-	err := result.Errorf(end.Code, "%s", c.detail)
+	err := result.Errorf(end.Code, "%s", c.lastDetail)
 	if result.Describe(end.Code).Retryable {
-		err.RetryAfter = c.waited
+		err.RetryAfter = c.retryAfter
 	}
 	if !err.NotRun() && end.Code != result.KeyReused {
 		logevent.Write(c.runner.node.Log(), logevent.KeyRefusedWeaker, logrus.Fields{"request": c.request.ID, "code": int(end.Code)})
@@ -95,25 +95,25 @@
 	return err
 }
 
-func (c *keyedCall) do(ctx context.Context, effect reduce.Effect) reduce.Event {
+func (c *keyedCall) execute(ctx context.Context, effect reduce.Effect) reduce.Event {
 	switch effect := effect.(type) {
 	case policy.ReadRow:
-		return c.runner.rows.Read(ctx, c.row, effect)
+		return c.runner.rows.Read(ctx, c.rowKey, effect)
 	case policy.WriteRow:
 		return c.write(ctx, effect)
 	case policy.SendAttempt:
 		return c.send(ctx, effect.Epoch)
 	case policy.QueryProgress:
-		return c.ask(ctx, effect.Execution)
+		return c.queryProgress(ctx, effect.Execution)
 	}
 	return policy.Expired{}
 }
 
 func (c *keyedCall) write(ctx context.Context, effect policy.WriteRow) reduce.Event {
 	if effect.Budgeted {
-		return c.runner.cancels.write(ctx, c.row, c.body, effect)
+		return c.runner.cancelWriter.write(ctx, c.rowKey, c.fingerprint, effect)
 	}
-	event := c.runner.rows.Write(ctx, c.row, effect)
+	event := c.runner.rows.Write(ctx, c.rowKey, effect)
 	if _, ok := event.(policy.WriteSucceeded); ok {
 		logevent.Write(c.runner.node.Log(), logevent.AttemptMovedOn, logrus.Fields{"request": c.request.ID, "epoch": effect.Row.Epoch})
 	}
@@ -122,21 +122,21 @@
 
 // send chooses a backend server and sends it one attempt.
 func (c *keyedCall) send(ctx context.Context, epoch uint64) reduce.Event {
-	if !c.allowed() {
-		return policy.NoTarget{Code: c.code}
+	if !c.chargeAttempt() {
+		return policy.NoTarget{Code: c.lastCode}
 	}
 	target, err := c.runner.router.Pick(ctx, c.query)
 	if err != nil {
-		return policy.NoTarget{Code: c.refused(err)}
+		return policy.NoTarget{Code: c.recordRefusal(err)}
 	}
-	if time.Until(c.request.Deadline) < minimumForAttempt {
+	if time.Until(c.request.Deadline) < minAttemptTime {
 		return policy.NoTarget{Code: result.DeadlineTooShort}
 	}
-	c.number++
+	c.attempts++
 	c.query.Excluded[target.BackendServer] = true
-	work := c.runner.work(c.request, c.number)
-	work.Key, work.Epoch = c.row, epoch
-	c.free = false
+	work := c.runner.work(c.request, c.attempts)
+	work.Key, work.Epoch = c.rowKey, epoch
+	c.budgetExempt = false
 	answer, err := c.runner.sendWatched(ctx, target, work, c.request.Body)
 	switch {
 	case err == nil:
@@ -144,31 +144,31 @@
 	case err.Code == result.Superseded:
 		return policy.Superseded{}
 	case err.NotRun():
-		c.free = retry.SkipsBudget(err.Code)
-		return policy.Refused{Code: c.refused(err)}
+		c.budgetExempt = retry.SkipsBudget(err.Code)
+		return policy.Refused{Code: c.recordRefusal(err)}
 	}
-	c.detail = err.Detail
+	c.lastDetail = err.Detail
 	return policy.NoReply{}
 }
 
-// allowed counts the first attempt and takes each further one from the retry
+// chargeAttempt counts the first attempt and takes each further one from the retry
 // budget, unless it is free.
-func (c *keyedCall) allowed() bool {
-	if c.number == 0 {
-		c.runner.budget.request()
+func (c *keyedCall) chargeAttempt() bool {
+	if c.attempts == 0 {
+		c.runner.retryBudget.request()
 		return true
 	}
-	return c.free || c.runner.budget.spend()
+	return c.budgetExempt || c.runner.retryBudget.withdraw()
 }
 
-// refused notes a refusal and returns its code.
-func (c *keyedCall) refused(err *result.Error) result.Code {
-	c.code = refusalCode(err)
-	c.detail = err.Detail
+// recordRefusal notes a refusal and returns its code.
+func (c *keyedCall) recordRefusal(err *result.Error) result.Code {
+	c.lastCode = refusalCode(err)
+	c.lastDetail = err.Detail
 	if err.RetryAfter > 0 {
-		c.waited = err.RetryAfter
+		c.retryAfter = err.RetryAfter
 	}
-	return c.code
+	return c.lastCode
 }
 
 func refusalCode(err *result.Error) result.Code {
@@ -178,11 +178,11 @@
 	return err.Code
 }
 
-func (c *keyedCall) ask(ctx context.Context, execution policy.Execution) reduce.Event {
-	reply, err := c.runner.askExecution(ctx, execution)
+func (c *keyedCall) queryProgress(ctx context.Context, execution policy.Execution) reduce.Event {
+	reply, err := c.runner.queryExecution(ctx, execution)
 	switch {
 	case err != nil:
-		wait.For(ctx, askPause)
+		wait.For(ctx, queryRetryPause)
 		return policy.ProgressReported{Progress: policy.Unreachable}
 	case reply.Answer != nil:
 		return policy.Answered{Answer: *reply.Answer}
--- a/server/entry/attempt/liveness.go
+++ b/server/entry/attempt/liveness.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	heartbeatInterval = time.Second
-	heartbeatTimeout  = time.Second
-	maxMissed         = 2 // Heartbeats in a row.
+	heartbeatInterval   = time.Second
+	heartbeatTimeout    = time.Second
+	maxMissedHeartbeats = 2 // Heartbeats in a row.
 )
 
 // errAgentDead means that an agent answers no heartbeats.
@@ -22,8 +22,8 @@
 // liveness watches the agents that attempts wait for. All attempts at one agent
 // share its heartbeats.
 type liveness struct {
-	beat func(ctx context.Context, address string) error
-	drop func(address string)
+	heartbeat func(ctx context.Context, address string) error
+	dropConn  func(address string)
 
 	mu     sync.Mutex
 	agents map[string]*watchedAgent
@@ -36,7 +36,7 @@
 }
 
 func newLiveness(n *node.Node) *liveness {
-	beat := func(ctx context.Context, address string) error {
+	heartbeat := func(ctx context.Context, address string) error {
 		var reply wire.ExchangeReply
 		err := n.Pool.Call(ctx, address, "Peer.Exchange", wire.ExchangeRequest{Stamp: n.Stamp()}, &reply)
 		if err == nil {
@@ -44,7 +44,7 @@
 		}
 		return err
 	}
-	return &liveness{beat: beat, drop: n.Pool.Drop, agents: map[string]*watchedAgent{}}
+	return &liveness{heartbeat: heartbeat, dropConn: n.Pool.Drop, agents: map[string]*watchedAgent{}}
 }
 
 // watch ends the attempt if the agent at the control address dies; the returned
@@ -80,13 +80,13 @@
 func (l *liveness) run(ctx context.Context, address string, agent *watchedAgent) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	for missed := 0; missed < maxMissed; {
+	for missed := 0; missed < maxMissedHeartbeats; {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		if !l.anySilent(agent) || l.answers(ctx, address) {
+		if !l.anySilent(agent) || l.alive(ctx, address) {
 			missed = 0
 		} else {
 			missed++
@@ -95,17 +95,17 @@
 	l.declareDead(address, agent)
 }
 
-func (l *liveness) answers(ctx context.Context, address string) bool {
+func (l *liveness) alive(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	return l.beat(ctx, address) == nil
+	return l.heartbeat(ctx, address) == nil
 }
 
 func (l *liveness) anySilent(agent *watchedAgent) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for attempt := range agent.attempts {
-		if attempt.silence() >= heartbeatInterval {
+		if attempt.idleTime() >= heartbeatInterval {
 			return true
 		}
 	}
@@ -122,5 +122,5 @@
 	if l.agents[address] == agent {
 		delete(l.agents, address)
 	}
-	l.drop(address)
+	l.dropConn(address)
 }
--- a/server/entry/attempt/liveness_test.go
+++ b/server/entry/attempt/liveness_test.go
@@ -9,18 +9,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// watchSilent watches an attempt that hears nothing from its agent and returns
+// watchSilentAgent watches an attempt that hears nothing from its agent and returns
 // why it ended, nil if it is still under way after the wait.
-func watchSilent(beatErr error, wait time.Duration) error {
+func watchSilentAgent(beatErr error, wait time.Duration) error {
 	dropped := make(chan string, 1)
 	l := &liveness{
-		beat:   func(context.Context, string) error { return beatErr },
-		drop:   func(address string) { dropped <- address },
-		agents: map[string]*watchedAgent{},
+		heartbeat: func(context.Context, string) error { return beatErr },
+		dropConn:  func(address string) { dropped <- address },
+		agents:    map[string]*watchedAgent{},
 	}
 	ctx, attempt := newWatchdog(context.Background(), time.Hour)
 	defer attempt.stop()
-	attempt.heard.Store(0)
+	attempt.lastHeard.Store(0)
 	defer l.watch("agent", attempt)()
 	select {
 	case <-ctx.Done():
@@ -33,9 +33,9 @@
 
 func TestLiveness(t *testing.T) {
 	Convey("An attempt ends when its agent answers no heartbeats", t, func() {
-		So(watchSilent(errors.New("timeout"), time.Minute), ShouldEqual, errAgentDead)
+		So(watchSilentAgent(errors.New("timeout"), time.Minute), ShouldEqual, errAgentDead)
 	})
 	Convey("An attempt goes on while its agent answers heartbeats", t, func() {
-		So(watchSilent(nil, (maxMissed+2)*heartbeatInterval), ShouldBeNil)
+		So(watchSilentAgent(nil, (maxMissedHeartbeats+2)*heartbeatInterval), ShouldBeNil)
 	})
 }
--- a/server/entry/attempt/request.go
+++ b/server/entry/attempt/request.go
@@ -31,8 +31,8 @@
 	Idempotent bool
 	Body       []byte
 
-	earlier int      // Attempts made before this run of the retry loop.
-	avoided []string // Backend servers that broke off the answer.
+	priorAttempts int      // Attempts made before this run of the retry loop.
+	failedServers []string // Backend servers that broke off the answer.
 }
 
 // Sink takes the pieces of a generation in order, each exactly once.
--- a/server/entry/attempt/retry.go
+++ b/server/entry/attempt/retry.go
@@ -16,21 +16,21 @@
 // of the answer.
 type attemptFunc func(target route.Target, work wire.Work) (begun bool, err *result.Error)
 
-// budget is the entry's retry budget, shared by all its requests.
-type budget struct {
+// retryBudget is the entry's retry retryBudget, shared by all its requests.
+type retryBudget struct {
 	mu    sync.Mutex
 	state retry.Budget
 }
 
-func newBudget() *budget { return &budget{state: retry.NewBudget()} }
+func newRetryBudget() *retryBudget { return &retryBudget{state: retry.NewBudget()} }
 
-func (b *budget) request() {
+func (b *retryBudget) request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state = b.state.Deposit()
 }
 
-func (b *budget) spend() bool {
+func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ok bool
@@ -40,9 +40,9 @@
 
 // retry makes attempts until one succeeds or the request is given up on.
 func (r *Runner) retry(ctx context.Context, request Request, attempt attemptFunc) *result.Error {
-	r.budget.request()
-	query := queryOf(request)
-	arrived := time.Now()
+	r.retryBudget.request()
+	query := newQuery(request)
+	start := time.Now()
 	for number := 1; ; number++ {
 		target, err := r.router.Pick(ctx, query)
 		if err != nil {
@@ -55,18 +55,18 @@
 		failed := retry.Attempt{
 			Number: number, Err: err, ResponseStarted: begun,
 			Idempotent: request.Idempotent,
-			Waited:     time.Since(arrived), Remaining: time.Until(request.Deadline),
+			Waited:     time.Since(start), Remaining: time.Until(request.Deadline),
 		}
-		if ctx.Err() != nil || !retry.Retriable(failed) || !(retry.SkipsBudget(err.Code) || r.budget.spend()) {
+		if ctx.Err() != nil || !retry.Retriable(failed) || !(retry.SkipsBudget(err.Code) || r.retryBudget.withdraw()) {
 			return retry.FinalError(err, rand.Uint64())
 		}
 		query.Excluded[target.BackendServer] = true
 	}
 }
 
-func queryOf(request Request) route.Query {
+func newQuery(request Request) route.Query {
 	excluded := map[string]bool{}
-	for _, name := range request.avoided {
+	for _, name := range request.failedServers {
 		excluded[name] = true
 	}
 	return route.Query{
--- a/server/entry/attempt/runner.go
+++ b/server/entry/attempt/runner.go
@@ -16,22 +16,22 @@
 
 // Runner runs requests.
 type Runner struct {
-	node   *node.Node
-	router *route.Router
-	agents *agentClient
-	budget *budget
+	node        *node.Node
+	router      *route.Router
+	agents      *agentClient
+	retryBudget *retryBudget
 
-	liveness *liveness
-	rows     *once.Rows
-	cancels  *cancels
+	liveness     *liveness
+	rows         *once.Rows
+	cancelWriter *cancelWriter
 }
 
 // NewRunner returns a runner over the node.
 func NewRunner(n *node.Node) *Runner {
 	rows := &once.Rows{Table: n.Store, Objects: n.Store.Objects()}
 	return &Runner{
-		node: n, router: route.New(n), agents: newAgentClient(n.AgentScheme(), n.Agents), budget: newBudget(), liveness: newLiveness(n),
-		rows: rows, cancels: newCancels(rows, func() int { return len(liveEntries(n)) }),
+		node: n, router: route.New(n), agents: newAgentClient(n.AgentScheme(), n.Agents), retryBudget: newRetryBudget(), liveness: newLiveness(n),
+		rows: rows, cancelWriter: newCancelWriter(rows, func() int { return len(liveEntries(n)) }),
 	}
 }
 
@@ -77,7 +77,7 @@
 
 func (r *Runner) work(request Request, number int) wire.Work {
 	return wire.Work{
-		Stamp: r.node.Stamp(), RequestID: request.ID, Attempt: request.earlier + number,
+		Stamp: r.node.Stamp(), RequestID: request.ID, Attempt: request.priorAttempts + number,
 		Org: request.Org, Priority: request.Priority, Deadline: request.Deadline,
 		Service: request.Service, Operation: request.Operation, Idempotent: request.Idempotent,
 	}
--- a/server/entry/body.go
+++ b/server/entry/body.go
@@ -16,14 +16,14 @@
 	maxHeaderBytes = 64 << 10
 	bodyTimeout    = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
-	answerGrace    = 5 * time.Second
+	responseGrace  = 5 * time.Second
 )
 
 // Caller's time for a whole request.
 const (
-	defaultDeadline = time.Minute
-	maxDeadline     = 10 * time.Minute
-	headerTimeLimit = "Request-Timeout" // Seconds, a decimal number.
+	defaultDeadline      = time.Minute
+	maxDeadline          = 10 * time.Minute
+	requestTimeoutHeader = "Request-Timeout" // Seconds, a decimal number.
 )
 
 // readBody reads a bounded body from a sender that must not be slow.
@@ -49,21 +49,21 @@
 	}
 }
 
-// boundAnswer ends the connection of a caller that has not taken the answer
+// setWriteDeadline ends the connection of a caller that has not taken the answer
 // some time after its deadline.
-func boundAnswer(w http.ResponseWriter, deadline time.Time) {
-	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(answerGrace))
+func setWriteDeadline(w http.ResponseWriter, deadline time.Time) {
+	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(responseGrace))
 }
 
-// timeLimit returns the time that the caller gives the request.
-func timeLimit(r *http.Request) (time.Duration, *result.Error) {
-	text := r.Header.Get(headerTimeLimit)
+// requestTimeout returns the time that the caller gives the request.
+func requestTimeout(r *http.Request) (time.Duration, *result.Error) {
+	text := r.Header.Get(requestTimeoutHeader)
 	if text == "" {
 		return defaultDeadline, nil
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0) {
-		return 0, result.Errorf(result.BadRequest, "Header %s is %q; it must be a number of seconds greater than 0.", headerTimeLimit, text)
+		return 0, result.Errorf(result.BadRequest, "Header %s is %q; it must be a number of seconds greater than 0.", requestTimeoutHeader, text)
 	}
 	if seconds > maxDeadline.Seconds() {
 		return maxDeadline, nil
--- a/server/entry/callers.go
+++ b/server/entry/callers.go
@@ -24,13 +24,13 @@
 	mux.HandleFunc("POST /v1/chat/completions", e.authenticated(e.serveChat))
 	mux.HandleFunc("POST /v1/completions", e.authenticated(e.serveCompletion))
 	mux.HandleFunc("GET /v1/models", e.authenticated(e.serveModels))
-	mux.HandleFunc("POST /v1/services/{service}/{operation}", e.answered(unsettled(func(w http.ResponseWriter, r *http.Request) *result.Error {
+	mux.HandleFunc("POST /v1/services/{service}/{operation}", e.instrumented(markUnsettled(func(w http.ResponseWriter, r *http.Request) *result.Error {
 		return e.serveOrg(w, r, e.serveService)
 	})))
 	mux.HandleFunc("GET /livez", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("GET /readyz", e.serveReady)
 	mux.Handle("GET /metrics", e.metrics.Handler())
-	mux.HandleFunc("/", e.answered(serveUnknownPath))
+	mux.HandleFunc("/", e.instrumented(serveUnknownPath))
 	return mux
 }
 
@@ -55,7 +55,7 @@
 
 // authenticated finds the caller's organisation and answers next's error.
 func (e *Entry) authenticated(next orgHandler) http.HandlerFunc {
-	return e.answered(func(w http.ResponseWriter, r *http.Request) *result.Error {
+	return e.instrumented(func(w http.ResponseWriter, r *http.Request) *result.Error {
 		return e.serveOrg(w, r, next)
 	})
 }
@@ -102,10 +102,10 @@
 
 // newRequest returns what all requests have in common.
 func newRequest(r *http.Request, org config.Organisation) (attempt.Request, *result.Error) {
-	limit, err := timeLimit(r)
+	limit, err := requestTimeout(r)
 	return attempt.Request{
 		ID: uuid.NewString(), Org: org.Name, Priority: org.Priority,
-		Deadline: time.Now().Add(limit), Key: r.Header.Get(headerKey),
+		Deadline: time.Now().Add(limit), Key: r.Header.Get(idempotencyKeyHeader),
 	}, err
 }
 
@@ -128,7 +128,7 @@
 		return result.Errorf(result.UnknownOperation, "Service %q has no operation %q.", service.Name, r.PathValue("operation"))
 	}
 	if operation.Idempotent {
-		r.Header.Del(headerKey)
+		r.Header.Del(idempotencyKeyHeader)
 	}
 	body, refusal := readBody(w, r)
 	if refusal != nil {
@@ -145,9 +145,9 @@
 	request.Idempotent = operation.Idempotent
 	request.Body = body
 	if !request.Idempotent {
-		setKey(w, &request)
+		ensureIdempotencyKey(w, &request)
 	}
-	boundAnswer(w, request.Deadline)
+	setWriteDeadline(w, request.Deadline)
 	answer, refusal := e.runner.Call(r.Context(), request)
 	if refusal != nil {
 		return refusal
--- a/server/entry/entry.go
+++ b/server/entry/entry.go
@@ -75,27 +75,27 @@
 // Run serves until ctx ends, then drains.
 func (e *Entry) Run(ctx context.Context) error {
 	var group run.Group
-	life, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	group.Add(func() error { return e.node.Run(life) }, func(error) { stop() })
-	group.Add(func() error { return e.limiter.Run(life) }, func(error) { stop() })
-	group.Add(func() error { return leave.Serve(life, e.callers, e.listeners.Callers) }, func(error) { _ = e.callers.Close() })
-	group.Add(func() error { return leave.Serve(life, e.admin, e.listeners.Admin) }, func(error) { _ = e.admin.Close() })
-	group.Add(func() error { e.runner.Sweeper().Run(life); return nil }, func(error) { stop() })
-	group.Add(func() error { return e.drainAfter(ctx, life) }, func(error) { stop() })
+	group.Add(func() error { return e.node.Run(runCtx) }, func(error) { stop() })
+	group.Add(func() error { return e.limiter.Run(runCtx) }, func(error) { stop() })
+	group.Add(func() error { return leave.Serve(runCtx, e.callers, e.listeners.Callers) }, func(error) { _ = e.callers.Close() })
+	group.Add(func() error { return leave.Serve(runCtx, e.admin, e.listeners.Admin) }, func(error) { _ = e.admin.Close() })
+	group.Add(func() error { e.runner.Sweeper().Run(runCtx); return nil }, func(error) { stop() })
+	group.Add(func() error { return e.drainAfter(ctx, runCtx) }, func(error) { stop() })
 	return group.Run()
 }
 
 // drainAfter stops the entry once ctx has ended. It isn't ready from then on,
 // but goes on serving for the leave delay, until the platform's balancer has
 // noticed; then it waits for what is in flight.
-func (e *Entry) drainAfter(ctx, life context.Context) error {
-	if !leave.Told(ctx, life) {
+func (e *Entry) drainAfter(ctx, runCtx context.Context) error {
+	if !leave.Told(ctx, runCtx) {
 		return nil
 	}
 	e.node.Leave()
 	e.callers.SetKeepAlivesEnabled(false)
-	drain, cancel := context.WithTimeout(life, leave.MaxDrain)
+	drain, cancel := context.WithTimeout(runCtx, leave.MaxDrain)
 	defer cancel()
 	wait.For(drain, e.settings.LeaveDelay())
 	return e.callers.Shutdown(drain)
--- a/server/entry/generation.go
+++ b/server/entry/generation.go
@@ -15,124 +15,124 @@
 )
 
 const (
-	defaultTokens = 256
-	maxTokens     = 128 << 10
+	defaultMaxTokens = 256
+	maxTokens        = 128 << 10
 )
 
-// shape builds the answers of one endpoint.
-type shape struct {
+// responseFormat builds the answers of one endpoint.
+type responseFormat struct {
 	object      string
-	eventObject string
+	chunkObject string
 	prompt      func(openai.Request) (string, error)
-	whole       func(text string) openai.Choice
-	event       func(text string) openai.Choice
+	fullChoice  func(text string) openai.Choice
+	chunkChoice func(text string) openai.Choice
 }
 
-var chatShape = shape{
+var chatFormat = responseFormat{
 	object:      "chat.completion",
-	eventObject: "chat.completion.chunk",
+	chunkObject: "chat.completion.chunk",
 	prompt:      openai.Request.ChatPrompt,
-	whole: func(text string) openai.Choice {
+	fullChoice: func(text string) openai.Choice {
 		return openai.Choice{Message: &openai.ChatText{Role: "assistant", Content: text}}
 	},
-	event: func(text string) openai.Choice {
+	chunkChoice: func(text string) openai.Choice {
 		return openai.Choice{Delta: &openai.ChatText{Content: text}}
 	},
 }
 
-var completionShape = shape{
+var completionFormat = responseFormat{
 	object:      "text_completion",
-	eventObject: "text_completion",
+	chunkObject: "text_completion",
 	prompt:      openai.Request.TextPrompt,
-	whole:       func(text string) openai.Choice { return openai.Choice{Text: &text} },
-	event:       func(text string) openai.Choice { return openai.Choice{Text: &text} },
+	fullChoice:  func(text string) openai.Choice { return openai.Choice{Text: &text} },
+	chunkChoice: func(text string) openai.Choice { return openai.Choice{Text: &text} },
 }
 
 func (e *Entry) serveChat(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation) *result.Error {
-	return e.serveGeneration(w, r, snapshot, org, chatShape)
+	return e.serveGeneration(w, r, snapshot, org, chatFormat)
 }
 
 func (e *Entry) serveCompletion(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation) *result.Error {
-	return e.serveGeneration(w, r, snapshot, org, completionShape)
+	return e.serveGeneration(w, r, snapshot, org, completionFormat)
 }
 
-func (e *Entry) serveGeneration(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation, form shape) *result.Error {
+func (e *Entry) serveGeneration(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation, format responseFormat) *result.Error {
 	body, refusal := readBody(w, r)
 	if refusal != nil {
 		return refusal
 	}
-	var asked openai.Request
-	if err := json.Unmarshal(body, &asked); err != nil {
+	var parsed openai.Request
+	if err := json.Unmarshal(body, &parsed); err != nil {
 		return result.Errorf(result.BadRequest, "The body is not valid JSON: %v.", err)
 	}
-	request, refusal := generationRequest(r, snapshot, org, asked, form)
+	request, refusal := generationRequest(r, snapshot, org, parsed, format)
 	if refusal != nil {
 		return refusal
 	}
-	boundAnswer(w, request.Deadline)
-	answer := openai.Response{ID: request.ID, Created: time.Now().Unix(), Model: request.Model}
-	if asked.Stream {
-		answer.Object = form.eventObject
-		return e.streamAnswer(w, r, request, answer, form, asked.StreamOptions.IncludeUsage)
+	setWriteDeadline(w, request.Deadline)
+	response := openai.Response{ID: request.ID, Created: time.Now().Unix(), Model: request.Model}
+	if parsed.Stream {
+		response.Object = format.chunkObject
+		return e.streamResponse(w, r, request, response, format, parsed.StreamOptions.IncludeUsage)
 	}
-	answer.Object = form.object
-	return e.wholeAnswer(w, r, request, answer, form)
+	response.Object = format.object
+	return e.writeFullResponse(w, r, request, response, format)
 }
 
-func generationRequest(r *http.Request, snapshot *config.Snapshot, org config.Organisation, asked openai.Request, form shape) (attempt.Request, *result.Error) {
+func generationRequest(r *http.Request, snapshot *config.Snapshot, org config.Organisation, parsed openai.Request, format responseFormat) (attempt.Request, *result.Error) {
 	request, refusal := newRequest(r, org)
 	if refusal != nil {
 		return request, refusal
 	}
-	prompt, err := form.prompt(asked)
+	prompt, err := format.prompt(parsed)
 	if err != nil {
 		return request, result.Errorf(result.BadRequest, "%v", err)
 	}
-	model, adapter, _ := strings.Cut(asked.Model, ":")
+	model, adapter, _ := strings.Cut(parsed.Model, ":")
 	if _, ok := snapshot.Models[model]; !ok {
-		return request, result.Errorf(result.UnknownModel, "Model %q does not exist.", asked.Model)
+		return request, result.Errorf(result.UnknownModel, "Model %q does not exist.", parsed.Model)
 	}
 	request.Model, request.Adapter, request.Prompt = model, adapter, prompt
-	request.MaxTokens = asked.TokenLimit(defaultTokens)
+	request.MaxTokens = parsed.TokenLimit(defaultMaxTokens)
 	if request.MaxTokens > maxTokens {
 		return request, result.Errorf(result.BadRequest, "max_tokens is %d; the most is %d.", request.MaxTokens, maxTokens)
 	}
-	if asked.Choices() > 1 {
-		return request, result.Errorf(result.BadRequest, "n is %d; only one choice an answer is supported.", asked.Choices())
+	if parsed.Choices() > 1 {
+		return request, result.Errorf(result.BadRequest, "n is %d; only one choice an response is supported.", parsed.Choices())
 	}
 	request.Idempotent = true
 	return request, nil
 }
 
-func (e *Entry) wholeAnswer(w http.ResponseWriter, r *http.Request, request attempt.Request, answer openai.Response, form shape) *result.Error {
+func (e *Entry) writeFullResponse(w http.ResponseWriter, r *http.Request, request attempt.Request, response openai.Response, format responseFormat) *result.Error {
 	var text strings.Builder
-	finish := ""
+	finishReason := ""
 	refusal := e.runner.Generate(r.Context(), request, func(piece stream.Piece) error {
 		text.WriteString(piece.Text)
 		if piece.End {
-			finish = piece.Finish
-			answer.Usage = openai.UsageOf(piece.Usage)
+			finishReason = piece.Finish
+			response.Usage = openai.UsageOf(piece.Usage)
 		}
 		return nil
 	})
 	if refusal != nil {
 		return refusal
 	}
-	choice := form.whole(text.String())
-	choice.FinishReason = &finish
-	answer.Choices = []openai.Choice{choice}
-	writeJSON(w, answer)
+	choice := format.fullChoice(text.String())
+	choice.FinishReason = &finishReason
+	response.Choices = []openai.Choice{choice}
+	writeJSON(w, response)
 	return nil
 }
 
-// streamAnswer sends server-sent events. Once the answer has begun, a failure
+// streamResponse sends server-sent events. Once the response has begun, a failure
 // is sent as an error event and the stream ends without [DONE].
-func (e *Entry) streamAnswer(w http.ResponseWriter, r *http.Request, request attempt.Request, answer openai.Response, form shape, usage bool) *result.Error {
+func (e *Entry) streamResponse(w http.ResponseWriter, r *http.Request, request attempt.Request, response openai.Response, format responseFormat, includeUsage bool) *result.Error {
 	events := &eventWriter{w: w}
 	refusal := e.runner.Generate(r.Context(), request, func(piece stream.Piece) error {
-		return sendPiece(events, answer, form, piece, usage)
+		return writePiece(events, response, format, piece, includeUsage)
 	})
-	if refusal != nil && !events.begun {
+	if refusal != nil && !events.started {
 		return refusal
 	}
 	if refusal != nil {
@@ -144,19 +144,19 @@
 	return nil
 }
 
-func sendPiece(events *eventWriter, answer openai.Response, form shape, piece stream.Piece, usage bool) error {
-	choice := form.event(piece.Text)
+func writePiece(events *eventWriter, response openai.Response, format responseFormat, piece stream.Piece, includeUsage bool) error {
+	choice := format.chunkChoice(piece.Text)
 	if piece.End {
 		choice.FinishReason = &piece.Finish
 	}
-	answer.Choices = []openai.Choice{choice}
-	if err := events.write(answer); err != nil {
+	response.Choices = []openai.Choice{choice}
+	if err := events.write(response); err != nil {
 		return err
 	}
-	if piece.End && usage {
-		answer.Choices = []openai.Choice{}
-		answer.Usage = openai.UsageOf(piece.Usage)
-		return events.write(answer)
+	if piece.End && includeUsage {
+		response.Choices = []openai.Choice{}
+		response.Usage = openai.UsageOf(piece.Usage)
+		return events.write(response)
 	}
 	if piece.End || piece.More {
 		return nil
@@ -166,14 +166,14 @@
 
 // eventWriter writes server-sent events.
 type eventWriter struct {
-	w     http.ResponseWriter
-	begun bool
+	w       http.ResponseWriter
+	started bool
 }
 
 // write writes one event; it may wait in a buffer until flush or done.
 func (e *eventWriter) write(value any) error {
-	if !e.begun {
-		e.begun = true
+	if !e.started {
+		e.started = true
 		e.w.Header().Set("Content-Type", "text/event-stream")
 		e.w.Header().Set("Cache-Control", "no-cache")
 	}
--- a/server/entry/keys.go
+++ b/server/entry/keys.go
@@ -9,24 +9,24 @@
 	"persimmonwind.dev/server/entry/attempt"
 )
 
-// headerKey names the caller's request across repeats.
-const headerKey = "Idempotency-Key"
+// idempotencyKeyHeader names the caller's request across repeats.
+const idempotencyKeyHeader = "Idempotency-Key"
 
-// setKey generates an idempotency key where the caller gave none, and tells it,
+// ensureIdempotencyKey generates an idempotency key where the caller gave none, and tells it,
 // so that the caller can ask again for the same work.
-func setKey(w http.ResponseWriter, request *attempt.Request) {
+func ensureIdempotencyKey(w http.ResponseWriter, request *attempt.Request) {
 	if request.Key == "" {
 		request.Key, request.KeyGenerated = uuid.NewString(), true
 	}
-	w.Header().Set(headerKey, request.Key)
+	w.Header().Set(idempotencyKeyHeader, request.Key)
 }
 
-// unsettled takes the promise "not run" from a refusal of a caller's key that
+// markUnsettled takes the promise "not run" from a refusal of a caller's key that
 // came before the key was looked at: an earlier attempt may be under way.
-func unsettled(next failingHandler) failingHandler {
+func markUnsettled(next handlerFunc) handlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) *result.Error {
 		err := next(w, r)
-		if err != nil && r.Header.Get(headerKey) != "" && w.Header().Get(headerKey) == "" {
+		if err != nil && r.Header.Get(idempotencyKeyHeader) != "" && w.Header().Get(idempotencyKeyHeader) == "" {
 			err.Unsettled = true
 		}
 		return err
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	askTimeout   = 300 * time.Millisecond
+	leaseTimeout = 300 * time.Millisecond
 	tickInterval = 500 * time.Millisecond
 )
 
@@ -29,11 +29,11 @@
 	node *node.Node
 	self string
 
-	mu      sync.Mutex
-	home    *share.Home
-	locals  map[string]*share.Local
-	rounds  map[string]*round // Asks under way, by organisation.
-	entries []string          // IDs of the entries at the last tick.
+	mu         sync.Mutex
+	home       *share.Home
+	locals     map[string]*share.Local
+	leaseCalls map[string]*leaseCall // Asks under way, by organisation.
+	entries    []string              // IDs of the entries at the last tick.
 }
 
 // New returns the limiter of the entry with the ID and registers it for asks
@@ -41,7 +41,7 @@
 func New(n *node.Node, self string) *Limiter {
 	l := &Limiter{
 		node: n, self: self, home: share.NewHome(time.Now()), locals: map[string]*share.Local{},
-		rounds: map[string]*round{}, entries: []string{self},
+		leaseCalls: map[string]*leaseCall{}, entries: []string{self},
 	}
 	n.AddReceiver("Share", &receiver{limiter: l})
 	return l
@@ -54,8 +54,8 @@
 	for {
 		select {
 		case <-ticker.C:
-			l.follow()
-			l.renew(ctx)
+			l.updateEntries()
+			l.renewLeases(ctx)
 		case <-ctx.Done():
 			return nil
 		}
@@ -69,22 +69,22 @@
 	if limits == (share.Limits{}) {
 		return func() {}, nil
 	}
-	for asks := 0; ; asks++ {
-		verdict, round, err := l.try(org.Name, limits, asks)
-		switch verdict {
+	for attempts := 0; ; attempts++ {
+		decision, waiter, err := l.tryAdmit(org.Name, limits, attempts)
+		switch decision {
 		case share.Admitted:
-			return func() { l.done(org.Name) }, nil
+			return func() { l.releaseSlot(org.Name) }, nil
 		case share.Refused:
 			return nil, err
 		}
-		if round.leads {
-			l.ask(ctx, org.Name, round)
+		if waiter.leader {
+			l.requestLease(ctx, org.Name, waiter)
 		}
-		if err := round.wait(ctx); err != nil {
+		if err := waiter.wait(ctx); err != nil {
 			return nil, result.Errorf(result.Cancelled, "the caller left: %v", err)
 		}
-		if round.failed {
-			return l.takeLocal(org.Name, limits)
+		if waiter.failed {
+			return l.admitLocally(org.Name, limits)
 		}
 	}
 }
@@ -103,57 +103,57 @@
 	return local
 }
 
-// try tries to admit a request; one that must ask joins the round of its
+// tryAdmit tries to admit a request; one that must ask joins the round of its
 // organisation, and begins it if there is none.
-func (l *Limiter) try(org string, limits share.Limits, asks int) (share.Decision, joined, *result.Error) {
+func (l *Limiter) tryAdmit(org string, limits share.Limits, attempts int) (share.Decision, leaseWaiter, *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	verdict, err := l.local(org).TryAdmit(time.Now(), limits, asks)
-	if verdict != share.NeedsLease {
-		return verdict, joined{}, err
+	decision, err := l.local(org).TryAdmit(time.Now(), limits, attempts)
+	if decision != share.NeedsLease {
+		return decision, leaseWaiter{}, err
 	}
-	r, under := l.rounds[org]
-	if !under {
-		r = &round{done: make(chan struct{})}
-		l.rounds[org] = r
+	call, inFlight := l.leaseCalls[org]
+	if !inFlight {
+		call = &leaseCall{done: make(chan struct{})}
+		l.leaseCalls[org] = call
 	}
-	r.waiting++
-	return verdict, joined{round: r, leads: !under}, nil
+	call.waiting++
+	return decision, leaseWaiter{leaseCall: call, leader: !inFlight}, nil
 }
 
-func (l *Limiter) done(org string) {
+func (l *Limiter) releaseSlot(org string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.local(org).Release()
 }
 
-// ask asks the home on behalf of all that have joined the round.
-func (l *Limiter) ask(ctx context.Context, org string, round joined) {
+// requestLease asks the home on behalf of all that have joined the round.
+func (l *Limiter) requestLease(ctx context.Context, org string, waiter leaseWaiter) {
 	l.mu.Lock()
-	request := l.local(org).Request(time.Now(), org, l.self, round.waiting)
+	request := l.local(org).Request(time.Now(), org, l.self, waiter.waiting)
 	l.mu.Unlock()
-	grant, err := l.call(context.WithoutCancel(ctx), request)
+	grant, err := l.sendLeaseRequest(context.WithoutCancel(ctx), request)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
 		logevent.Write(l.node.Log(), logevent.HomeUnreachable, map[string]any{"organisation": org, "error": err.Error()})
-		round.failed = true
+		waiter.failed = true
 	} else {
 		l.local(org).ApplyGrant(time.Now(), grant)
 	}
-	delete(l.rounds, org)
-	close(round.done)
+	delete(l.leaseCalls, org)
+	close(waiter.done)
 }
 
-// takeLocal admits a request by the local part, without the home.
-func (l *Limiter) takeLocal(org string, limits share.Limits) (release func(), err *result.Error) {
+// admitLocally admits a request by the local part, without the home.
+func (l *Limiter) admitLocally(org string, limits share.Limits) (release func(), err *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	verdict, err := l.local(org).AdmitLocally(time.Now(), limits, len(l.entries), l.rank(org))
-	if verdict != share.Admitted {
+	decision, err := l.local(org).AdmitLocally(time.Now(), limits, len(l.entries), l.rank(org))
+	if decision != share.Admitted {
 		return nil, err
 	}
-	return func() { l.done(org) }, nil
+	return func() { l.releaseSlot(org) }, nil
 }
 
 // rank returns this entry's place among all for the organisation.
@@ -162,16 +162,16 @@
 	return slices.Index(order, slices.Index(l.entries, l.self))
 }
 
-// call sends the ask to the organisation's home, which may be this entry.
-func (l *Limiter) call(ctx context.Context, ask share.LeaseRequest) (share.Grant, error) {
-	home, address := l.homeOf(ask.Org)
+// sendLeaseRequest sends the ask to the organisation's home, which may be this entry.
+func (l *Limiter) sendLeaseRequest(ctx context.Context, lease share.LeaseRequest) (share.Grant, error) {
+	home, address := l.homeOf(lease.Org)
 	if home == l.self {
-		return l.grant(ask), nil
+		return l.grant(lease), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	request := wire.ShareRequest{
-		Stamp: l.node.Stamp(), Org: ask.Org, Want: ask.Want, Unused: ask.Unused, Slots: ask.Slots, InUse: ask.InUse,
+		Stamp: l.node.Stamp(), Org: lease.Org, Want: lease.Want, Unused: lease.Unused, Slots: lease.Slots, InUse: lease.InUse,
 	}
 	// A reply of a call that was given up on may still be written later.
 	reply := new(wire.ShareReply)
@@ -196,19 +196,19 @@
 }
 
 // grant answers an ask as the organisation's home.
-func (l *Limiter) grant(ask share.LeaseRequest) share.Grant {
+func (l *Limiter) grant(request share.LeaseRequest) share.Grant {
 	snapshot := l.node.State().View.InForce
 	if snapshot == nil {
 		return share.Grant{RetryAfter: time.Second}
 	}
-	limits := limitsOf(snapshot.Organisations[ask.Org])
+	limits := limitsOf(snapshot.Organisations[request.Org])
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.home.Lease(time.Now(), limits, len(l.entries), ask)
+	return l.home.Lease(time.Now(), limits, len(l.entries), request)
 }
 
-// follow takes in the instance list.
-func (l *Limiter) follow() {
+// updateEntries takes in the instance list.
+func (l *Limiter) updateEntries() {
 	entries := []string{l.self}
 	for _, instance := range l.node.Instances() {
 		if instance.Role == ports.RoleEntry && !instance.Leaving && instance.ID != l.self {
@@ -225,32 +225,32 @@
 	l.home.DropIdle(time.Now())
 }
 
-// renew renews the slots in use at their homes and gives the others back.
-func (l *Limiter) renew(ctx context.Context) {
-	for _, ask := range l.renewals() {
-		grant, err := l.call(ctx, ask)
+// renewLeases renews the slots in use at their homes and gives the others back.
+func (l *Limiter) renewLeases(ctx context.Context) {
+	for _, request := range l.renewalRequests() {
+		grant, err := l.sendLeaseRequest(ctx, request)
 		if err != nil {
 			continue
 		}
 		l.mu.Lock()
-		l.local(ask.Org).ApplyRenewal(time.Now(), grant)
+		l.local(request.Org).ApplyRenewal(time.Now(), grant)
 		l.mu.Unlock()
 	}
 }
 
-func (l *Limiter) renewals() []share.LeaseRequest {
+func (l *Limiter) renewalRequests() []share.LeaseRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var asks []share.LeaseRequest
+	var requests []share.LeaseRequest
 	for org, local := range l.locals {
 		switch {
 		case local.Idle(time.Now()):
 			delete(l.locals, org)
 		case local.NeedsRenewal(time.Now()):
-			asks = append(asks, local.RenewalRequest(org, l.self))
+			requests = append(requests, local.RenewalRequest(org, l.self))
 		}
 	}
-	return asks
+	return requests
 }
 
 // receiver answers other entries.
--- a/server/entry/middleware.go
+++ b/server/entry/middleware.go
@@ -12,67 +12,67 @@
 	"persimmonwind.dev/server/logevent"
 )
 
-// answerWriter remembers whether, and when, an answer has begun.
-type answerWriter struct {
+// responseWriter remembers whether, and when, an answer has begun.
+type responseWriter struct {
 	http.ResponseWriter
-	begun time.Time // Zero before the first byte.
+	firstByte time.Time // Zero before the first byte.
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *answerWriter) WriteHeader(status int) {
-	w.markBegun()
+func (w *responseWriter) WriteHeader(status int) {
+	w.recordFirstByte()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (w *answerWriter) Write(p []byte) (int, error) {
-	w.markBegun()
+func (w *responseWriter) Write(p []byte) (int, error) {
+	w.recordFirstByte()
 	return w.ResponseWriter.Write(p)
 }
 
-func (w *answerWriter) markBegun() {
-	if w.begun.IsZero() {
-		w.begun = time.Now()
+func (w *responseWriter) recordFirstByte() {
+	if w.firstByte.IsZero() {
+		w.firstByte = time.Now()
 	}
 }
 
-// failingHandler serves a request or returns why not. Where the answer has
+// handlerFunc serves a request or returns why not. Where the answer has
 // begun, the error is only recorded.
-type failingHandler func(w http.ResponseWriter, r *http.Request) *result.Error
+type handlerFunc func(w http.ResponseWriter, r *http.Request) *result.Error
 
-// answered records each answer and turns an error into an answer.
-func (e *Entry) answered(next failingHandler) http.HandlerFunc {
+// instrumented records each answer and turns an error into an answer.
+func (e *Entry) instrumented(next handlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		start := time.Now()
-		writer := &answerWriter{ResponseWriter: w}
-		err := e.recovered(next)(writer, r)
+		writer := &responseWriter{ResponseWriter: w}
+		err := e.recoverPanics(next)(writer, r)
 		code := result.OK
 		if err != nil {
 			code = err.Code
 			logevent.Write(e.node.Log(), logevent.RequestFailed, logrus.Fields{"route": r.Pattern, "code": int(code), "detail": err.Detail})
 		}
-		if err != nil && writer.begun.IsZero() {
+		if err != nil && writer.firstByte.IsZero() {
 			writeError(writer, err)
 		}
-		if !writer.begun.IsZero() {
-			e.metrics.FirstByte(r.Pattern, writer.begun.Sub(start))
+		if !writer.firstByte.IsZero() {
+			e.metrics.FirstByte(r.Pattern, writer.firstByte.Sub(start))
 		}
 		e.metrics.Answered(r.Pattern, code, time.Since(start))
 	}
 }
 
-// recovered turns a panic of next into an internal error.
-func (e *Entry) recovered(next failingHandler) failingHandler {
+// recoverPanics turns a panic of next into an internal error.
+func (e *Entry) recoverPanics(next handlerFunc) handlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) (err *result.Error) {
 		defer func() {
-			fault := recover()
-			if fault == nil {
+			recovered := recover()
+			if recovered == nil {
 				return
 			}
-			logevent.Write(e.node.Log(), logevent.PanicRecovered, logrus.Fields{"panic": fmt.Sprint(fault), "stack": string(debug.Stack())})
+			logevent.Write(e.node.Log(), logevent.PanicRecovered, logrus.Fields{"panic": fmt.Sprint(recovered), "stack": string(debug.Stack())})
 			err = &result.Error{Code: result.Internal}
 		}()
 		return next(w, r)
--- a/server/entry/openai/openai.go
+++ b/server/entry/openai/openai.go
@@ -17,7 +17,7 @@
 	Content json.RawMessage `json:"content"` // A string, or a list of parts.
 }
 
-type part struct {
+type contentPart struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
@@ -28,7 +28,7 @@
 	if err := json.Unmarshal(m.Content, &text); err == nil {
 		return text, nil
 	}
-	var parts []part
+	var parts []contentPart
 	if err := json.Unmarshal(m.Content, &parts); err != nil {
 		return "", fmt.Errorf("message content is neither a string nor a list of parts")
 	}
--- a/server/entry/route/gather.go
+++ b/server/entry/route/gather.go
@@ -12,51 +12,51 @@
 // longer than a share of the first token's expected time, so that a dead or
 // slow agent among those asked does not hold up the work.
 const (
-	minPatience   = 2 * time.Millisecond // Above the round trip within a region.
-	patienceShare = 20                   // Of the expected time to first token.
+	minOfferWait     = 2 * time.Millisecond // Above the round trip within a region.
+	offerWaitDivisor = 20                   // Of the expected time to first token.
 )
 
-// patience returns how long to wait for better offers than this one.
-func patience(offer *wire.ProbeReply) time.Duration {
+// offerWait returns how long to wait for better offers than this one.
+func offerWait(offer *wire.ProbeReply) time.Duration {
 	expected := time.Duration(offer.ExpectedWaitMS * float64(time.Millisecond))
-	return max(minPatience, expected/patienceShare)
+	return max(minOfferWait, expected/offerWaitDivisor)
 }
 
-// probed is what one probe brought.
-type probed struct {
-	target Target
-	reply  *wire.ProbeReply // Nil where the agent did not answer.
-	silent bool             // The agent may live, but did not answer in time.
+// probeResult is what one probe brought.
+type probeResult struct {
+	target   Target
+	reply    *wire.ProbeReply // Nil where the agent did not probed.
+	timedOut bool             // The agent may live, but did not probed in time.
 }
 
 // gather asks all targets at once. It returns those that answered before the
-// timeout, or in time for an offer, and those that were silent for the whole
+// timeout, or in time for an offer, and those that were timedOut for the whole
 // timeout.
-func gather(ctx context.Context, timeout time.Duration, targets []Target, ask func(context.Context, Target) probed) (live, silent []Target) {
+func gather(ctx context.Context, timeout time.Duration, targets []Target, probe func(context.Context, Target) probeResult) (live, timedOut []Target) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answers := make(chan probed, len(targets))
+	results := make(chan probeResult, len(targets))
 	for _, target := range targets {
-		go func() { answers <- ask(ctx, target) }()
+		go func() { results <- probe(ctx, target) }()
 	}
-	var enough <-chan time.Time // Nil until an agent would take the work.
+	var offerDeadline <-chan time.Time // Nil until an agent would take the work.
 	for range targets {
 		select {
-		case answer := <-answers:
-			if answer.silent {
-				silent = append(silent, answer.target)
+		case probed := <-results:
+			if probed.timedOut {
+				timedOut = append(timedOut, probed.target)
 			}
-			if answer.reply == nil {
+			if probed.reply == nil {
 				continue
 			}
-			answer.target.Probe = *answer.reply
-			live = append(live, answer.target)
-			if enough == nil && answer.reply.Refuses == result.OK {
-				enough = time.After(patience(answer.reply))
+			probed.target.Probe = *probed.reply
+			live = append(live, probed.target)
+			if offerDeadline == nil && probed.reply.Refuses == result.OK {
+				offerDeadline = time.After(offerWait(probed.reply))
 			}
-		case <-enough:
-			return live, silent
+		case <-offerDeadline:
+			return live, timedOut
 		}
 	}
-	return live, silent
+	return live, timedOut
 }
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -1,4 +1,4 @@
-// Package route finds the backend server for one attempt: it asks a few agents
+// Package route finds the backend server for a attempt: it asks a few agents
 // and chooses among their answers.
 package route
 
@@ -51,14 +51,14 @@
 // New returns a router over the node's configuration and instance list.
 func New(n *node.Node) *Router { return &Router{node: n, suspects: newSuspects()} }
 
-// Pick returns the backend server for one attempt. Where no agent answers in
-// time, it is one of the silent ones: the agent itself decides whether it takes
+// Pick returns the backend server for a attempt. Where no agent answers in
+// time, it is a of the silent ones: the agent itself decides whether it takes
 // the work.
 func (r *Router) Pick(ctx context.Context, query Query) (Target, *result.Error) {
-	described := prefix.NewPrompt(query.Prompt)
+	prompt := prefix.NewPrompt(query.Prompt)
 	trusted, suspected := r.suspects.split(r.candidates(query), time.Now())
 	var refusal *result.Error
-	var unheard []Target
+	var unanswered []Target
 	for range probeRounds {
 		if len(trusted) == 0 {
 			trusted, suspected = suspected, nil
@@ -66,27 +66,27 @@
 		if len(trusted) == 0 {
 			break
 		}
-		asked, rest := r.few(trusted, query, described)
-		live, silent := r.probeAll(ctx, asked, described, query)
-		unheard = append(unheard, silent...)
+		asked, rest := r.sampleCandidates(trusted, query, prompt)
+		live, timedOut := r.probeAll(ctx, asked, prompt, query)
+		unanswered = append(unanswered, timedOut...)
 		if len(live) > 0 {
 			target, err := r.best(live, query)
 			if err == nil {
 				return target, nil
 			}
-			refusal = sooner(refusal, err)
+			refusal = preferredRefusal(refusal, err)
 		}
 		trusted = rest
 	}
-	return fallback(unheard, refusal)
+	return fallback(unanswered, refusal)
 }
 
 // fallback returns the result of a choice without any offer. Agents that refuse
 // for load speak for those that were not heard; agents that can't take work at
 // all don't.
-func fallback(unheard []Target, refusal *result.Error) (Target, *result.Error) {
-	if len(unheard) > 0 && (refusal == nil || !retry.IsLoadRefusal(refusal.Code)) {
-		return unheard[rand.IntN(len(unheard))], nil
+func fallback(unanswered []Target, refusal *result.Error) (Target, *result.Error) {
+	if len(unanswered) > 0 && (refusal == nil || !retry.IsLoadRefusal(refusal.Code)) {
+		return unanswered[rand.IntN(len(unanswered))], nil
 	}
 	if refusal != nil {
 		return Target{}, refusal
@@ -94,30 +94,30 @@
 	return Target{}, &result.Error{Code: result.NoBackendServer, RetryAfter: retryAfter}
 }
 
-// sooner returns the refusal that ends first; one for load goes before others.
-func sooner(one, two *result.Error) *result.Error {
-	if one == nil {
-		return two
+// preferredRefusal returns the refusal that ends first; a for load goes before others.
+func preferredRefusal(a, b *result.Error) *result.Error {
+	if a == nil {
+		return b
 	}
-	if retry.IsLoadRefusal(one.Code) != retry.IsLoadRefusal(two.Code) {
-		if retry.IsLoadRefusal(one.Code) {
-			return one
+	if retry.IsLoadRefusal(a.Code) != retry.IsLoadRefusal(b.Code) {
+		if retry.IsLoadRefusal(a.Code) {
+			return a
 		}
-		return two
+		return b
 	}
-	if two.RetryAfter < one.RetryAfter {
-		return two
+	if b.RetryAfter < a.RetryAfter {
+		return b
 	}
-	return one
+	return a
 }
 
-// few splits the candidates into those to ask and the rest.
-func (r *Router) few(candidates []Target, query Query, described prefix.Prompt) (asked, rest []Target) {
+// sampleCandidates splits the candidates into those to ask and the rest.
+func (r *Router) sampleCandidates(candidates []Target, query Query, prompt prefix.Prompt) (asked, rest []Target) {
 	names := make([]string, len(candidates))
 	for index, candidate := range candidates {
 		names[index] = candidate.BackendServer
 	}
-	work := choose.Work{Model: query.Model + query.Service, Adapter: query.Adapter, Prompt: described}
+	work := choose.Work{Model: query.Model + query.Service, Adapter: query.Adapter, Prompt: prompt}
 	if snapshot := r.node.State().View.InForce; snapshot != nil {
 		work.Version = snapshot.Models[query.Model].Version
 	}
--- a/server/entry/route/suspects.go
+++ b/server/entry/route/suspects.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// suspicionTime is how long an agent that did not answer is asked last.
-const suspicionTime = 3 * time.Second
+// suspicionTimeout is how long an agent that did not answer is asked last.
+const suspicionTimeout = 3 * time.Second
 
 // suspects remembers agents that did not answer in time, by backend server.
 type suspects struct {
@@ -20,7 +20,7 @@
 func (s *suspects) add(name string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until[name] = now.Add(suspicionTime)
+	s.until[name] = now.Add(suspicionTimeout)
 }
 
 // clear ends the suspicion of an agent that has answered.
--- a/server/entry/route/suspects_test.go
+++ b/server/entry/route/suspects_test.go
@@ -25,25 +25,25 @@
 			So(trusted, ShouldResemble, targets)
 		})
 		Convey("or the time is over", func() {
-			trusted, _ := s.split(targets, now.Add(suspicionTime))
+			trusted, _ := s.split(targets, now.Add(suspicionTimeout))
 			So(trusted, ShouldResemble, targets)
 		})
 	})
 }
 
 func TestFallback(t *testing.T) {
-	unheard := []Target{{BackendServer: "a"}}
+	unanswered := []Target{{BackendServer: "a"}}
 	Convey("A refusal for load goes before an agent that was not heard", t, func() {
-		_, err := fallback(unheard, &result.Error{Code: result.Overloaded})
+		_, err := fallback(unanswered, &result.Error{Code: result.Overloaded})
 		So(err.Code, ShouldEqual, result.Overloaded)
 	})
 	Convey("One that can't take work does not speak for the others", t, func() {
-		target, err := fallback(unheard, &result.Error{Code: result.NoBackendServer})
+		target, err := fallback(unanswered, &result.Error{Code: result.NoBackendServer})
 		So(err, ShouldBeNil)
 		So(target.BackendServer, ShouldEqual, "a")
 	})
 	Convey("Without a refusal the work goes to an agent that was not heard", t, func() {
-		target, err := fallback(unheard, nil)
+		target, err := fallback(unanswered, nil)
 		So(err, ShouldBeNil)
 		So(target.BackendServer, ShouldEqual, "a")
 	})
