--- a/server/agent/admitter.go
+++ b/server/agent/admitter.go
@@ -15,7 +15,8 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// admitter asks the control loop for slots on behalf of traffic goroutines.
+// admitter requests slots from the control loop on behalf of the goroutines
+// that serve traffic.
 type admitter struct {
 	node       *node.Node
 	lastTicket atomic.Uint64
@@ -33,32 +34,33 @@
 	return a
 }
 
-// slot is the permission to run one piece of work; release gives it back.
+// slot is the permission to run one piece of work; release returns it.
 type slot struct {
 	admitter    *admitter
 	ticket      uint64
-	broken      bool // The backend server broke the answer off.
+	broken      bool // The backend server failed during the work.
 	startOnce   sync.Once
 	releaseOnce sync.Once
 }
 
-// markStarted tells that the backend server has sent the first piece of the answer.
+// markStarted reports that the backend server has sent the first piece of the
+// answer.
 func (s *slot) markStarted() {
 	s.startOnce.Do(func() {
 		s.admitter.node.Loop.Post(admission.Begun{Ticket: s.ticket})
 	})
 }
 
-// release gives the slot back; completed tells that the backend server
-// answered in whole.
+// release returns the slot; completed reports that the backend server's answer
+// was complete.
 func (s *slot) release(completed bool) {
 	s.releaseOnce.Do(func() {
 		s.admitter.node.Loop.Post(admission.Released{Ticket: s.ticket, Completed: completed, Broken: s.broken})
 	})
 }
 
-// fail takes in an error of the backend server: its work is broken off, and
-// the server is unreachable where it refused the connection.
+// fail records an error of the backend server, unless ctx has ended: the work
+// counts as broken, and the server as unreachable if it refused the connection.
 func (s *slot) fail(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -69,7 +71,7 @@
 	}
 }
 
-// admit waits for the control loop's decision.
+// admit requests a slot and waits for the control loop's decision.
 func (a *admitter) admit(ctx context.Context, work wire.Work, prompt prefix.Prompt) (*slot, *result.Error) {
 	ticket := a.lastTicket.Add(1)
 	decision := a.addPending(ticket)
@@ -85,7 +87,7 @@
 		return &slot{admitter: a, ticket: ticket}, nil
 	case <-ctx.Done():
 		go a.abandon(ticket, decision)
-		return nil, result.Errorf(result.Cancelled, "the caller left before the work was admitted")
+		return nil, result.Errorf(result.Cancelled, "caller disconnected before the work was admitted")
 	case <-a.node.Loop.Done():
 		return nil, result.Errorf(result.Leaving, "the agent has stopped")
 	}
@@ -98,8 +100,8 @@
 	return 0
 }
 
-// abandon leaves the queue, and gives the slot back if it was granted
-// meanwhile.
+// abandon removes the request from the queue, and returns the slot if it was
+// granted in the meantime.
 func (a *admitter) abandon(ticket uint64, decision <-chan *result.Error) {
 	a.node.Loop.Post(admission.Left{Ticket: ticket})
 	select {
@@ -144,7 +146,7 @@
 	decision <- err
 }
 
-// probe asks the control loop what the agent could take.
+// probe asks the control loop what work the agent could take.
 func (a *admitter) probe(event admission.Probed) (admission.Offer, *result.Error) {
 	event.Ticket = a.lastTicket.Add(1)
 	answered := make(chan admission.Offer, 1)
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is the process in the slot beside each backend server: the
-// only way to it. It admits, carries and cancels the work.
+// Package agent implements the process that runs beside each backend server and
+// is the only way to reach it. It admits, forwards and cancels work.
 package agent
 
 import (
@@ -30,11 +30,11 @@
 type Listeners struct {
 	Control net.Listener
 	Traffic net.Listener
-	Health  net.Listener // For the platform; nil for none.
-	Keys    keys.Source  // Protects Control and Traffic; nil for plain TCP.
+	Health  net.Listener // Health checks and metrics for the platform; nil for none.
+	Keys    keys.Source  // TLS keys for Control and Traffic; nil for plain TCP.
 }
 
-// Agent is one agent.
+// Agent is the agent of one backend server.
 type Agent struct {
 	settings settings.Agent
 	node     *node.Node
@@ -102,9 +102,9 @@
 	return group.Run()
 }
 
-// drainAfter refuses new work once ctx has ended and returns when nothing is
-// in flight. Refusals are answered for the leave delay, since entries may not
-// have delayEnd yet.
+// drainAfter refuses new work once ctx has ended and returns when nothing is in
+// flight. It keeps answering with refusals for the leave delay, since entries
+// may not yet have noticed that the agent is leaving.
 func (a *Agent) drainAfter(ctx, runCtx context.Context) error {
 	if !leave.Told(ctx, runCtx) {
 		return nil
--- a/server/agent/generate.go
+++ b/server/agent/generate.go
@@ -17,11 +17,12 @@
 
 const (
 	cancelTimeout = 2 * time.Second
-	maxResumes    = 3 // Without a new token in between.
+	maxResumes    = 3 // Consecutive, without a new token in between.
 	resumePause   = 20 * time.Millisecond
 )
 
-// generate carries one generation from the engine to the entry.
+// generate runs one generation on the engine and relays its answer to the
+// entry.
 func (a *Agent) generate(ctx context.Context, w http.ResponseWriter, slot *slot, work wire.Work, body []byte) bool {
 	var request ports.Generation
 	if err := json.Unmarshal(body, &request); err != nil || a.engine == nil {
@@ -47,14 +48,16 @@
 	return true
 }
 
-// cancel frees the engine of a generation that nobody waits for.
+// cancel cancels a generation that nobody waits for, so that the engine is free
+// for other work.
 func (a *Agent) cancel(id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	_ = a.engine.Cancel(ctx, id)
 }
 
-// relay copies one generation's pieces and resumes a broken stream.
+// relay copies one generation's pieces to the entry and resumes a broken
+// stream.
 type relay struct {
 	engine    ports.Engine
 	next      func(context.Context, *stream.Reader) (stream.Piece, error)
@@ -74,8 +77,8 @@
 	}
 }
 
-// run copies pieces to the end; a stream that breaks is resumed behind the
-// last token sent.
+// run copies pieces until the answer ends; a stream that breaks is resumed
+// after the last token sent.
 func (r *relay) run(ctx context.Context, pieces *stream.Reader) error {
 	for resumes := 0; ; resumes++ {
 		before := r.assembler.Delivered()
@@ -120,7 +123,7 @@
 	}
 }
 
-// send sends the pieces; more tells that another one is at hand.
+// send sends the pieces; more reports that another one is already available.
 func (r *relay) send(pieces []stream.Piece, more bool) error {
 	if len(pieces) == 0 && !more {
 		r.writer.Flush()
@@ -137,7 +140,8 @@
 	return nil
 }
 
-// sendFailure ends the answer as cut.
+// sendFailure ends the answer with an error piece that marks it as cut. If the
+// entry can't be reached, it aborts the response instead.
 func (r *relay) sendFailure(err error) {
 	if r.sendErr != nil {
 		panic(http.ErrAbortHandler)
--- a/server/agent/generate_test.go
+++ b/server/agent/generate_test.go
@@ -20,8 +20,8 @@
 
 const testTokens = 40
 
-// relayOnce carries the tokens behind the first from of one generation from a
-// standIn-in engine with the faults.
+// relayOnce relays one generation from a stand-in engine with the faults,
+// without its first from tokens.
 func relayOnce(from int, faults engine.StreamFaults) (text string, ended bool, err error) {
 	options := engine.DefaultOptions()
 	options.TokenTime = 0
@@ -58,9 +58,9 @@
 }
 
 func TestCarryUnderStreamFaults(t *testing.T) {
-	var whole strings.Builder
+	var want strings.Builder
 	for index := range testTokens {
-		whole.WriteString(engine.Token("prompt", index))
+		want.WriteString(engine.Token("prompt", index))
 	}
 	rows := []struct {
 		name   string
@@ -73,23 +73,23 @@
 		{"duplicates out of order", engine.StreamFaults{SwapEvery: 3, DuplicateEvery: 2}},
 		{"a piece of another answer", engine.StreamFaults{ForeignEvery: 7}},
 	}
-	Convey("A carried answer is whole and in order under", t, func() {
+	Convey("A relayed answer is complete and in order with", t, func() {
 		for _, row := range rows {
 			Convey(row.name, func() {
 				text, ended, err := relayOnce(0, row.faults)
 				So(err, ShouldBeNil)
 				So(ended, ShouldBeTrue)
-				So(text, ShouldEqual, whole.String())
+				So(text, ShouldEqual, want.String())
 			})
 		}
 	})
-	Convey("A continuation brings the rest of the answer", t, func() {
+	Convey("A continuation returns the rest of the answer", t, func() {
 		text, ended, err := relayOnce(testTokens-1, engine.StreamFaults{DuplicateEvery: 1})
 		So(err, ShouldBeNil)
 		So(ended, ShouldBeTrue)
 		So(text, ShouldEqual, engine.Token("prompt", testTokens-1))
 	})
-	Convey("An answer that can't be completed has no end", t, func() {
+	Convey("An answer that can't be completed has no end piece", t, func() {
 		text, ended, err := relayOnce(0, engine.StreamFaults{CutEvery: 1})
 		So(err, ShouldNotBeNil)
 		So(ended, ShouldBeFalse)
@@ -98,7 +98,7 @@
 }
 
 func TestCancelReachesTheEngine(t *testing.T) {
-	Convey("A generation that nobody waits for frees its slot", t, func() {
+	Convey("A cancelled generation frees its slot in the engine", t, func() {
 		options := engine.DefaultOptions()
 		options.TokenTime = time.Millisecond
 		standIn := engine.New(options)
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	maxExecutions      = 4096 // Executions that are active at a time.
+	maxExecutions      = 4096 // Active at a time.
 	storeWait          = 2 * time.Second
 	defaultCallTimeout = 60 * time.Second
 	maxExecutionWait   = 5 * time.Second
 )
 
-// executions runs non-idempotent work at most once for each key. It knows of
-// every execution of this boot that is still active; any other one of this boot
-// is given up or its answer is stored.
+// executions runs non-idempotent work at most once per key. It holds every
+// active execution of this boot, that is, of this agent process; any other
+// execution of this boot was abandoned or has its answer stored.
 type executions struct {
 	agent   string
 	boot    string
@@ -56,7 +56,7 @@
 	id        policy.Execution
 	work      wire.Work
 	body      []byte
-	onFailure func(error) // Told when the call of the backend server fails.
+	onFailure func(error) // Called when the call of the backend server fails.
 	answer    policy.Answer
 	refusal   *result.Error // Set before ended is closed.
 	answered  chan struct{} // Closed once answer is known.
@@ -91,8 +91,8 @@
 	return e.active[nonce]
 }
 
-// run drives the execution to its end. It heeds no caller: what has started
-// is carried through.
+// run runs the execution to its end. It does not depend on a caller's context:
+// work that has started is completed.
 func (x *execution) run() {
 	defer x.owner.end(x)
 	ctx := context.Background()
@@ -112,7 +112,7 @@
 	}
 }
 
-// publish makes the backend server's answer known before it is stored.
+// publish makes the backend server's answer available before it is stored.
 func (x *execution) publish(answer policy.Answer) {
 	select {
 	case <-x.answered:
@@ -174,15 +174,15 @@
 }
 
 // callKeyed runs a non-idempotent call. The slot stays reserved until the
-// backend server has answered; the handler stays until the answer is stored, so
-// that a leaving agent waits for it.
+// backend server has answered; the handler returns only after the answer is
+// stored, so that a draining agent waits for it.
 func (a *Agent) callKeyed(ctx context.Context, w http.ResponseWriter, slot *slot, work wire.Work, body []byte) bool {
 	if work.Key == "" {
 		refuse(w, result.Errorf(result.BadRequest, "work %q is not idempotent and has no key", work.RequestID))
 		return false
 	}
 	if time.Now().After(work.Deadline) || ctx.Err() != nil {
-		refuse(w, result.Errorf(result.Cancelled, "nobody waits for work %q any more", work.RequestID))
+		refuse(w, result.Errorf(result.Cancelled, "caller of work %q has disconnected, or its deadline has passed", work.RequestID))
 		return false
 	}
 	x, refusal := a.executions.begin(work, body, func(err error) { slot.fail(ctx, err) })
@@ -200,13 +200,14 @@
 		refuse(w, x.refusal)
 		return false
 	}
-	whole := writeAnswer(w, x.answer)
-	slot.release(whole)
+	complete := writeAnswer(w, x.answer)
+	slot.release(complete)
 	<-x.ended
-	return whole
+	return complete
 }
 
-// awaitStored waits for the answer to be stored while the store is quick.
+// awaitStored waits for the answer to be stored, at most storeWait, so that a
+// slow store does not hold up the answer.
 func (x *execution) awaitStored() {
 	select {
 	case <-x.ended:
@@ -215,7 +216,7 @@
 	}
 }
 
-// writeAnswer sends the answer in whole; it reports whether there is one.
+// writeAnswer sends the complete answer; it reports whether there is one.
 func writeAnswer(w http.ResponseWriter, answer policy.Answer) bool {
 	if answer.Code != 0 {
 		refuse(w, result.Errorf(result.Code(answer.Code), "the backend server gave no answer"))
@@ -229,10 +230,11 @@
 	return true
 }
 
-// executionReceiver answers entries' questions about executions.
+// executionReceiver answers entries' queries about executions.
 type executionReceiver struct{ executions *executions }
 
-// Wait tells the progress of an execution, after waiting for its end or answer.
+// Wait returns the progress of an execution, after waiting for its end or
+// answer.
 func (r *executionReceiver) Wait(request wire.ExecutionRequest, reply *wire.ExecutionReply) error {
 	e := r.executions
 	e.node.Hear(request.Stamp)
--- a/server/agent/observer.go
+++ b/server/agent/observer.go
@@ -8,8 +8,8 @@
 	"persimmonwind.dev/server/stream"
 )
 
-// observer reads an answer's pieces and tells admission what they show of the
-// backend server: the first piece, or a break.
+// observer reads an answer's pieces and reports to admission what they show
+// about the backend server: the first piece, or a failure.
 type observer struct {
 	slot *slot
 }
--- a/server/agent/receiver.go
+++ b/server/agent/receiver.go
@@ -9,7 +9,7 @@
 // receiver answers entries' control calls.
 type receiver struct{ agent *Agent }
 
-// Probe tells what the agent could take.
+// Probe returns what work the agent could take.
 func (r *receiver) Probe(request wire.ProbeRequest, reply *wire.ProbeReply) error {
 	r.agent.node.Hear(request.Stamp)
 	reply.Stamp = r.agent.node.Stamp()
--- a/server/agent/traffic.go
+++ b/server/agent/traffic.go
@@ -38,10 +38,10 @@
 }
 
 // workHandler runs admitted work in its slot; it reports whether the backend
-// server answered in whole.
+// server's answer was complete.
 type workHandler func(ctx context.Context, w http.ResponseWriter, slot *slot, work wire.Work, body []byte) bool
 
-// withAdmission reads the work, admits it and passes it on.
+// withAdmission reads the work, waits for its admission and passes it to next.
 func (a *Agent) withAdmission(next workHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		work, err := wire.DecodeWork(r.Header)
@@ -86,7 +86,7 @@
 
 func (a *Agent) call(ctx context.Context, w http.ResponseWriter, slot *slot, work wire.Work, body []byte) bool {
 	if a.service == nil {
-		refuse(w, result.Errorf(result.BadRequest, "work %q is not for a plain service", work.RequestID))
+		refuse(w, result.Errorf(result.BadRequest, "work %q is a service call, but this backend server is not a plain service", work.RequestID))
 		return false
 	}
 	if !work.Idempotent {
@@ -106,7 +106,7 @@
 	return true
 }
 
-// backendError returns the result of a call to the backend server that failed.
+// backendError converts an error from a call of the backend server to a result.
 func backendError(err error) *result.Error {
 	if errors.Is(err, ports.ErrUnavailable) {
 		return result.Errorf(result.NoBackendServer, "%v", err)
--- a/server/entry/attempt/agent_client.go
+++ b/server/entry/attempt/agent_client.go
@@ -33,13 +33,14 @@
 	return &agentClient{scheme: scheme, http: &http.Client{Transport: transport, CheckRedirect: httpapi.NoRedirect}}
 }
 
-// send posts the work and returns the agent's answer, or its refusal.
+// send posts the work and returns the agent's response, or its refusal.
 func (c *agentClient) send(ctx context.Context, target route.Target, path string, work wire.Work, body []byte) (*http.Response, *result.Error) {
 	header, err := work.Encode()
 	if err != nil {
 		return nil, result.From(err)
 	}
-	// The wrapped body keeps the transport from sending the work twice.
+	// The wrapper hides the reader's type, so that net/http can't rewind the body
+	// and send the work twice.
 	reader := io.MultiReader(bytes.NewReader(body))
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.scheme+"://"+target.Traffic+path, reader)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return stream.NewReader(response.Body), nil
 }
 
-// call carries one plain service's call.
+// call sends one call of a plain service and returns its answer.
 func (c *agentClient) call(ctx context.Context, target route.Target, work wire.Work, body []byte) (Answer, *result.Error) {
 	response, refusal := c.send(ctx, target, wire.PathCall, work, body)
 	if refusal != nil {
--- a/server/entry/attempt/cancels.go
+++ b/server/entry/attempt/cancels.go
@@ -11,8 +11,9 @@
 	"persimmonwind.dev/server/once"
 )
 
-// cancelWriter writes final cancellations within the budget; equal ones that come
-// together share one write.
+// cancelWriter writes final cancellations to the rows of idempotency keys,
+// within a budget. Concurrent writes of the same cancellation are merged into
+// one.
 type cancelWriter struct {
 	rows    *once.Rows
 	entries func() int // Number of live entries.
@@ -22,7 +23,7 @@
 	inflight map[string]*inflightWrite
 }
 
-// inflightWrite is one write that is under way.
+// inflightWrite is a write in progress.
 type inflightWrite struct {
 	done  chan struct{}
 	event reduce.Event // Valid after done is closed.
@@ -47,8 +48,9 @@
 	return w.event
 }
 
-// join returns the flight of the name; leader tells that the caller must make it.
-// It returns nil where the budget is spent.
+// join returns the write in progress under the name, or begins one; leader
+// reports that the caller must perform it. It returns nil if the budget is
+// exhausted.
 func (c *cancelWriter) join(name string) (w *inflightWrite, leader bool) {
 	entries := c.entries()
 	c.mu.Lock()
--- a/server/entry/attempt/cancels_test.go
+++ b/server/entry/attempt/cancels_test.go
@@ -14,7 +14,8 @@
 	"persimmonwind.dev/server/standin/store"
 )
 
-// blockingTable tells each commit and delays it until it is let go.
+// blockingTable reports each commit on commits and blocks it until unblock is
+// closed.
 type blockingTable struct {
 	ports.Table
 	commits, unblock chan struct{}
@@ -27,7 +28,7 @@
 }
 
 func TestEqualCancellationsShareOneWrite(t *testing.T) {
-	Convey("Given a refusal's write that is under way", t, func() {
+	Convey("Given a cancellation whose write is in progress", t, func() {
 		table := store.New()
 		commits, unblock := make(chan struct{}), make(chan struct{})
 		c := newCancelWriter(&once.Rows{Table: blockingTable{Table: table, commits: commits, unblock: unblock}}, func() int { return 1 })
@@ -37,7 +38,7 @@
 		go func() { first <- write() }()
 		<-commits
 
-		Convey("equal refusals join it beyond the budget", func() {
+		Convey("equal cancellations join it even beyond the budget", func() {
 			for range 100 {
 				w, leader := c.join("once/1/0/body")
 				So(w, ShouldNotBeNil)
@@ -49,7 +50,7 @@
 		})
 	})
 
-	Convey("Given refusals of many keys, the budget skips most writes", t, func() {
+	Convey("Given cancellations of many keys, the budget skips most writes", t, func() {
 		table := store.New()
 		c := newCancelWriter(&once.Rows{Table: table}, func() int { return 330 })
 		skipped := 0
--- a/server/entry/attempt/execution.go
+++ b/server/entry/attempt/execution.go
@@ -13,13 +13,13 @@
 
 const (
 	queryRetryPause = 500 * time.Millisecond
-	queryWait       = 5 * time.Second // Longest wait of the agent before it replies.
+	queryWait       = 5 * time.Second // Longest time that the agent waits before it replies.
 )
 
 var errAgentNotListed = errors.New("the execution's agent is not in the instance list")
 
-// sendWatched sends a call and gives it up once its agent is silent: it answers
-// neither the call nor heartbeats.
+// sendWatched sends a call and cancels it if its agent answers neither the call
+// nor heartbeats.
 func (r *Runner) sendWatched(ctx context.Context, target route.Target, work wire.Work, body []byte) (Answer, *result.Error) {
 	ctx, wd := newWatchdog(ctx, time.Until(work.Deadline))
 	defer wd.stop()
@@ -27,8 +27,8 @@
 	return r.agents.call(ctx, target, work, body)
 }
 
-// queryExecution asks an execution's agent about it; the agent replies once it
-// knows more, or after askWait.
+// queryExecution asks an execution's agent for its progress; the agent replies
+// once there is news, or after queryWait.
 func (r *Runner) queryExecution(ctx context.Context, execution policy.Execution) (*wire.ExecutionReply, error) {
 	control, ok := r.controlAddress(execution.Agent)
 	if !ok {
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -21,7 +21,8 @@
 )
 
 // Generate runs a model's generation and passes its pieces to sink. An answer
-// that breaks off is continued elsewhere behind the tokens already passed on.
+// that is cut off is continued on another backend server after the tokens
+// already delivered.
 func (r *Runner) Generate(ctx context.Context, request Request, sink Sink) *result.Error {
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
@@ -45,7 +46,8 @@
 	}
 }
 
-// deadlineError returns the final result where the caller's time is over.
+// deadlineError returns the final error if the caller's deadline has passed and
+// the work may have run, otherwise nil.
 func deadlineError(ctx context.Context, err *result.Error) *result.Error {
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) || err.NotRun() {
 		return nil
@@ -53,7 +55,7 @@
 	return result.Errorf(result.DeadlineExceeded, "%s", err.Detail)
 }
 
-// generation is one answer over all its attempts.
+// generation is one answer across all its attempts.
 type generation struct {
 	runner    *Runner
 	request   Request
@@ -62,7 +64,8 @@
 	sinkErr   error // Set once the caller can't be reached.
 }
 
-// continuable reports whether the answer may go on elsewhere after err.
+// continuable reports whether the answer may be continued on another backend
+// server after err.
 func (g *generation) continuable(err *result.Error) bool {
 	if g.sinkErr != nil || !g.request.Idempotent {
 		return false
@@ -71,13 +74,14 @@
 	case result.CutAnswer, result.BackendFailed, result.OutcomeUnknown:
 		return true
 	default:
-		// An answer that has begun is worth another try after a refusal.
+		// An answer that has started is continued even after a refusal, if that is
+		// retryable.
 		return g.assembler.Delivered() > 0 && err.NotRun() && result.Describe(err.Code).Retryable
 	}
 }
 
-// finalError returns the result of an answer that isn't continued. Once a part was
-// passed on, the work has run and the answer is cut.
+// finalError returns the result of an answer that is not continued. Once a part
+// has been delivered, the work has run and the answer is cut.
 func (g *generation) finalError(err *result.Error) *result.Error {
 	if g.assembler.Delivered() == 0 {
 		return err
@@ -85,9 +89,9 @@
 	return result.Errorf(result.CutAnswer, "after %d tokens: %v", g.assembler.Delivered(), err)
 }
 
-// attempt makes one attempt; begun tells the retry loop that it passed on a part
-// of the answer, which is to be continued.
-func (g *generation) attempt(ctx context.Context, target route.Target, work wire.Work) (begun bool, refusal *result.Error) {
+// attempt makes one attempt; started reports to the retry loop that the attempt
+// delivered a part of the answer, which then has to be continued.
+func (g *generation) attempt(ctx context.Context, target route.Target, work wire.Work) (started bool, refusal *result.Error) {
 	g.request.priorAttempts = max(g.request.priorAttempts, work.Attempt)
 	before := g.assembler.Delivered()
 	g.assembler.DropPending()
@@ -105,7 +109,7 @@
 	return g.assembler.Delivered() > before, refusal
 }
 
-// remaining returns the generation behind the tokens already passed on.
+// remaining returns the generation without the tokens already delivered.
 func (g *generation) remaining() ports.Generation {
 	return ports.Generation{
 		Model: g.request.Model, Adapter: g.request.Adapter, Prompt: g.request.Prompt,
@@ -113,7 +117,7 @@
 	}
 }
 
-// forward hands the pieces on until the end piece.
+// forward passes the pieces to the sink until the end piece.
 func (g *generation) forward(id string, pieces *stream.Reader, watchdog *watchdog) *result.Error {
 	for {
 		piece, err := pieces.Next()
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -18,29 +18,29 @@
 const (
 	maxKeyLength      = 255
 	defaultRetryAfter = time.Second
-	answerMargin      = time.Second // Left for the answer before the deadline.
+	answerMargin      = time.Second // Kept for returning the answer before the deadline.
 	minAttemptTime    = 50 * time.Millisecond
 )
 
-// keyedCall carries one non-idempotent call: it carries out what the pure
-// state machine of package policy/once asks for.
+// keyedCall runs one non-idempotent call: it executes the effects of the state
+// machine in package policy/once.
 type keyedCall struct {
 	runner       *Runner
 	request      Request
 	rowKey       string // Key of the row in the table service.
-	fingerprint  string // Fingerprint of the request.
+	fingerprint  string // Of service, operation and body.
 	query        route.Query
 	attempts     int           // Attempts sent.
 	retryAfter   time.Duration // Retry-After of the latest refusal.
 	lastDetail   string
 	lastCode     result.Code // Of the latest refusal.
-	budgetExempt bool        // The latest attempt reached no backend server.
+	budgetExempt bool        // A retry is free, as the latest attempt reached no backend server.
 }
 
-// callKeyed runs a call that must not run twice.
+// callKeyed runs a non-idempotent call at most once.
 func (r *Runner) callKeyed(ctx context.Context, request Request) (Answer, *result.Error) {
 	if len(request.Key) > maxKeyLength {
-		return Answer{}, result.Errorf(result.BadRequest, "The Idempotency-Key has %d characters; %d are allowed.", len(request.Key), maxKeyLength)
+		return Answer{}, result.Errorf(result.BadRequest, "the Idempotency-Key header has %d characters; the limit is %d", len(request.Key), maxKeyLength)
 	}
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline.Add(-min(answerMargin, time.Until(request.Deadline)/4)))
 	defer cancel()
@@ -151,8 +151,8 @@
 	return policy.NoReply{}
 }
 
-// chargeAttempt counts the first attempt and takes each further one from the retry
-// budget, unless it is free.
+// chargeAttempt reports whether another attempt may be made. The first one adds
+// to the retry budget; each further one is taken from it, unless it is exempt.
 func (c *keyedCall) chargeAttempt() bool {
 	if c.attempts == 0 {
 		c.runner.retryBudget.request()
@@ -161,7 +161,7 @@
 	return c.budgetExempt || c.runner.retryBudget.withdraw()
 }
 
-// recordRefusal notes a refusal and returns its code.
+// recordRefusal stores a refusal and returns the code to report.
 func (c *keyedCall) recordRefusal(err *result.Error) result.Code {
 	c.lastCode = refusalCode(err)
 	c.lastDetail = err.Detail
--- a/server/entry/attempt/liveness.go
+++ b/server/entry/attempt/liveness.go
@@ -13,14 +13,15 @@
 const (
 	heartbeatInterval   = time.Second
 	heartbeatTimeout    = time.Second
-	maxMissedHeartbeats = 2 // Heartbeats in a row.
+	maxMissedHeartbeats = 2 // Consecutive heartbeats.
 )
 
-// errAgentDead means that an agent answers no heartbeats.
+// errAgentDead is the cause with which attempts at an agent that answers no
+// heartbeats are cancelled.
 var errAgentDead = errors.New("agent answers no heartbeats")
 
-// liveness watches the agents that attempts wait for. All attempts at one agent
-// share its heartbeats.
+// liveness monitors the agents that have attempts in flight. All attempts at
+// one agent share its heartbeats.
 type liveness struct {
 	heartbeat func(ctx context.Context, address string) error
 	dropConn  func(address string)
@@ -29,7 +30,7 @@
 	agents map[string]*watchedAgent
 }
 
-// watchedAgent is one agent with the attempts that wait for it.
+// watchedAgent is one agent with its attempts in flight.
 type watchedAgent struct {
 	attempts map[*watchdog]struct{}
 	stop     context.CancelFunc
@@ -47,8 +48,8 @@
 	return &liveness{heartbeat: heartbeat, dropConn: n.Pool.Drop, agents: map[string]*watchedAgent{}}
 }
 
-// watch ends the attempt if the agent at the control address dies; the returned
-// function ends the watching.
+// watch cancels the attempt if the agent at the control address is declared
+// dead; the returned function stops watching.
 func (l *liveness) watch(address string, attempt *watchdog) (unwatch func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +77,8 @@
 	}
 }
 
-// run sends heartbeats while an attempt waits for the agent in silence.
+// run sends heartbeats while an attempt has heard nothing from the agent for
+// heartbeatInterval, and declares the agent dead after maxMissedHeartbeats.
 func (l *liveness) run(ctx context.Context, address string, agent *watchedAgent) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -112,7 +114,8 @@
 	return false
 }
 
-// declareDead ends every attempt that waits for the agent.
+// declareDead cancels every attempt at the agent and drops the connection to
+// it.
 func (l *liveness) declareDead(address string, agent *watchedAgent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/server/entry/attempt/liveness_test.go
+++ b/server/entry/attempt/liveness_test.go
@@ -9,12 +9,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// watchSilentAgent watches an attempt that hears nothing from its agent and returns
-// why it ended, nil if it is still under way after the wait.
-func watchSilentAgent(beatErr error, wait time.Duration) error {
+// watchSilentAgent watches an attempt whose agent sends nothing. It returns the
+// cause with which the attempt was cancelled, or nil if it is still in flight
+// after the wait.
+func watchSilentAgent(heartbeatErr error, wait time.Duration) error {
 	dropped := make(chan string, 1)
 	l := &liveness{
-		heartbeat: func(context.Context, string) error { return beatErr },
+		heartbeat: func(context.Context, string) error { return heartbeatErr },
 		dropConn:  func(address string) { dropped <- address },
 		agents:    map[string]*watchedAgent{},
 	}
@@ -32,10 +33,10 @@
 }
 
 func TestLiveness(t *testing.T) {
-	Convey("An attempt ends when its agent answers no heartbeats", t, func() {
+	Convey("An attempt is cancelled when its agent answers no heartbeats", t, func() {
 		So(watchSilentAgent(errors.New("timeout"), time.Minute), ShouldEqual, errAgentDead)
 	})
-	Convey("An attempt goes on while its agent answers heartbeats", t, func() {
+	Convey("An attempt continues while its agent answers heartbeats", t, func() {
 		So(watchSilentAgent(nil, (maxMissedHeartbeats+2)*heartbeatInterval), ShouldBeNil)
 	})
 }
--- a/server/entry/attempt/request.go
+++ b/server/entry/attempt/request.go
@@ -1,5 +1,6 @@
-// Package attempt carries one caller's request to an agent and the answer back:
-// attempts, retries, and the binding of the answer to its request.
+// Package attempt sends a caller's request to an agent and returns the answer:
+// it makes attempts, retries them and checks that an answer belongs to its
+// request.
 package attempt
 
 import (
@@ -16,29 +17,30 @@
 	Deadline time.Time
 	Key      string // Idempotency key.
 
-	// KeyGenerated tells that the entry drew Key, so that nobody else knows it.
+	// KeyGenerated reports that the entry generated Key, so that nobody else
+	// knows it.
 	KeyGenerated bool
 
-	// Of a model's generation:
+	// For a model's generation:
 	Model     string
 	Adapter   string
 	Prompt    string
 	MaxTokens int
 
-	// Of a plain service's call:
+	// For a plain service's call:
 	Service    string
 	Operation  string
 	Idempotent bool
 	Body       []byte
 
 	priorAttempts int      // Attempts made before this run of the retry loop.
-	failedServers []string // Backend servers that broke off the answer.
+	failedServers []string // Backend servers whose attempt failed after the work may have run.
 }
 
 // Sink takes the pieces of a generation in order, each exactly once.
 type Sink func(stream.Piece) error
 
-// Answer is a plain service's whole answer.
+// Answer is a plain service's complete answer.
 type Answer struct {
 	Status      int
 	ContentType string
--- a/server/entry/attempt/retry.go
+++ b/server/entry/attempt/retry.go
@@ -12,11 +12,11 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// attemptFunc makes one attempt; begun tells that the caller has seen a part
-// of the answer.
-type attemptFunc func(target route.Target, work wire.Work) (begun bool, err *result.Error)
+// attemptFunc makes one attempt; started reports that the caller has received a
+// part of the answer.
+type attemptFunc func(target route.Target, work wire.Work) (started bool, err *result.Error)
 
-// retryBudget is the entry's retry retryBudget, shared by all its requests.
+// retryBudget is the entry's retry budget, shared by all its requests.
 type retryBudget struct {
 	mu    sync.Mutex
 	state retry.Budget
@@ -24,12 +24,15 @@
 
 func newRetryBudget() *retryBudget { return &retryBudget{state: retry.NewBudget()} }
 
+// request adds a new request's share to the budget.
 func (b *retryBudget) request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state = b.state.Deposit()
 }
 
+// withdraw takes one retry from the budget; it reports whether there was one
+// left.
 func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,7 +41,7 @@
 	return ok
 }
 
-// retry makes attempts until one succeeds or the request is given up on.
+// retry makes attempts until one succeeds or no further retry is allowed.
 func (r *Runner) retry(ctx context.Context, request Request, attempt attemptFunc) *result.Error {
 	r.retryBudget.request()
 	query := newQuery(request)
@@ -48,12 +51,12 @@
 		if err != nil {
 			return retry.FinalError(err, rand.Uint64())
 		}
-		begun, err := attempt(target, r.work(request, number))
+		started, err := attempt(target, r.work(request, number))
 		if err == nil {
 			return nil
 		}
 		failed := retry.Attempt{
-			Number: number, Err: err, ResponseStarted: begun,
+			Number: number, Err: err, ResponseStarted: started,
 			Idempotent: request.Idempotent,
 			Waited:     time.Since(start), Remaining: time.Until(request.Deadline),
 		}
--- a/server/entry/attempt/runner.go
+++ b/server/entry/attempt/runner.go
@@ -14,7 +14,7 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// Runner runs requests.
+// Runner runs callers' requests.
 type Runner struct {
 	node        *node.Node
 	router      *route.Router
@@ -26,7 +26,7 @@
 	cancelWriter *cancelWriter
 }
 
-// NewRunner returns a runner over the node.
+// NewRunner returns a runner that uses the node.
 func NewRunner(n *node.Node) *Runner {
 	rows := &once.Rows{Table: n.Store, Objects: n.Store.Objects()}
 	return &Runner{
@@ -35,7 +35,7 @@
 	}
 }
 
-// Sweeper returns the sweeper of idempotency keys' rows.
+// Sweeper returns a sweeper for the rows of idempotency keys.
 func (r *Runner) Sweeper() *once.Sweeper {
 	log := r.node.Log()
 	return &once.Sweeper{
--- a/server/entry/attempt/watchdog.go
+++ b/server/entry/attempt/watchdog.go
@@ -12,18 +12,19 @@
 	nextPieceTimeout  = 5 * time.Second
 )
 
-// errAgentTimeout means that an agent sent nothing for too long.
-var errAgentTimeout = errors.New("no piece of the answer in time")
+// errAgentTimeout is the cause with which an attempt is cancelled whose agent
+// sent nothing for too long.
+var errAgentTimeout = errors.New("agent sent nothing before the timeout")
 
-// watchdog ends an attempt whose agent falls silent.
+// watchdog cancels an attempt whose agent stops sending.
 type watchdog struct {
 	timer     *time.Timer
 	cancel    context.CancelCauseFunc
 	lastHeard atomic.Int64 // When the agent last sent something, Unix nanoseconds.
 }
 
-// newWatchdog returns a context that ends with errSilent unless the watchdog is
-// reset in time.
+// newWatchdog returns a context that is cancelled with errAgentTimeout unless
+// the watchdog is reset in time.
 func newWatchdog(ctx context.Context, timeout time.Duration) (context.Context, *watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(timeout, func() { cancel(errAgentTimeout) })
--- a/server/entry/body.go
+++ b/server/entry/body.go
@@ -19,43 +19,45 @@
 	responseGrace  = 5 * time.Second
 )
 
-// Caller's time for a whole request.
+// Bounds on the time that a caller may give a request.
 const (
 	defaultDeadline      = time.Minute
 	maxDeadline          = 10 * time.Minute
-	requestTimeoutHeader = "Request-Timeout" // Seconds, a decimal number.
+	requestTimeoutHeader = "Request-Timeout" // In seconds, as a decimal number.
 )
 
-// readBody reads a bounded body from a sender that must not be slow.
+// readBody reads the request body within maxBodyBytes and bodyTimeout.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
 	controller := http.NewResponseController(w)
-	// A connection without deadlines, as in tests, reads without one.
+	// Connections that don't support deadlines, as in tests, are read without one.
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		_ = controller.SetReadDeadline(time.Time{})
 		return body, nil
 	}
-	// The server reads a refused body out, so the deadline stays.
+	// The read deadline stays set because the HTTP server goes on reading the
+	// rest of a rejected body.
 	w.Header().Set("Connection", "close")
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, result.Errorf(result.BodyTooLarge, "The most is %d bytes.", tooLarge.Limit)
+		return nil, result.Errorf(result.BodyTooLarge, "the limit is %d bytes", tooLarge.Limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, &result.Error{Code: result.RequestTooSlow, RetryAfter: time.Second}
 	default:
-		return nil, result.Errorf(result.BadRequest, "The body can't be read: %v.", err)
+		return nil, result.Errorf(result.BadRequest, "read body: %v", err)
 	}
 }
 
-// setWriteDeadline ends the connection of a caller that has not taken the answer
-// some time after its deadline.
+// setWriteDeadline closes the connection to a caller that has not read the
+// response within responseGrace after its deadline.
 func setWriteDeadline(w http.ResponseWriter, deadline time.Time) {
 	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(responseGrace))
 }
 
-// requestTimeout returns the time that the caller gives the request.
+// requestTimeout returns the timeout that the caller set for the request, at
+// most maxDeadline, or defaultDeadline if it set none.
 func requestTimeout(r *http.Request) (time.Duration, *result.Error) {
 	text := r.Header.Get(requestTimeoutHeader)
 	if text == "" {
@@ -63,7 +65,7 @@
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0) {
-		return 0, result.Errorf(result.BadRequest, "Header %s is %q; it must be a number of seconds greater than 0.", requestTimeoutHeader, text)
+		return 0, result.Errorf(result.BadRequest, "header %s is %q; it must be a number of seconds greater than 0", requestTimeoutHeader, text)
 	}
 	if seconds > maxDeadline.Seconds() {
 		return maxDeadline, nil
--- a/server/entry/callers.go
+++ b/server/entry/callers.go
@@ -53,13 +53,16 @@
 // orgHandler serves one request of an organisation.
 type orgHandler func(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation) *result.Error
 
-// authenticated finds the caller's organisation and answers next's error.
+// authenticated runs next for the organisation that the caller's key identifies
+// and answers with the error that next returns.
 func (e *Entry) authenticated(next orgHandler) http.HandlerFunc {
 	return e.instrumented(func(w http.ResponseWriter, r *http.Request) *result.Error {
 		return e.serveOrg(w, r, next)
 	})
 }
 
+// serveOrg authenticates the caller, enforces the organisation's limits on POST
+// requests and runs next.
 func (e *Entry) serveOrg(w http.ResponseWriter, r *http.Request, next orgHandler) *result.Error {
 	snapshot := e.node.State().View.InForce
 	if snapshot == nil {
@@ -67,7 +70,7 @@
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return result.Errorf(result.Unauthorized, "Send the organisation key as \"Authorization: Bearer KEY\".")
+		return result.Errorf(result.Unauthorized, "send the organisation's key as \"Authorization: Bearer KEY\"")
 	}
 	sum := sha256.Sum256([]byte(key))
 	org, ok := snapshot.OrganisationByKeyHash(hex.EncodeToString(sum[:]))
@@ -85,7 +88,8 @@
 	return next(w, r, snapshot, org)
 }
 
-// writeError answers with the error, unless the answer has begun.
+// writeError writes the error as a JSON response. The response must not have
+// started.
 func writeError(w http.ResponseWriter, err *result.Error) {
 	w.Header().Set("Content-Type", "application/json")
 	if err.RetryAfter > 0 {
@@ -100,7 +104,8 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// newRequest returns what all requests have in common.
+// newRequest returns a request with the fields that generations and service
+// calls have in common.
 func newRequest(r *http.Request, org config.Organisation) (attempt.Request, *result.Error) {
 	limit, err := requestTimeout(r)
 	return attempt.Request{
@@ -121,11 +126,11 @@
 func (e *Entry) serveService(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation) *result.Error {
 	service, ok := snapshot.Services[r.PathValue("service")]
 	if !ok {
-		return result.Errorf(result.UnknownModel, "Plain service %q does not exist.", r.PathValue("service"))
+		return result.Errorf(result.UnknownModel, "plain service %q does not exist", r.PathValue("service"))
 	}
 	operation, ok := service.Operation(r.PathValue("operation"))
 	if !ok {
-		return result.Errorf(result.UnknownOperation, "Service %q has no operation %q.", service.Name, r.PathValue("operation"))
+		return result.Errorf(result.UnknownOperation, "service %q has no operation %q", service.Name, r.PathValue("operation"))
 	}
 	if operation.Idempotent {
 		r.Header.Del(idempotencyKeyHeader)
--- a/server/entry/entry.go
+++ b/server/entry/entry.go
@@ -1,6 +1,7 @@
-// Package entry is the thin instance behind the platform's balancer: it takes
-// callers' requests, chooses a backend server and carries the answer. It keeps
-// nothing that can't be lost.
+// Package entry implements the entry instance, which runs behind the platform's
+// load balancer: it accepts callers' requests, chooses a backend server for
+// each and returns the response. It is stateless: it holds nothing that can't
+// be lost.
 package entry
 
 import (
@@ -31,7 +32,7 @@
 	Control net.Listener
 	Callers net.Listener
 	Admin   net.Listener
-	Keys    keys.Source // Protects Control and the way to agents; nil for plain TCP.
+	Keys    keys.Source // TLS keys for Control and the connections to agents; nil for plain TCP.
 }
 
 // Entry is one entry instance.
@@ -59,7 +60,8 @@
 	return e
 }
 
-// newServer returns a server that bounds what a hostile client can hold.
+// newServer returns an HTTP server that limits the header size and the time for
+// which slow or hostile clients can hold a connection.
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -86,9 +88,10 @@
 	return group.Run()
 }
 
-// drainAfter stops the entry once ctx has ended. It isn't ready from then on,
-// but goes on serving for the leave delay, until the platform's balancer has
-// noticed; then it waits for what is in flight.
+// drainAfter stops the entry once ctx has ended. From then on the entry fails
+// its readiness check but continues to serve for the leave delay, until the
+// platform's load balancer has noticed; then it waits for the requests in
+// flight.
 func (e *Entry) drainAfter(ctx, runCtx context.Context) error {
 	if !leave.Told(ctx, runCtx) {
 		return nil
--- a/server/entry/generation.go
+++ b/server/entry/generation.go
@@ -19,7 +19,7 @@
 	maxTokens        = 128 << 10
 )
 
-// responseFormat builds the answers of one endpoint.
+// responseFormat builds the responses of one endpoint.
 type responseFormat struct {
 	object      string
 	chunkObject string
@@ -63,7 +63,7 @@
 	}
 	var parsed openai.Request
 	if err := json.Unmarshal(body, &parsed); err != nil {
-		return result.Errorf(result.BadRequest, "The body is not valid JSON: %v.", err)
+		return result.Errorf(result.BadRequest, "body is not valid JSON: %v", err)
 	}
 	request, refusal := generationRequest(r, snapshot, org, parsed, format)
 	if refusal != nil {
@@ -90,15 +90,15 @@
 	}
 	model, adapter, _ := strings.Cut(parsed.Model, ":")
 	if _, ok := snapshot.Models[model]; !ok {
-		return request, result.Errorf(result.UnknownModel, "Model %q does not exist.", parsed.Model)
+		return request, result.Errorf(result.UnknownModel, "model %q does not exist", parsed.Model)
 	}
 	request.Model, request.Adapter, request.Prompt = model, adapter, prompt
 	request.MaxTokens = parsed.TokenLimit(defaultMaxTokens)
 	if request.MaxTokens > maxTokens {
-		return request, result.Errorf(result.BadRequest, "max_tokens is %d; the most is %d.", request.MaxTokens, maxTokens)
+		return request, result.Errorf(result.BadRequest, "max_tokens is %d; the limit is %d", request.MaxTokens, maxTokens)
 	}
 	if parsed.Choices() > 1 {
-		return request, result.Errorf(result.BadRequest, "n is %d; only one choice an response is supported.", parsed.Choices())
+		return request, result.Errorf(result.BadRequest, "n is %d; only one choice per response is supported", parsed.Choices())
 	}
 	request.Idempotent = true
 	return request, nil
@@ -125,8 +125,9 @@
 	return nil
 }
 
-// streamResponse sends server-sent events. Once the response has begun, a failure
-// is sent as an error event and the stream ends without [DONE].
+// streamResponse sends the response as server-sent events. After the first
+// event, a failure is sent as an error event and the stream ends without
+// [DONE].
 func (e *Entry) streamResponse(w http.ResponseWriter, r *http.Request, request attempt.Request, response openai.Response, format responseFormat, includeUsage bool) *result.Error {
 	events := &eventWriter{w: w}
 	refusal := e.runner.Generate(r.Context(), request, func(piece stream.Piece) error {
@@ -170,7 +171,7 @@
 	started bool
 }
 
-// write writes one event; it may wait in a buffer until flush or done.
+// write writes one event, which may stay buffered until flush or done.
 func (e *eventWriter) write(value any) error {
 	if !e.started {
 		e.started = true
@@ -189,7 +190,7 @@
 
 func (e *eventWriter) flush() error { return http.NewResponseController(e.w).Flush() }
 
-// done ends the stream as whole.
+// done marks the stream as complete.
 func (e *eventWriter) done() {
 	_, _ = fmt.Fprint(e.w, "data: [DONE]\n\n")
 	_ = e.flush()
--- a/server/entry/keys.go
+++ b/server/entry/keys.go
@@ -9,11 +9,13 @@
 	"persimmonwind.dev/server/entry/attempt"
 )
 
-// idempotencyKeyHeader names the caller's request across repeats.
+// idempotencyKeyHeader carries the key that identifies a caller's request
+// across retries.
 const idempotencyKeyHeader = "Idempotency-Key"
 
-// ensureIdempotencyKey generates an idempotency key where the caller gave none, and tells it,
-// so that the caller can ask again for the same work.
+// ensureIdempotencyKey generates an idempotency key if the caller sent none,
+// and returns the key in the response header so that the caller can retry the
+// same work.
 func ensureIdempotencyKey(w http.ResponseWriter, request *attempt.Request) {
 	if request.Key == "" {
 		request.Key, request.KeyGenerated = uuid.NewString(), true
@@ -21,8 +23,9 @@
 	w.Header().Set(idempotencyKeyHeader, request.Key)
 }
 
-// markUnsettled takes the promise "not run" from a refusal of a caller's key that
-// came before the key was looked at: an earlier attempt may be under way.
+// markUnsettled withdraws the "not run" guarantee from an error that was
+// returned before the caller's key was looked up: an earlier attempt with that
+// key may still be running.
 func markUnsettled(next handlerFunc) handlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) *result.Error {
 		err := next(w, r)
--- a/server/entry/limit/round.go
+++ b/server/entry/limit/lease_call.go
@@ -2,21 +2,21 @@
 
 import "context"
 
-// leaseCall is one ask of an organisation's home, on behalf of all requests that
-// wait for it.
+// leaseCall is one lease request to an organisation's home, on behalf of all
+// requests that wait for it.
 type leaseCall struct {
 	waiting int           // Guarded by Limiter.mu.
 	failed  bool          // The home did not answer; valid once done is closed.
-	done    chan struct{} // Closed when the answer is in.
+	done    chan struct{} // Closed when the call has ended.
 }
 
-// leaseWaiter is a request's part in a round.
+// leaseWaiter is a request that waits for a lease call.
 type leaseWaiter struct {
 	*leaseCall
-	leader bool // The request sends the ask.
+	leader bool // The request makes the call.
 }
 
-// wait returns when the answer is in, or with the error of ctx.
+// wait returns when the call has ended, or with the error of ctx.
 func (c *leaseCall) wait(ctx context.Context) error {
 	select {
 	case <-c.done:
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -1,6 +1,7 @@
-// Package limit holds the organisations' rate and concurrency limits at an
-// entry instance: it takes shares from the organisations' homes among the
-// entries, and is the home of some itself. Package share decides.
+// Package limit enforces the organisations' rate and concurrency limits at an
+// entry instance. Each organisation has one of the entries as its home, from
+// which the other entries lease shares of the limits; this entry may be the
+// home of some. Package share makes the decisions.
 package limit
 
 import (
@@ -24,7 +25,7 @@
 	tickInterval = 500 * time.Millisecond
 )
 
-// Limiter admits requests by their organisations' limits.
+// Limiter admits requests within their organisations' limits.
 type Limiter struct {
 	node *node.Node
 	self string
@@ -32,12 +33,12 @@
 	mu         sync.Mutex
 	home       *share.Home
 	locals     map[string]*share.Local
-	leaseCalls map[string]*leaseCall // Asks under way, by organisation.
+	leaseCalls map[string]*leaseCall // In flight, by organisation.
 	entries    []string              // IDs of the entries at the last tick.
 }
 
-// New returns the limiter of the entry with the ID and registers it for asks
-// of other entries. It must be called before the node runs.
+// New returns the limiter of the entry with the ID self and registers it for
+// lease requests of other entries. It must be called before the node runs.
 func New(n *node.Node, self string) *Limiter {
 	l := &Limiter{
 		node: n, self: self, home: share.NewHome(time.Now()), locals: map[string]*share.Local{},
@@ -47,7 +48,7 @@
 	return l
 }
 
-// Run renews leases and follows the instance list until ctx ends.
+// Run renews leases and keeps the list of entries current until ctx ends.
 func (l *Limiter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -81,7 +82,7 @@
 			l.requestLease(ctx, org.Name, waiter)
 		}
 		if err := waiter.wait(ctx); err != nil {
-			return nil, result.Errorf(result.Cancelled, "the caller left: %v", err)
+			return nil, result.Errorf(result.Cancelled, "caller disconnected: %v", err)
 		}
 		if waiter.failed {
 			return l.admitLocally(org.Name, limits)
@@ -93,7 +94,8 @@
 	return share.Limits{Rate: org.RequestsPerSecond, Concurrency: org.Concurrency}
 }
 
-// local returns the share of the organisation; l.mu must be held.
+// local returns this entry's share of the organisation's limits; l.mu must be
+// held.
 func (l *Limiter) local(org string) *share.Local {
 	local := l.locals[org]
 	if local == nil {
@@ -103,8 +105,8 @@
 	return local
 }
 
-// tryAdmit tries to admit a request; one that must ask joins the round of its
-// organisation, and begins it if there is none.
+// tryAdmit tries to admit a request. If that needs a lease, the request joins
+// the lease call in flight for its organisation, or begins one.
 func (l *Limiter) tryAdmit(org string, limits share.Limits, attempts int) (share.Decision, leaseWaiter, *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,7 +129,8 @@
 	l.local(org).Release()
 }
 
-// requestLease asks the home on behalf of all that have joined the round.
+// requestLease requests a lease from the home on behalf of all requests that
+// have joined the call.
 func (l *Limiter) requestLease(ctx context.Context, org string, waiter leaseWaiter) {
 	l.mu.Lock()
 	request := l.local(org).Request(time.Now(), org, l.self, waiter.waiting)
@@ -145,7 +148,8 @@
 	close(waiter.done)
 }
 
-// admitLocally admits a request by the local part, without the home.
+// admitLocally admits a request by this entry's part of the limits, without the
+// home.
 func (l *Limiter) admitLocally(org string, limits share.Limits) (release func(), err *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,13 +160,15 @@
 	return func() { l.releaseSlot(org) }, nil
 }
 
-// rank returns this entry's place among all for the organisation.
+// rank returns this entry's position in the rendezvous order of all entries for
+// the organisation.
 func (l *Limiter) rank(org string) int {
 	order := choose.Rendezvous(l.entries, choose.RendezvousKey(org), len(l.entries))
 	return slices.Index(order, slices.Index(l.entries, l.self))
 }
 
-// sendLeaseRequest sends the ask to the organisation's home, which may be this entry.
+// sendLeaseRequest sends the request to the organisation's home, which may be
+// this entry.
 func (l *Limiter) sendLeaseRequest(ctx context.Context, lease share.LeaseRequest) (share.Grant, error) {
 	home, address := l.homeOf(lease.Org)
 	if home == l.self {
@@ -173,7 +179,7 @@
 	request := wire.ShareRequest{
 		Stamp: l.node.Stamp(), Org: lease.Org, Want: lease.Want, Unused: lease.Unused, Slots: lease.Slots, InUse: lease.InUse,
 	}
-	// A reply of a call that was given up on may still be written later.
+	// An abandoned call may still write to its reply later.
 	reply := new(wire.ShareReply)
 	if err := l.node.Pool.Call(ctx, address, "Share.Ask", request, reply); err != nil {
 		return share.Grant{}, err
@@ -195,7 +201,7 @@
 	return id, ""
 }
 
-// grant answers an ask as the organisation's home.
+// grant answers a lease request as the organisation's home.
 func (l *Limiter) grant(request share.LeaseRequest) share.Grant {
 	snapshot := l.node.State().View.InForce
 	if snapshot == nil {
@@ -207,7 +213,8 @@
 	return l.home.Lease(time.Now(), limits, len(l.entries), request)
 }
 
-// updateEntries takes in the instance list.
+// updateEntries updates the list of entries from the instance list and drops
+// idle accounts.
 func (l *Limiter) updateEntries() {
 	entries := []string{l.self}
 	for _, instance := range l.node.Instances() {
@@ -225,7 +232,8 @@
 	l.home.DropIdle(time.Now())
 }
 
-// renewLeases renews the slots in use at their homes and gives the others back.
+// renewLeases renews the slots in use at their homes and returns the unused
+// ones.
 func (l *Limiter) renewLeases(ctx context.Context) {
 	for _, request := range l.renewalRequests() {
 		grant, err := l.sendLeaseRequest(ctx, request)
@@ -253,10 +261,10 @@
 	return requests
 }
 
-// receiver answers other entries.
+// receiver answers lease requests of other entries.
 type receiver struct{ limiter *Limiter }
 
-// Ask grants a share.
+// Ask grants a lease.
 func (r *receiver) Ask(request wire.ShareRequest, reply *wire.ShareReply) error {
 	r.limiter.node.Hear(request.Stamp)
 	grant := r.limiter.grant(share.LeaseRequest{
--- a/server/entry/middleware.go
+++ b/server/entry/middleware.go
@@ -12,7 +12,7 @@
 	"persimmonwind.dev/server/logevent"
 )
 
-// responseWriter remembers whether, and when, an answer has begun.
+// responseWriter records when the first byte of the response was written.
 type responseWriter struct {
 	http.ResponseWriter
 	firstByte time.Time // Zero before the first byte.
@@ -21,13 +21,11 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader implements http.ResponseWriter.
 func (w *responseWriter) WriteHeader(status int) {
 	w.recordFirstByte()
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write implements http.ResponseWriter.
 func (w *responseWriter) Write(p []byte) (int, error) {
 	w.recordFirstByte()
 	return w.ResponseWriter.Write(p)
@@ -39,11 +37,12 @@
 	}
 }
 
-// handlerFunc serves a request or returns why not. Where the answer has
-// begun, the error is only recorded.
+// handlerFunc serves a request or returns why it failed. If the response has
+// started, the error is only recorded.
 type handlerFunc func(w http.ResponseWriter, r *http.Request) *result.Error
 
-// instrumented records each answer and turns an error into an answer.
+// instrumented records the outcome of each request and answers with the error
+// that next returns.
 func (e *Entry) instrumented(next handlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		start := time.Now()
@@ -80,5 +79,5 @@
 }
 
 func serveUnknownPath(_ http.ResponseWriter, r *http.Request) *result.Error {
-	return result.Errorf(result.UnknownPath, "%s %s does not exist.", r.Method, r.URL.Path)
+	return result.Errorf(result.UnknownPath, "%s %s does not exist", r.Method, r.URL.Path)
 }
--- a/server/entry/openai/openai.go
+++ b/server/entry/openai/openai.go
@@ -1,5 +1,5 @@
-// Package openai holds the shapes of the callers' interface that well-known
-// client libraries speak.
+// Package openai defines the request and response types of the
+// OpenAI-compatible API that common client libraries use.
 package openai
 
 import (
@@ -42,7 +42,7 @@
 	return joined.String(), nil
 }
 
-// Request is a chat completion or a completion.
+// Request is a chat completion or completion request.
 type Request struct {
 	Model               string          `json:"model"`
 	Messages            []Message       `json:"messages"`
@@ -89,7 +89,8 @@
 	return *r.N
 }
 
-// TokenLimit returns the most tokens to generate, or fallback.
+// TokenLimit returns the maximum number of tokens to generate, or fallback if
+// the request sets none.
 func (r Request) TokenLimit(fallback int) int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
@@ -100,14 +101,14 @@
 	return fallback
 }
 
-// Usage counts tokens in the callers' shape.
+// Usage holds the token counts of a response.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// UsageOf converts a stream's usage, nil for none.
+// UsageOf converts a stream's usage; nil stays nil.
 func UsageOf(usage *stream.Usage) *Usage {
 	if usage == nil {
 		return nil
@@ -118,22 +119,22 @@
 	}
 }
 
-// ChatText is the text of a chat choice, whole or one part.
+// ChatText is the text of a chat choice, complete or a delta.
 type ChatText struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Choice is the one choice of an answer.
+// Choice is the only choice of a response.
 type Choice struct {
 	Index        int       `json:"index"`
-	Message      *ChatText `json:"message,omitempty"` // Whole chat answers.
-	Delta        *ChatText `json:"delta,omitempty"`   // Chat streams.
-	Text         *string   `json:"text,omitempty"`    // Completions.
+	Message      *ChatText `json:"message,omitempty"` // In complete chat responses.
+	Delta        *ChatText `json:"delta,omitempty"`   // In chat streams.
+	Text         *string   `json:"text,omitempty"`    // In text completions.
 	FinishReason *string   `json:"finish_reason"`
 }
 
-// Response is a whole answer or one event of a stream.
+// Response is a complete response or one event of a stream.
 type Response struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -143,7 +144,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Model is one line of the model list.
+// Model is one entry of the model list.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -151,19 +152,18 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList answers GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// ErrorBody is the body of every error.
+// ErrorBody is the body of every error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes one error. NotRun is the promise that the work did not
-// run.
+// ErrorDetail describes one error. NotRun guarantees that the work did not run.
 type ErrorDetail struct {
 	Message      string `json:"message"`
 	Type         string `json:"type"`
@@ -173,7 +173,7 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// ErrorOf converts a result.
+// ErrorOf converts a result to the body of an error response.
 func ErrorOf(err *result.Error) ErrorBody {
 	info := result.Describe(err.Code)
 	message := info.Meaning
--- a/server/entry/route/gather.go
+++ b/server/entry/route/gather.go
@@ -8,12 +8,12 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// Once an agent would take the work, the entry waits for better offers no
-// longer than a share of the first token's expected time, so that a dead or
-// slow agent among those asked does not hold up the work.
+// Once an agent has offered to take the work, the entry waits for better offers
+// only for a fraction of the expected time to first token, so that a dead or
+// slow agent among those probed does not delay the work.
 const (
-	minOfferWait     = 2 * time.Millisecond // Above the round trip within a region.
-	offerWaitDivisor = 20                   // Of the expected time to first token.
+	minOfferWait     = 2 * time.Millisecond // Longer than a round trip within a region.
+	offerWaitDivisor = 20                   // The wait is the expected time to first token divided by this.
 )
 
 // offerWait returns how long to wait for better offers than this one.
@@ -22,16 +22,16 @@
 	return max(minOfferWait, expected/offerWaitDivisor)
 }
 
-// probeResult is what one probe brought.
+// probeResult is the outcome of one probe.
 type probeResult struct {
 	target   Target
-	reply    *wire.ProbeReply // Nil where the agent did not probed.
-	timedOut bool             // The agent may live, but did not probed in time.
+	reply    *wire.ProbeReply // Nil if the agent did not answer.
+	timedOut bool             // The agent may be alive, but did not answer in time.
 }
 
-// gather asks all targets at once. It returns those that answered before the
-// timeout, or in time for an offer, and those that were timedOut for the whole
-// timeout.
+// gather probes all targets concurrently. It returns those that answered before
+// the timeout, or before the wait for better offers ended, and those that did
+// not answer within the whole timeout.
 func gather(ctx context.Context, timeout time.Duration, targets []Target, probe func(context.Context, Target) probeResult) (live, timedOut []Target) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -39,7 +39,7 @@
 	for _, target := range targets {
 		go func() { results <- probe(ctx, target) }()
 	}
-	var offerDeadline <-chan time.Time // Nil until an agent would take the work.
+	var offerDeadline <-chan time.Time // Nil until an agent offers to take the work.
 	for range targets {
 		select {
 		case probed := <-results:
--- a/server/entry/route/gather_test.go
+++ b/server/entry/route/gather_test.go
@@ -11,10 +11,10 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// gatherFrom asks the named agents, of which those without an answer stay timedOut
-// until they are given up on; it returns who answered and why the timedOut ones
-// were given up on.
-func gatherFrom(timeout time.Duration, answers map[string]wire.ProbeReply, names ...string) (got map[string]bool, givenUp error) {
+// gatherFrom probes the named agents; those without an entry in answers block
+// until their context ends. It returns the agents that answered and the error
+// with which the context of a blocked probe ended.
+func gatherFrom(timeout time.Duration, answers map[string]wire.ProbeReply, names ...string) (answered map[string]bool, ctxErr error) {
 	var targets []Target
 	for _, name := range names {
 		targets = append(targets, Target{BackendServer: name})
@@ -28,30 +28,30 @@
 		timedOut <- ctx.Err()
 		return probeResult{target: target, timedOut: true}
 	})
-	got = map[string]bool{}
+	answered = map[string]bool{}
 	for _, target := range live {
-		got[target.BackendServer] = true
+		answered[target.BackendServer] = true
 	}
-	return got, <-timedOut
+	return answered, <-timedOut
 }
 
 func TestGather(t *testing.T) {
 	ready := wire.ProbeReply{ExpectedWaitMS: 10}
 	refusing := wire.ProbeReply{Refuses: result.ColdStart}
 
-	Convey("A timedOut agent does not hold up work that another would take", t, func() {
-		got, givenUp := gatherFrom(time.Hour, map[string]wire.ProbeReply{"a": ready}, "a", "dead")
-		So(got, ShouldResemble, map[string]bool{"a": true})
-		So(givenUp, ShouldEqual, context.Canceled)
+	Convey("A silent agent does not delay work that another agent would take", t, func() {
+		answered, ctxErr := gatherFrom(time.Hour, map[string]wire.ProbeReply{"a": ready}, "a", "dead")
+		So(answered, ShouldResemble, map[string]bool{"a": true})
+		So(ctxErr, ShouldEqual, context.Canceled)
 	})
 
-	Convey("While all that answered refuse, the others are waited for until the timeout", t, func() {
-		got, givenUp := gatherFrom(20*time.Millisecond, map[string]wire.ProbeReply{"b": refusing}, "b", "dead")
-		So(got, ShouldResemble, map[string]bool{"b": true})
-		So(givenUp, ShouldEqual, context.DeadlineExceeded)
+	Convey("If every agent that answered refuses, the others are waited for until the timeout", t, func() {
+		answered, ctxErr := gatherFrom(20*time.Millisecond, map[string]wire.ProbeReply{"b": refusing}, "b", "dead")
+		So(answered, ShouldResemble, map[string]bool{"b": true})
+		So(ctxErr, ShouldEqual, context.DeadlineExceeded)
 	})
 
-	Convey("The longer the work would wait, the longer better offers are waited for", t, func() {
+	Convey("The wait for better offers grows with the expected time to first token", t, func() {
 		So(offerWait(&wire.ProbeReply{ExpectedWaitMS: 1}), ShouldEqual, minOfferWait)
 		So(offerWait(&wire.ProbeReply{ExpectedWaitMS: 2000}), ShouldEqual, 100*time.Millisecond)
 	})
--- a/server/entry/route/probe.go
+++ b/server/entry/route/probe.go
@@ -11,8 +11,8 @@
 
 const probeTimeout = 500 * time.Millisecond
 
-// probeAll asks the targets and returns those that answered and those that
-// were timedOut.
+// probeAll probes the targets and returns those that answered and those that
+// timed out.
 func (r *Router) probeAll(ctx context.Context, targets []Target, prompt prefix.Prompt, query Query) (live, timedOut []Target) {
 	request := wire.ProbeRequest{
 		Stamp: r.node.Stamp(), Model: query.Model, Adapter: query.Adapter,
@@ -23,12 +23,12 @@
 	})
 }
 
-// probe asks one agent. It goes on after the request was routed without it, to
-// learn whether the agent answers at all.
+// probe asks one agent for an offer. It continues after the request has been
+// routed without the agent, to learn whether the agent answers at all.
 func (r *Router) probe(ctx context.Context, target Target, request wire.ProbeRequest) probeResult {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	// A reply of a call that was given up on may still be written later.
+	// An abandoned call may still write to its reply later.
 	reply := new(wire.ProbeReply)
 	err := r.node.Pool.Call(ctx, target.Control, "Agent.Probe", request, reply)
 	if err != nil {
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -1,5 +1,5 @@
-// Package route finds the backend server for a attempt: it asks a few agents
-// and chooses among their answers.
+// Package route chooses the backend server for one attempt: it probes a few
+// agents and picks the best of their offers.
 package route
 
 import (
@@ -20,7 +20,7 @@
 
 const (
 	retryAfter  = time.Second
-	probeRounds = 2 // How often other agents are asked before the work is refused.
+	probeRounds = 2 // Rounds of probes, each of other agents, before the work is refused.
 )
 
 // Query describes the work that needs a backend server.
@@ -51,8 +51,8 @@
 // New returns a router over the node's configuration and instance list.
 func New(n *node.Node) *Router { return &Router{node: n, suspects: newSuspects()} }
 
-// Pick returns the backend server for a attempt. Where no agent answers in
-// time, it is a of the silent ones: the agent itself decides whether it takes
+// Pick returns the backend server for one attempt. If no agent answers in time,
+// it is one of those that timed out: the agent itself decides whether to accept
 // the work.
 func (r *Router) Pick(ctx context.Context, query Query) (Target, *result.Error) {
 	prompt := prefix.NewPrompt(query.Prompt)
@@ -66,8 +66,8 @@
 		if len(trusted) == 0 {
 			break
 		}
-		asked, rest := r.sampleCandidates(trusted, query, prompt)
-		live, timedOut := r.probeAll(ctx, asked, prompt, query)
+		sampled, rest := r.sampleCandidates(trusted, query, prompt)
+		live, timedOut := r.probeAll(ctx, sampled, prompt, query)
 		unanswered = append(unanswered, timedOut...)
 		if len(live) > 0 {
 			target, err := r.best(live, query)
@@ -81,9 +81,9 @@
 	return fallback(unanswered, refusal)
 }
 
-// fallback returns the result of a choice without any offer. Agents that refuse
-// for load speak for those that were not heard; agents that can't take work at
-// all don't.
+// fallback returns the result when no agent made an offer. A refusal because of
+// load is assumed to hold for the agents that timed out too, and is returned;
+// any other refusal says nothing about them, so one of them is chosen.
 func fallback(unanswered []Target, refusal *result.Error) (Target, *result.Error) {
 	if len(unanswered) > 0 && (refusal == nil || !retry.IsLoadRefusal(refusal.Code)) {
 		return unanswered[rand.IntN(len(unanswered))], nil
@@ -94,7 +94,8 @@
 	return Target{}, &result.Error{Code: result.NoBackendServer, RetryAfter: retryAfter}
 }
 
-// preferredRefusal returns the refusal that ends first; a for load goes before others.
+// preferredRefusal returns the refusal to report: one because of load before
+// any other, and among equals the one with the shorter RetryAfter.
 func preferredRefusal(a, b *result.Error) *result.Error {
 	if a == nil {
 		return b
@@ -111,8 +112,8 @@
 	return a
 }
 
-// sampleCandidates splits the candidates into those to ask and the rest.
-func (r *Router) sampleCandidates(candidates []Target, query Query, prompt prefix.Prompt) (asked, rest []Target) {
+// sampleCandidates splits the candidates into those to probe and the rest.
+func (r *Router) sampleCandidates(candidates []Target, query Query, prompt prefix.Prompt) (sampled, rest []Target) {
 	names := make([]string, len(candidates))
 	for index, candidate := range candidates {
 		names[index] = candidate.BackendServer
@@ -124,15 +125,16 @@
 	chosen := choose.Candidates(names, work, rand.Uint64())
 	for index, candidate := range candidates {
 		if slices.Contains(chosen, index) {
-			asked = append(asked, candidate)
+			sampled = append(sampled, candidate)
 		} else {
 			rest = append(rest, candidate)
 		}
 	}
-	return asked, rest
+	return sampled, rest
 }
 
-// candidates joins the configuration with the instance list.
+// candidates returns the targets in the configuration and the instance list
+// that may serve the query.
 func (r *Router) candidates(query Query) []Target {
 	snapshot := r.node.State().View.InForce
 	if snapshot == nil {
--- a/server/entry/route/suspects.go
+++ b/server/entry/route/suspects.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// suspicionTimeout is how long an agent that did not answer is asked last.
+// suspicionTimeout is how long an agent whose probe failed is probed only when
+// no other candidate is left.
 const suspicionTimeout = 3 * time.Second
 
-// suspects remembers agents that did not answer in time, by backend server.
+// suspects holds the agents whose latest probe failed, by backend server.
 type suspects struct {
 	mu    sync.Mutex
 	until map[string]time.Time
@@ -16,14 +17,14 @@
 
 func newSuspects() *suspects { return &suspects{until: map[string]time.Time{}} }
 
-// add suspects the agent for a while.
+// add marks the agent as suspected for suspicionTimeout.
 func (s *suspects) add(name string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.until[name] = now.Add(suspicionTimeout)
 }
 
-// clear ends the suspicion of an agent that has answered.
+// clear removes the suspicion from an agent that has answered.
 func (s *suspects) clear(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/entry/route/suspects_test.go
+++ b/server/entry/route/suspects_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSuspects(t *testing.T) {
-	Convey("An agent that did not answer is asked last for a while", t, func() {
+	Convey("An agent that did not answer is probed last", t, func() {
 		s := newSuspects()
 		now := time.Unix(1000, 0)
 		targets := []Target{{BackendServer: "a"}, {BackendServer: "b"}}
@@ -24,7 +24,7 @@
 			trusted, _ := s.split(targets, now)
 			So(trusted, ShouldResemble, targets)
 		})
-		Convey("or the time is over", func() {
+		Convey("or the suspicion has timed out", func() {
 			trusted, _ := s.split(targets, now.Add(suspicionTimeout))
 			So(trusted, ShouldResemble, targets)
 		})
@@ -33,16 +33,16 @@
 
 func TestFallback(t *testing.T) {
 	unanswered := []Target{{BackendServer: "a"}}
-	Convey("A refusal for load goes before an agent that was not heard", t, func() {
+	Convey("A refusal because of load is preferred to an agent that timed out", t, func() {
 		_, err := fallback(unanswered, &result.Error{Code: result.Overloaded})
 		So(err.Code, ShouldEqual, result.Overloaded)
 	})
-	Convey("One that can't take work does not speak for the others", t, func() {
+	Convey("After any other refusal the work goes to an agent that timed out", t, func() {
 		target, err := fallback(unanswered, &result.Error{Code: result.NoBackendServer})
 		So(err, ShouldBeNil)
 		So(target.BackendServer, ShouldEqual, "a")
 	})
-	Convey("Without a refusal the work goes to an agent that was not heard", t, func() {
+	Convey("Without a refusal the work goes to an agent that timed out", t, func() {
 		target, err := fallback(unanswered, nil)
 		So(err, ShouldBeNil)
 		So(target.BackendServer, ShouldEqual, "a")
