--- a/server/agent/generate_test.go
+++ b/server/agent/generate_test.go
@@ -20,14 +20,14 @@
 
 const testTokens = 40
 
-// carryOnce carries the tokens behind the first from of one generation from a
-// stand-in engine with the faults.
-func carryOnce(from int, faults engine.StreamFaults) (text string, ended bool, err error) {
+// relayOnce relays one generation from a stand-in engine with the faults,
+// without its first from tokens.
+func relayOnce(from int, faults engine.StreamFaults) (text string, ended bool, err error) {
 	options := engine.DefaultOptions()
 	options.TokenTime = 0
-	stand := engine.New(options)
-	stand.SetStreamFaults(faults)
-	server := httptest.NewServer(stand.Handler())
+	standIn := engine.New(options)
+	standIn.SetStreamFaults(faults)
+	server := httptest.NewServer(standIn.Handler())
 	defer server.Close()
 	transport := httpapi.NewTransport()
 	defer transport.CloseIdleConnections()
@@ -40,7 +40,7 @@
 		return "", false, err
 	}
 	recorder := httptest.NewRecorder()
-	err = newCarrier(adapter, request, recorder).carry(ctx, pieces)
+	err = newRelay(adapter, request, recorder).run(ctx, pieces)
 	text, ended = readAnswer(recorder)
 	return text, ended, err
 }
@@ -58,9 +58,9 @@
 }
 
 func TestCarryUnderStreamFaults(t *testing.T) {
-	var whole strings.Builder
+	var want strings.Builder
 	for index := range testTokens {
-		whole.WriteString(engine.Token("prompt", index))
+		want.WriteString(engine.Token("prompt", index))
 	}
 	rows := []struct {
 		name   string
@@ -73,24 +73,24 @@
 		{"duplicates out of order", engine.StreamFaults{SwapEvery: 3, DuplicateEvery: 2}},
 		{"a piece of another answer", engine.StreamFaults{ForeignEvery: 7}},
 	}
-	Convey("A carried answer is whole and in order under", t, func() {
+	Convey("A relayed answer is complete and in order with", t, func() {
 		for _, row := range rows {
 			Convey(row.name, func() {
-				text, ended, err := carryOnce(0, row.faults)
+				text, ended, err := relayOnce(0, row.faults)
 				So(err, ShouldBeNil)
 				So(ended, ShouldBeTrue)
-				So(text, ShouldEqual, whole.String())
+				So(text, ShouldEqual, want.String())
 			})
 		}
 	})
-	Convey("A continuation brings the rest of the answer", t, func() {
-		text, ended, err := carryOnce(testTokens-1, engine.StreamFaults{DuplicateEvery: 1})
+	Convey("A continuation returns the rest of the answer", t, func() {
+		text, ended, err := relayOnce(testTokens-1, engine.StreamFaults{DuplicateEvery: 1})
 		So(err, ShouldBeNil)
 		So(ended, ShouldBeTrue)
 		So(text, ShouldEqual, engine.Token("prompt", testTokens-1))
 	})
-	Convey("An answer that can't be completed has no end", t, func() {
-		text, ended, err := carryOnce(0, engine.StreamFaults{CutEvery: 1})
+	Convey("An answer that can't be completed has no end piece", t, func() {
+		text, ended, err := relayOnce(0, engine.StreamFaults{CutEvery: 1})
 		So(err, ShouldNotBeNil)
 		So(ended, ShouldBeFalse)
 		So(text, ShouldBeEmpty)
@@ -98,24 +98,24 @@
 }
 
 func TestCancelReachesTheEngine(t *testing.T) {
-	Convey("A generation that nobody waits for frees its slot", t, func() {
+	Convey("A cancelled generation frees its slot in the engine", t, func() {
 		options := engine.DefaultOptions()
 		options.TokenTime = time.Millisecond
-		stand := engine.New(options)
-		server := httptest.NewServer(stand.Handler())
+		standIn := engine.New(options)
+		server := httptest.NewServer(standIn.Handler())
 		defer server.Close()
 		a := &Agent{engine: httpapi.NewEngine(server.URL, http.DefaultTransport)}
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		pieces, err := a.engine.Submit(ctx, ports.Generation{ID: "a", Prompt: "p", MaxTokens: 1_000_000})
 		So(err, ShouldBeNil)
 		_, err = pieces.Next()
 		So(err, ShouldBeNil)
-		So(stand.Running(), ShouldEqual, 1)
-		leave()
+		So(standIn.Running(), ShouldEqual, 1)
+		disconnect()
 		a.cancel("a")
-		for deadline := time.Now().Add(30 * time.Second); stand.Running() > 0 && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(30 * time.Second); standIn.Running() > 0 && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
-		So(stand.Running(), ShouldEqual, 0)
+		So(standIn.Running(), ShouldEqual, 0)
 	})
 }
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	maxExecutions      = 4096 // Executions that are active at a time.
-	storePatience      = 2 * time.Second
+	maxExecutions      = 4096 // Active at a time.
+	storeWait          = 2 * time.Second
 	defaultCallTimeout = 60 * time.Second
 	maxExecutionWait   = 5 * time.Second
 )
 
-// executions runs non-idempotent work at most once for each key. It knows of
-// every execution of this boot that is still active; any other one of this boot
-// is given up or its answer is stored.
+// executions runs non-idempotent work at most once per key. It holds every
+// active execution of this boot, that is, of this agent process; any other
+// execution of this boot was abandoned or has its answer stored.
 type executions struct {
 	agent   string
 	boot    string
@@ -52,20 +52,20 @@
 
 // execution is one run of a key's work.
 type execution struct {
-	owner    *executions
-	id       policy.Execution
-	work     wire.Work
-	body     []byte
-	fail     func(error) // Told when the call of the backend server fails.
-	answer   policy.Answer
-	refusal  *result.Error // Set before ended is closed.
-	answered chan struct{} // Closed once answer is known.
-	ended    chan struct{} // Closed once the execution is inactive.
+	owner     *executions
+	id        policy.Execution
+	work      wire.Work
+	body      []byte
+	onFailure func(error) // Called when the call of the backend server fails.
+	answer    policy.Answer
+	refusal   *result.Error // Set before ended is closed.
+	answered  chan struct{} // Closed once answer is known.
+	ended     chan struct{} // Closed once the execution is inactive.
 }
 
-func (e *executions) begin(work wire.Work, body []byte, fail func(error)) (*execution, *result.Error) {
+func (e *executions) begin(work wire.Work, body []byte, onFailure func(error)) (*execution, *result.Error) {
 	x := &execution{
-		owner: e, work: work, body: body, fail: fail,
+		owner: e, work: work, body: body, onFailure: onFailure,
 		id:       policy.Execution{Agent: e.agent, Boot: e.boot, Nonce: uuid.NewString()},
 		answered: make(chan struct{}), ended: make(chan struct{}),
 	}
@@ -91,8 +91,8 @@
 	return e.active[nonce]
 }
 
-// run drives the execution to its end. It heeds no caller: what has started
-// is carried through.
+// run runs the execution to its end. It does not depend on a caller's context:
+// work that has started is completed.
 func (x *execution) run() {
 	defer x.owner.end(x)
 	ctx := context.Background()
@@ -105,14 +105,14 @@
 		if _, ok := effect.(policy.Finish); ok {
 			return
 		}
-		machine, effect = machine.Step(x.do(ctx, effect))
+		machine, effect = machine.Step(x.execute(ctx, effect))
 		if answer, ok := machine.Storing(); ok {
 			x.publish(answer)
 		}
 	}
 }
 
-// publish makes the backend server's answer known before it is stored.
+// publish makes the backend server's answer available before it is stored.
 func (x *execution) publish(answer policy.Answer) {
 	select {
 	case <-x.answered:
@@ -122,19 +122,19 @@
 	}
 }
 
-func (x *execution) do(ctx context.Context, effect reduce.Effect) reduce.Event {
+func (x *execution) execute(ctx context.Context, effect reduce.Effect) reduce.Event {
 	switch effect := effect.(type) {
 	case policy.ReadRow:
 		event := x.owner.rows.Read(ctx, x.work.Key, effect)
 		if read, ok := event.(policy.RowRead); ok {
-			read.Late = x.late()
+			read.Late = x.pastDeadline()
 			return read
 		}
 		return event
 	case policy.WriteRow:
 		event := x.owner.rows.Write(ctx, x.work.Key, effect)
 		if _, ok := event.(policy.WriteSucceeded); ok {
-			return policy.WriteSucceeded{Late: x.late()}
+			return policy.WriteSucceeded{Late: x.pastDeadline()}
 		}
 		return event
 	default:
@@ -142,7 +142,7 @@
 	}
 }
 
-func (x *execution) late() bool { return time.Now().After(x.work.Deadline) }
+func (x *execution) pastDeadline() bool { return time.Now().After(x.work.Deadline) }
 
 func (x *execution) call(ctx context.Context) reduce.Event {
 	ctx, cancel := context.WithTimeout(ctx, x.owner.callTimeout(x.work))
@@ -153,7 +153,7 @@
 	if err == nil {
 		return policy.Answered{Answer: policy.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: string(answer.Body)}}
 	}
-	x.fail(err)
+	x.onFailure(err)
 	if errors.Is(err, ports.ErrUnavailable) {
 		return policy.BackendNotCalled{}
 	}
@@ -174,15 +174,15 @@
 }
 
 // callKeyed runs a non-idempotent call. The slot stays reserved until the
-// backend server has answered; the handler stays until the answer is stored, so
-// that a leaving agent waits for it.
+// backend server has answered; the handler returns only after the answer is
+// stored, so that a draining agent waits for it.
 func (a *Agent) callKeyed(ctx context.Context, w http.ResponseWriter, slot *slot, work wire.Work, body []byte) bool {
 	if work.Key == "" {
 		refuse(w, result.Errorf(result.BadRequest, "work %q is not idempotent and has no key", work.RequestID))
 		return false
 	}
 	if time.Now().After(work.Deadline) || ctx.Err() != nil {
-		refuse(w, result.Errorf(result.Cancelled, "nobody waits for work %q any more", work.RequestID))
+		refuse(w, result.Errorf(result.Cancelled, "caller of work %q has disconnected, or its deadline has passed", work.RequestID))
 		return false
 	}
 	x, refusal := a.executions.begin(work, body, func(err error) { slot.fail(ctx, err) })
@@ -200,23 +200,24 @@
 		refuse(w, x.refusal)
 		return false
 	}
-	whole := writeStored(w, x.answer)
-	slot.release(whole)
+	complete := writeAnswer(w, x.answer)
+	slot.release(complete)
 	<-x.ended
-	return whole
+	return complete
 }
 
-// awaitStored waits for the answer to be stored while the store is quick.
+// awaitStored waits for the answer to be stored, at most storeWait, so that a
+// slow store does not hold up the answer.
 func (x *execution) awaitStored() {
 	select {
 	case <-x.ended:
-	case <-time.After(storePatience):
+	case <-time.After(storeWait):
 		logevent.Write(x.owner.node.Log(), logevent.AnswerNotStored, logrus.Fields{"request": x.work.RequestID})
 	}
 }
 
-// writeStored sends the answer in whole; it reports whether there is one.
-func writeStored(w http.ResponseWriter, answer policy.Answer) bool {
+// writeAnswer sends the complete answer; it reports whether there is one.
+func writeAnswer(w http.ResponseWriter, answer policy.Answer) bool {
 	if answer.Code != 0 {
 		refuse(w, result.Errorf(result.Code(answer.Code), "the backend server gave no answer"))
 		return false
@@ -229,10 +230,11 @@
 	return true
 }
 
-// executionReceiver answers entries' questions about executions.
+// executionReceiver answers entries' queries about executions.
 type executionReceiver struct{ executions *executions }
 
-// Wait tells the progress of an execution, after waiting for its end or answer.
+// Wait returns the progress of an execution, after waiting for its end or
+// answer.
 func (r *executionReceiver) Wait(request wire.ExecutionRequest, reply *wire.ExecutionReply) error {
 	e := r.executions
 	e.node.Hear(request.Stamp)
--- a/server/agent/observer.go
+++ b/server/agent/observer.go
@@ -8,8 +8,8 @@
 	"persimmonwind.dev/server/stream"
 )
 
-// observer reads an answer's pieces and tells admission what they show of the
-// backend server: the first piece, or a break.
+// observer reads an answer's pieces and reports to admission what they show
+// about the backend server: the first piece, or a failure.
 type observer struct {
 	slot *slot
 }
@@ -24,6 +24,6 @@
 		o.slot.fail(ctx, err)
 		return piece, err
 	}
-	o.slot.begun()
+	o.slot.markStarted()
 	return piece, nil
 }
--- a/server/entry/attempt/liveness.go
+++ b/server/entry/attempt/liveness.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	heartbeatInterval = time.Second
-	heartbeatTimeout  = time.Second
-	maxMissed         = 2 // Heartbeats in a row.
+	heartbeatInterval   = time.Second
+	heartbeatTimeout    = time.Second
+	maxMissedHeartbeats = 2 // Consecutive heartbeats.
 )
 
-// errAgentDead means that an agent answers no heartbeats.
+// errAgentDead is the cause with which attempts at an agent that answers no
+// heartbeats are cancelled.
 var errAgentDead = errors.New("agent answers no heartbeats")
 
-// liveness watches the agents that attempts wait for. All attempts at one agent
-// share its heartbeats.
+// liveness monitors the agents that have attempts in flight. All attempts at
+// one agent share its heartbeats.
 type liveness struct {
-	beat func(ctx context.Context, address string) error
-	drop func(address string)
+	heartbeat func(ctx context.Context, address string) error
+	dropConn  func(address string)
 
 	mu     sync.Mutex
 	agents map[string]*watchedAgent
 }
 
-// watchedAgent is one agent with the attempts that wait for it.
+// watchedAgent is one agent with its attempts in flight.
 type watchedAgent struct {
 	attempts map[*watchdog]struct{}
 	stop     context.CancelFunc
 }
 
 func newLiveness(n *node.Node) *liveness {
-	beat := func(ctx context.Context, address string) error {
+	heartbeat := func(ctx context.Context, address string) error {
 		var reply wire.ExchangeReply
 		err := n.Pool.Call(ctx, address, "Peer.Exchange", wire.ExchangeRequest{Stamp: n.Stamp()}, &reply)
 		if err == nil {
@@ -44,11 +45,11 @@
 		}
 		return err
 	}
-	return &liveness{beat: beat, drop: n.Pool.Drop, agents: map[string]*watchedAgent{}}
+	return &liveness{heartbeat: heartbeat, dropConn: n.Pool.Drop, agents: map[string]*watchedAgent{}}
 }
 
-// watch ends the attempt if the agent at the control address dies; the returned
-// function ends the watching.
+// watch cancels the attempt if the agent at the control address is declared
+// dead; the returned function stops watching.
 func (l *liveness) watch(address string, attempt *watchdog) (unwatch func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,17 +77,18 @@
 	}
 }
 
-// run sends heartbeats while an attempt waits for the agent in silence.
+// run sends heartbeats while an attempt has heard nothing from the agent for
+// heartbeatInterval, and declares the agent dead after maxMissedHeartbeats.
 func (l *liveness) run(ctx context.Context, address string, agent *watchedAgent) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	for missed := 0; missed < maxMissed; {
+	for missed := 0; missed < maxMissedHeartbeats; {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		if !l.anySilent(agent) || l.answers(ctx, address) {
+		if !l.anySilent(agent) || l.alive(ctx, address) {
 			missed = 0
 		} else {
 			missed++
@@ -95,24 +97,25 @@
 	l.declareDead(address, agent)
 }
 
-func (l *liveness) answers(ctx context.Context, address string) bool {
+func (l *liveness) alive(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	return l.beat(ctx, address) == nil
+	return l.heartbeat(ctx, address) == nil
 }
 
 func (l *liveness) anySilent(agent *watchedAgent) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for attempt := range agent.attempts {
-		if attempt.silence() >= heartbeatInterval {
+		if attempt.idleTime() >= heartbeatInterval {
 			return true
 		}
 	}
 	return false
 }
 
-// declareDead ends every attempt that waits for the agent.
+// declareDead cancels every attempt at the agent and drops the connection to
+// it.
 func (l *liveness) declareDead(address string, agent *watchedAgent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,5 +125,5 @@
 	if l.agents[address] == agent {
 		delete(l.agents, address)
 	}
-	l.drop(address)
+	l.dropConn(address)
 }
--- a/server/entry/attempt/liveness_test.go
+++ b/server/entry/attempt/liveness_test.go
@@ -9,18 +9,19 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// watchSilent watches an attempt that hears nothing from its agent and returns
-// why it ended, nil if it is still under way after the wait.
-func watchSilent(beatErr error, wait time.Duration) error {
+// watchSilentAgent watches an attempt whose agent sends nothing. It returns the
+// cause with which the attempt was cancelled, or nil if it is still in flight
+// after the wait.
+func watchSilentAgent(heartbeatErr error, wait time.Duration) error {
 	dropped := make(chan string, 1)
 	l := &liveness{
-		beat:   func(context.Context, string) error { return beatErr },
-		drop:   func(address string) { dropped <- address },
-		agents: map[string]*watchedAgent{},
+		heartbeat: func(context.Context, string) error { return heartbeatErr },
+		dropConn:  func(address string) { dropped <- address },
+		agents:    map[string]*watchedAgent{},
 	}
 	ctx, attempt := newWatchdog(context.Background(), time.Hour)
 	defer attempt.stop()
-	attempt.heard.Store(0)
+	attempt.lastHeard.Store(0)
 	defer l.watch("agent", attempt)()
 	select {
 	case <-ctx.Done():
@@ -32,10 +33,10 @@
 }
 
 func TestLiveness(t *testing.T) {
-	Convey("An attempt ends when its agent answers no heartbeats", t, func() {
-		So(watchSilent(errors.New("timeout"), time.Minute), ShouldEqual, errAgentDead)
+	Convey("An attempt is cancelled when its agent answers no heartbeats", t, func() {
+		So(watchSilentAgent(errors.New("timeout"), time.Minute), ShouldEqual, errAgentDead)
 	})
-	Convey("An attempt goes on while its agent answers heartbeats", t, func() {
-		So(watchSilent(nil, (maxMissed+2)*heartbeatInterval), ShouldBeNil)
+	Convey("An attempt continues while its agent answers heartbeats", t, func() {
+		So(watchSilentAgent(nil, (maxMissedHeartbeats+2)*heartbeatInterval), ShouldBeNil)
 	})
 }
--- a/server/entry/attempt/retry.go
+++ b/server/entry/attempt/retry.go
@@ -12,25 +12,28 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// attemptFunc makes one attempt; begun tells that the caller has seen a part
-// of the answer.
-type attemptFunc func(target route.Target, work wire.Work) (begun bool, err *result.Error)
+// attemptFunc makes one attempt; started reports that the caller has received a
+// part of the answer.
+type attemptFunc func(target route.Target, work wire.Work) (started bool, err *result.Error)
 
-// budget is the entry's retry budget, shared by all its requests.
-type budget struct {
+// retryBudget is the entry's retry budget, shared by all its requests.
+type retryBudget struct {
 	mu    sync.Mutex
 	state retry.Budget
 }
 
-func newBudget() *budget { return &budget{state: retry.NewBudget()} }
+func newRetryBudget() *retryBudget { return &retryBudget{state: retry.NewBudget()} }
 
-func (b *budget) request() {
+// request adds a new request's share to the budget.
+func (b *retryBudget) request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state = b.state.Deposit()
 }
 
-func (b *budget) spend() bool {
+// withdraw takes one retry from the budget; it reports whether there was one
+// left.
+func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ok bool
@@ -38,35 +41,35 @@
 	return ok
 }
 
-// retry makes attempts until one succeeds or the request is given up on.
+// retry makes attempts until one succeeds or no further retry is allowed.
 func (r *Runner) retry(ctx context.Context, request Request, attempt attemptFunc) *result.Error {
-	r.budget.request()
-	query := queryOf(request)
-	arrived := time.Now()
+	r.retryBudget.request()
+	query := newQuery(request)
+	start := time.Now()
 	for number := 1; ; number++ {
 		target, err := r.router.Pick(ctx, query)
 		if err != nil {
 			return retry.FinalError(err, rand.Uint64())
 		}
-		begun, err := attempt(target, r.work(request, number))
+		started, err := attempt(target, r.work(request, number))
 		if err == nil {
 			return nil
 		}
 		failed := retry.Attempt{
-			Number: number, Err: err, ResponseStarted: begun,
+			Number: number, Err: err, ResponseStarted: started,
 			Idempotent: request.Idempotent,
-			Waited:     time.Since(arrived), Remaining: time.Until(request.Deadline),
+			Waited:     time.Since(start), Remaining: time.Until(request.Deadline),
 		}
-		if ctx.Err() != nil || !retry.Retriable(failed) || !(retry.SkipsBudget(err.Code) || r.budget.spend()) {
+		if ctx.Err() != nil || !retry.Retriable(failed) || !(retry.SkipsBudget(err.Code) || r.retryBudget.withdraw()) {
 			return retry.FinalError(err, rand.Uint64())
 		}
 		query.Excluded[target.BackendServer] = true
 	}
 }
 
-func queryOf(request Request) route.Query {
+func newQuery(request Request) route.Query {
 	excluded := map[string]bool{}
-	for _, name := range request.avoided {
+	for _, name := range request.failedServers {
 		excluded[name] = true
 	}
 	return route.Query{
--- a/server/entry/callers.go
+++ b/server/entry/callers.go
@@ -24,13 +24,13 @@
 	mux.HandleFunc("POST /v1/chat/completions", e.authenticated(e.serveChat))
 	mux.HandleFunc("POST /v1/completions", e.authenticated(e.serveCompletion))
 	mux.HandleFunc("GET /v1/models", e.authenticated(e.serveModels))
-	mux.HandleFunc("POST /v1/services/{service}/{operation}", e.answered(unsettled(func(w http.ResponseWriter, r *http.Request) *result.Error {
+	mux.HandleFunc("POST /v1/services/{service}/{operation}", e.instrumented(markUnsettled(func(w http.ResponseWriter, r *http.Request) *result.Error {
 		return e.serveOrg(w, r, e.serveService)
 	})))
 	mux.HandleFunc("GET /livez", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("GET /readyz", e.serveReady)
 	mux.Handle("GET /metrics", e.metrics.Handler())
-	mux.HandleFunc("/", e.answered(serveUnknownPath))
+	mux.HandleFunc("/", e.instrumented(serveUnknownPath))
 	return mux
 }
 
@@ -53,13 +53,16 @@
 // orgHandler serves one request of an organisation.
 type orgHandler func(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation) *result.Error
 
-// authenticated finds the caller's organisation and answers next's error.
+// authenticated runs next for the organisation that the caller's key identifies
+// and answers with the error that next returns.
 func (e *Entry) authenticated(next orgHandler) http.HandlerFunc {
-	return e.answered(func(w http.ResponseWriter, r *http.Request) *result.Error {
+	return e.instrumented(func(w http.ResponseWriter, r *http.Request) *result.Error {
 		return e.serveOrg(w, r, next)
 	})
 }
 
+// serveOrg authenticates the caller, enforces the organisation's limits on POST
+// requests and runs next.
 func (e *Entry) serveOrg(w http.ResponseWriter, r *http.Request, next orgHandler) *result.Error {
 	snapshot := e.node.State().View.InForce
 	if snapshot == nil {
@@ -67,7 +70,7 @@
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return result.Errorf(result.Unauthorized, "Send the organisation key as \"Authorization: Bearer KEY\".")
+		return result.Errorf(result.Unauthorized, "send the organisation's key as \"Authorization: Bearer KEY\"")
 	}
 	sum := sha256.Sum256([]byte(key))
 	org, ok := snapshot.OrganisationByKeyHash(hex.EncodeToString(sum[:]))
@@ -77,7 +80,7 @@
 	if r.Method != http.MethodPost {
 		return next(w, r, snapshot, org)
 	}
-	release, refusal := e.limiter.Take(r.Context(), org)
+	release, refusal := e.limiter.Admit(r.Context(), org)
 	if refusal != nil {
 		return refusal
 	}
@@ -85,7 +88,8 @@
 	return next(w, r, snapshot, org)
 }
 
-// writeError answers with the error, unless the answer has begun.
+// writeError writes the error as a JSON response. The response must not have
+// started.
 func writeError(w http.ResponseWriter, err *result.Error) {
 	w.Header().Set("Content-Type", "application/json")
 	if err.RetryAfter > 0 {
@@ -100,12 +104,13 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// newRequest returns what all requests have in common.
+// newRequest returns a request with the fields that generations and service
+// calls have in common.
 func newRequest(r *http.Request, org config.Organisation) (attempt.Request, *result.Error) {
-	limit, err := timeLimit(r)
+	limit, err := requestTimeout(r)
 	return attempt.Request{
 		ID: uuid.NewString(), Org: org.Name, Priority: org.Priority,
-		Deadline: time.Now().Add(limit), Key: r.Header.Get(headerKey),
+		Deadline: time.Now().Add(limit), Key: r.Header.Get(idempotencyKeyHeader),
 	}, err
 }
 
@@ -121,14 +126,14 @@
 func (e *Entry) serveService(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation) *result.Error {
 	service, ok := snapshot.Services[r.PathValue("service")]
 	if !ok {
-		return result.Errorf(result.UnknownModel, "Plain service %q does not exist.", r.PathValue("service"))
+		return result.Errorf(result.UnknownModel, "plain service %q does not exist", r.PathValue("service"))
 	}
 	operation, ok := service.Operation(r.PathValue("operation"))
 	if !ok {
-		return result.Errorf(result.UnknownOperation, "Service %q has no operation %q.", service.Name, r.PathValue("operation"))
+		return result.Errorf(result.UnknownOperation, "service %q has no operation %q", service.Name, r.PathValue("operation"))
 	}
 	if operation.Idempotent {
-		r.Header.Del(headerKey)
+		r.Header.Del(idempotencyKeyHeader)
 	}
 	body, refusal := readBody(w, r)
 	if refusal != nil {
@@ -145,9 +150,9 @@
 	request.Idempotent = operation.Idempotent
 	request.Body = body
 	if !request.Idempotent {
-		setKey(w, &request)
+		ensureIdempotencyKey(w, &request)
 	}
-	boundAnswer(w, request.Deadline)
+	setWriteDeadline(w, request.Deadline)
 	answer, refusal := e.runner.Call(r.Context(), request)
 	if refusal != nil {
 		return refusal
