--- a/server/admin/admin.go
+++ b/server/admin/admin.go
@@ -81,7 +81,7 @@
 func (a *API) permitted(role adminapi.Role, next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		operator, err := a.authenticate(r)
-		if err == nil && operator.Role.Rank() < role.Rank() {
+		if err == nil && operator.Role.Level() < role.Level() {
 			err = forbidden(operator, role)
 		}
 		if err == nil {
--- a/server/admin/adminapi/adminapi.go
+++ b/server/admin/adminapi/adminapi.go
@@ -48,8 +48,8 @@
 	RoleAdministrator Role = "administrator" // Takes out the last data centre.
 )
 
-// Rank orders the roles; an unknown role has rank 0 and may do nothing.
-func (r Role) Rank() int {
+// Level orders the roles; an unknown role has rank 0 and may do nothing.
+func (r Role) Level() int {
 	switch r {
 	case RoleViewer:
 		return 1
@@ -102,8 +102,8 @@
 	AllowLastDataCentre bool   `json:"allow_last_data_centre,omitempty"`
 }
 
-// Accepted answers a change.
-type Accepted struct {
+// ChangeResponse answers a change.
+type ChangeResponse struct {
 	Revision  uint64          `json:"revision"`
 	Unchanged bool            `json:"unchanged,omitempty"` // In force already; no revision was made.
 	Changes   []config.Change `json:"changes"`
--- a/server/admin/status.go
+++ b/server/admin/status.go
@@ -21,7 +21,7 @@
 	if head, _, err := a.node.Config.Head(r.Context()); err == nil {
 		status.Revision, status.FromStore, status.Files = head.Revision, true, revisions(head.Files)
 	}
-	for _, report := range a.node.Report(r.Context()) {
+	for _, report := range a.node.CollectReports(r.Context()) {
 		process := processOf(report)
 		if !status.FromStore && process.Revision > status.Revision {
 			status.Revision, status.Files = process.Revision, process.Files
@@ -63,7 +63,7 @@
 	if err != nil {
 		return storeError(err)
 	}
-	limit = min(limit, configstore.AuditPage)
+	limit = min(limit, configstore.AuditPageSize)
 	after, err := number(r, "after", head.Revision-min(head.Revision, limit))
 	if err != nil {
 		return err
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -92,7 +92,7 @@
 		group.Add(func() error { return a.group.Run(life) }, func(error) { stop() })
 	}
 	group.Add(func() error { return a.node.Run(life) }, func(error) { stop() })
-	group.Add(func() error { return leave.Serve(life, a.server, a.node.Secured(a.traffic)) }, func(error) { _ = a.server.Close() })
+	group.Add(func() error { return leave.Serve(life, a.server, a.node.SecureListener(a.traffic)) }, func(error) { _ = a.server.Close() })
 	if a.health != nil {
 		health := &http.Server{Handler: a.healthHandler(), ReadHeaderTimeout: headerTimeout}
 		group.Add(func() error { return leave.Serve(life, health, a.health) }, func(error) { _ = health.Close() })
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -235,7 +235,7 @@
 // Wait tells the progress of an execution, after waiting for its end or answer.
 func (r *executionReceiver) Wait(request wire.ExecutionRequest, reply *wire.ExecutionReply) error {
 	e := r.executions
-	e.node.Hear(request.Stamp)
+	e.node.ObserveStamp(request.Stamp)
 	reply.Stamp = e.node.Stamp()
 	if request.Execution.Boot != e.boot {
 		reply.Progress = policy.AgentRestarted
--- a/server/agent/receiver.go
+++ b/server/agent/receiver.go
@@ -11,7 +11,7 @@
 
 // Probe tells what the agent could take.
 func (r *receiver) Probe(request wire.ProbeRequest, reply *wire.ProbeReply) error {
-	r.agent.node.Hear(request.Stamp)
+	r.agent.node.ObserveStamp(request.Stamp)
 	reply.Stamp = r.agent.node.Stamp()
 	reply.BackendServer = r.agent.settings.BackendServer
 	if err := r.agent.node.State().CheckNewWork(); err != nil {
--- a/server/agent/traffic.go
+++ b/server/agent/traffic.go
@@ -49,7 +49,7 @@
 			refuse(w, result.Errorf(result.BadRequest, "%v", err))
 			return
 		}
-		a.node.Hear(work.Stamp)
+		a.node.ObserveStamp(work.Stamp)
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWorkBytes))
 		if err != nil {
 			refuse(w, result.Errorf(result.BodyTooLarge, "read work %q: %v", work.RequestID, err))
--- a/server/cmd/persimmonwind/processes.go
+++ b/server/cmd/persimmonwind/processes.go
@@ -90,7 +90,7 @@
 
 // loadKeys returns nil where no key files are set.
 func loadKeys(files keys.Files) (keys.Source, error) {
-	if !files.Set() {
+	if !files.IsSet() {
 		return nil, nil
 	}
 	return keys.NewReloader(files)
--- a/server/configstore/audit.go
+++ b/server/configstore/audit.go
@@ -15,8 +15,8 @@
 const (
 	recordPrefix = "config/audit/"
 	applyPrefix  = "config/apply/"
-	// AuditPage is the most records that one read returns.
-	AuditPage = 500
+	// AuditPageSize is the most records that one read returns.
+	AuditPageSize = 500
 )
 
 // Record is the audit record of one accepted change. Its hash covers all other
@@ -120,7 +120,7 @@
 // Audit returns up to limit records with revisions greater than after, oldest
 // first.
 func (s *Store) Audit(ctx context.Context, after uint64, limit int) ([]Record, error) {
-	rows, err := s.Table.List(ctx, recordPrefix, recordKey(after), min(limit, AuditPage))
+	rows, err := s.Table.List(ctx, recordPrefix, recordKey(after), min(limit, AuditPageSize))
 	if err != nil {
 		return nil, unavailable(fmt.Errorf("list audit records: %w", err))
 	}
@@ -143,7 +143,7 @@
 	previous := ""
 	var revision uint64
 	for revision < head.Revision {
-		records, err := s.Audit(ctx, revision, AuditPage)
+		records, err := s.Audit(ctx, revision, AuditPageSize)
 		if err != nil {
 			return revision, err
 		}
--- a/server/dev/dev.go
+++ b/server/dev/dev.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	current, err := generated.Keys()
-	return keys.Fixed{Keys: current}, err
+	return keys.StaticSource{Keys: current}, err
 }
 
 // Run runs the system until ctx ends.
--- a/server/entry/attempt/execution.go
+++ b/server/entry/attempt/execution.go
@@ -42,7 +42,7 @@
 	if err := r.node.Pool.Call(ctx, control, "Execution.Wait", request, reply); err != nil {
 		return nil, err
 	}
-	r.node.Hear(reply.Stamp)
+	r.node.ObserveStamp(reply.Stamp)
 	return reply, nil
 }
 
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -76,7 +76,7 @@
 }
 
 func (c *keyedCall) finish(ctx context.Context, answer policy.Answer) (Answer, *result.Error) {
-	loaded, err := c.runner.rows.Load(context.WithoutCancel(ctx), answer)
+	loaded, err := c.runner.rows.LoadAnswer(context.WithoutCancel(ctx), answer)
 	if err != nil {
 		err.RetryAfter = keyRetryAfter
 		return Answer{}, err
--- a/server/entry/attempt/liveness.go
+++ b/server/entry/attempt/liveness.go
@@ -40,7 +40,7 @@
 		var reply wire.ExchangeReply
 		err := n.Pool.Call(ctx, address, "Peer.Exchange", wire.ExchangeRequest{Stamp: n.Stamp()}, &reply)
 		if err == nil {
-			n.Hear(reply.Stamp)
+			n.ObserveStamp(reply.Stamp)
 		}
 		return err
 	}
--- a/server/entry/attempt/runner.go
+++ b/server/entry/attempt/runner.go
@@ -30,7 +30,7 @@
 func NewRunner(n *node.Node) *Runner {
 	rows := &once.Rows{Table: n.Store, Objects: n.Store.Objects()}
 	return &Runner{
-		node: n, router: route.New(n), agents: newAgentClient(n.AgentScheme(), n.Agents), budget: newBudget(), liveness: newLiveness(n),
+		node: n, router: route.New(n), agents: newAgentClient(n.AgentScheme(), n.AgentTransport), budget: newBudget(), liveness: newLiveness(n),
 		rows: rows, cancels: newCancels(rows, func() int { return len(liveEntries(n)) }),
 	}
 }
@@ -39,12 +39,12 @@
 func (r *Runner) Sweeper() *once.Sweeper {
 	log := r.node.Log()
 	return &once.Sweeper{
-		Rows: r.rows, Self: r.node.State().Self.ID,
+		Rows: r.rows, InstanceID: r.node.State().Self.ID,
 		Entries: func() []string { return liveEntries(r.node) },
-		Removed: func(rows int) {
+		OnRemoved: func(rows int) {
 			logevent.Write(log, logevent.KeyRowsRemoved, logrus.Fields{"rows": rows})
 		},
-		Failed: func(err error) {
+		OnError: func(err error) {
 			logevent.Write(log, logevent.KeyRowsSweepFailed, logrus.Fields{"error": err.Error()})
 		},
 	}
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -178,7 +178,7 @@
 	if err := l.node.Pool.Call(ctx, address, "Share.Ask", request, reply); err != nil {
 		return share.Grant{}, err
 	}
-	l.node.Hear(reply.Stamp)
+	l.node.ObserveStamp(reply.Stamp)
 	retryAfter := time.Duration(reply.RetryAfterMS) * time.Millisecond
 	return share.Grant{Tokens: reply.Tokens, Slots: reply.Slots, RetryAfter: retryAfter}, nil
 }
@@ -258,7 +258,7 @@
 
 // Ask grants a share.
 func (r *receiver) Ask(request wire.ShareRequest, reply *wire.ShareReply) error {
-	r.limiter.node.Hear(request.Stamp)
+	r.limiter.node.ObserveStamp(request.Stamp)
 	grant := r.limiter.grant(share.Ask{
 		Org: request.Org, Entry: request.Stamp.From, Want: request.Want, Unused: request.Unused,
 		Slots: request.Slots, InUse: request.InUse,
--- a/server/entry/route/probe.go
+++ b/server/entry/route/probe.go
@@ -36,6 +36,6 @@
 		return probed{target: target, silent: errors.Is(err, context.DeadlineExceeded)}
 	}
 	r.suspects.clear(target.BackendServer)
-	r.node.Hear(reply.Stamp)
+	r.node.ObserveStamp(reply.Stamp)
 	return probed{target: target, reply: reply}
 }
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -39,7 +39,7 @@
 
 // Order passes the order to the control loop and waits for the engine.
 func (r *receiver) Order(request wire.MapOrder, reply *wire.MapReply) error {
-	r.group.node.Hear(request.Stamp)
+	r.group.node.ObserveStamp(request.Stamp)
 	ticket, done := r.group.expect()
 	r.group.node.Loop.Post(expertmap.OrderReceived{Ticket: ticket, Order: request.Order})
 	result := <-done
@@ -169,7 +169,7 @@
 	if err := g.call(ctx, send.Rank, request, &reply); err != nil {
 		return
 	}
-	g.node.Hear(reply.Stamp)
+	g.node.ObserveStamp(reply.Stamp)
 	g.node.Loop.Post(expertmap.ReplyReceived{
 		Rank: send.Rank, Kind: send.Order.Kind, Number: send.Order.Number,
 		State: reply.State, Refused: reply.Refused, Seen: reply.Seen,
--- a/server/keys/keys.go
+++ b/server/keys/keys.go
@@ -27,8 +27,8 @@
 	Authority   string `json:"authority" doc:"PEM file with the certificates of the system's authority."`
 }
 
-// Set reports whether any file is named.
-func (f Files) Set() bool { return f != Files{} }
+// IsSet reports whether any file is named.
+func (f Files) IsSet() bool { return f != Files{} }
 
 // Keys is one process's key, its certificate and the system's authority.
 type Keys struct {
@@ -42,11 +42,11 @@
 	Current() (*Keys, error)
 }
 
-// Fixed is a Source of keys that never change.
-type Fixed struct{ Keys *Keys }
+// StaticSource is a Source of keys that never change.
+type StaticSource struct{ Keys *Keys }
 
 // Current implements Source.
-func (f Fixed) Current() (*Keys, error) { return f.Keys, nil }
+func (f StaticSource) Current() (*Keys, error) { return f.Keys, nil }
 
 // Reloader is a Source that reads its files again when one has changed.
 type Reloader struct {
--- a/server/keys/keys_test.go
+++ b/server/keys/keys_test.go
@@ -45,13 +45,13 @@
 	return g
 }
 
-func fixed(t *testing.T, g Generated) Fixed {
+func fixed(t *testing.T, g Generated) StaticSource {
 	t.Helper()
 	k, err := g.Keys()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Fixed{Keys: k}
+	return StaticSource{Keys: k}
 }
 
 func TestOnlyTheSystemsOwnProcesses(t *testing.T) {
--- a/server/node/exchange.go
+++ b/server/node/exchange.go
@@ -99,7 +99,7 @@
 	if err := n.Pool.Call(ctx, peer.Control, "Peer.Exchange", request, reply); err != nil {
 		return err
 	}
-	n.Hear(reply.Stamp)
+	n.ObserveStamp(reply.Stamp)
 	n.Loop.Post(view.ExchangeAnswered{
 		Peer: reply.Stamp.From, DataCentre: reply.Stamp.DataCentre, Revision: reply.Stamp.Revision,
 		BeganAt: began, Current: reply.Current, Age: reply.Age, Started: reply.Started,
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -47,13 +47,13 @@
 
 // Node runs the control state of one process.
 type Node struct {
-	options   Options
-	Loop      *loop.Loop[control.State, control.State]
-	Store     *httpapi.Store
-	Config    *configstore.Store
-	Pool      *rpc.Pool
-	Transport *http.Transport // To the platform and the backend server.
-	Agents    *http.Transport // To agents.
+	options        Options
+	Loop           *loop.Loop[control.State, control.State]
+	Store          *httpapi.Store
+	Config         *configstore.Store
+	Pool           *rpc.Pool
+	Transport      *http.Transport // To the platform and the backend server.
+	AgentTransport *http.Transport // To agents.
 
 	executors []func(context.Context, reduce.Effect) bool
 	receivers map[string]any
@@ -69,15 +69,15 @@
 	store := httpapi.NewStore(options.StoreURL, transport)
 	clientTLS := clientTLS(options.Keys)
 	n := &Node{
-		options:   options,
-		Store:     store,
-		Config:    &configstore.Store{Table: store, Objects: store.Objects()},
-		Pool:      rpc.NewPool(clientTLS),
-		Transport: transport,
-		Agents:    httpapi.NewTransport(),
-		receivers: map[string]any{},
+		options:        options,
+		Store:          store,
+		Config:         &configstore.Store{Table: store, Objects: store.Objects()},
+		Pool:           rpc.NewPool(clientTLS),
+		Transport:      transport,
+		AgentTransport: httpapi.NewTransport(),
+		receivers:      map[string]any{},
 	}
-	n.Agents.TLSClientConfig = clientTLS
+	n.AgentTransport.TLSClientConfig = clientTLS
 	n.receivers["Peer"] = &peerReceiver{node: n}
 	n.members = newMembers(options.Self.ID)
 	identity := func(state control.State) control.State { return state }
@@ -93,8 +93,8 @@
 	return keys.ClientConfig(source)
 }
 
-// Secured returns the listener inside TLS where the node has keys.
-func (n *Node) Secured(listener net.Listener) net.Listener {
+// SecureListener returns the listener inside TLS where the node has keys.
+func (n *Node) SecureListener(listener net.Listener) net.Listener {
 	if n.options.Keys == nil {
 		return listener
 	}
@@ -143,8 +143,8 @@
 	n.Loop.Post(control.Leave{})
 }
 
-// Hear takes in the stamp of a message.
-func (n *Node) Hear(stamp wire.Stamp) {
+// ObserveStamp takes in the stamp of a message.
+func (n *Node) ObserveStamp(stamp wire.Stamp) {
 	if stamp.Revision > n.State().View.Revision() {
 		n.teller.Store(&stamp.From)
 		n.Loop.Post(view.RevisionSeen{Revision: stamp.Revision})
@@ -162,7 +162,7 @@
 	n.lifetime = ctx
 	defer n.Pool.Close()
 	served := make(chan error, 1)
-	go func() { served <- rpc.Serve(n.Secured(n.options.Control), n.receivers, n.Log()) }()
+	go func() { served <- rpc.Serve(n.SecureListener(n.options.Control), n.receivers, n.Log()) }()
 	go n.watchInstances(ctx)
 	go n.announceReady(ctx)
 	go n.announceStart(ctx)
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -93,9 +93,9 @@
 	return total
 }
 
-// Report asks every process which configuration is in force there. Of those
+// CollectReports asks every process which configuration is in force there. Of those
 // that don't answer only the instance is filled in.
-func (n *Node) Report(ctx context.Context) []wire.ReportReply {
+func (n *Node) CollectReports(ctx context.Context) []wire.ReportReply {
 	pool := rpc.NewPool(clientTLS(n.options.Keys))
 	defer pool.Close()
 	var mu sync.Mutex
@@ -133,7 +133,7 @@
 // Exchange tells the caller this node's revision and evidence, and hears the
 // caller's.
 func (r *peerReceiver) Exchange(request wire.ExchangeRequest, reply *wire.ExchangeReply) error {
-	r.node.Hear(request.Stamp)
+	r.node.ObserveStamp(request.Stamp)
 	r.node.members.hear(request.Instance, time.Now())
 	state := r.node.State()
 	reply.Stamp = r.node.Stamp()
@@ -148,7 +148,7 @@
 
 // Configuration hands out this node's configuration.
 func (r *peerReceiver) Configuration(request wire.ConfigurationRequest, reply *wire.ConfigurationReply) error {
-	r.node.Hear(request.Stamp)
+	r.node.ObserveStamp(request.Stamp)
 	reply.Stamp = r.node.Stamp()
 	snapshot := r.node.State().View.InForce
 	if snapshot != nil && snapshot.Revision > request.Stamp.Revision {
@@ -166,21 +166,21 @@
 	if err != nil {
 		logevent.Write(r.node.Log(), logevent.OfferIncomplete, logrus.Fields{"from": request.Stamp.From, "error": err.Error()})
 	}
-	r.node.Hear(request.Stamp)
+	r.node.ObserveStamp(request.Stamp)
 	reply.Stamp = r.node.Stamp()
 	return nil
 }
 
 // Report tells which configuration is in force here.
 func (r *peerReceiver) Report(request wire.ReportRequest, reply *wire.ReportReply) error {
-	r.node.Hear(request.Stamp)
+	r.node.ObserveStamp(request.Stamp)
 	*reply = r.node.ownReport()
 	return nil
 }
 
 // Instances hands out this node's instance list.
 func (r *peerReceiver) Instances(request wire.InstancesRequest, reply *wire.InstancesReply) error {
-	r.node.Hear(request.Stamp)
+	r.node.ObserveStamp(request.Stamp)
 	reply.Stamp = r.node.Stamp()
 	reply.Instances = append([]ports.Instance{r.node.Self()}, r.node.Instances()...)
 	return nil
--- a/server/once/rows.go
+++ b/server/once/rows.go
@@ -152,8 +152,8 @@
 	return row, nil
 }
 
-// Load returns the answer with its body, or the failure that it stands for.
-func (r *Rows) Load(ctx context.Context, answer once.Answer) (once.Answer, *result.Error) {
+// LoadAnswer returns the answer with its body, or the failure that it stands for.
+func (r *Rows) LoadAnswer(ctx context.Context, answer once.Answer) (once.Answer, *result.Error) {
 	if answer.Code != 0 {
 		return answer, result.Errorf(result.Code(answer.Code), "the backend server gave no answer to the only run")
 	}
--- a/server/once/sweep.go
+++ b/server/once/sweep.go
@@ -28,11 +28,11 @@
 // the live entries. Two that hold different lists do no harm: a row is removed
 // on the condition that nobody has written it since.
 type Sweeper struct {
-	Rows    *Rows
-	Self    string          // Instance ID.
-	Entries func() []string // Instance IDs of live entries.
-	Removed func(rows int)
-	Failed  func(error)
+	Rows       *Rows
+	InstanceID string          // Instance ID.
+	Entries    func() []string // Instance IDs of live entries.
+	OnRemoved  func(rows int)
+	OnError    func(error)
 }
 
 // Run sweeps until ctx ends.
@@ -48,10 +48,10 @@
 func (s *Sweeper) sweepShard(ctx context.Context, shard int) {
 	prefix := once.RowPrefix + fmt.Sprintf("%02x", shard)
 	after := ""
-	for ctx.Err() == nil && owner(shard, s.Entries()) == s.Self {
+	for ctx.Err() == nil && owner(shard, s.Entries()) == s.InstanceID {
 		next, err := s.sweepPage(ctx, prefix, after, time.Now())
 		if err != nil && ctx.Err() == nil {
-			s.Failed(err)
+			s.OnError(err)
 		}
 		wait.For(ctx, pagePause)
 		if next == "" {
@@ -123,6 +123,6 @@
 	if err := s.Rows.Table.Commit(ctx, tx); err != nil {
 		return fmt.Errorf("remove %d rows: %w", len(tx.Writes), err)
 	}
-	s.Removed(len(tx.Writes))
+	s.OnRemoved(len(tx.Writes))
 	return nil
 }
--- a/server/once/sweep_test.go
+++ b/server/once/sweep_test.go
@@ -33,7 +33,7 @@
 			key := policy.RowKey("org", fmt.Sprint(number))
 			So(rows.Write(ctx, key, policy.WriteRow{Row: row}), ShouldHaveSameTypeAs, policy.WriteSucceeded{})
 			read := rows.Read(ctx, key, policy.ReadRow{}).(policy.RowRead)
-			answer, err := rows.Load(ctx, read.Row.Answer)
+			answer, err := rows.LoadAnswer(ctx, read.Row.Answer)
 			So(err, ShouldBeNil)
 			So(answer.Body, ShouldEqual, row.Answer.Body)
 			if read.Row.Answer.Object != "" {
@@ -42,7 +42,7 @@
 		}
 		So(objects, ShouldHaveLength, 125)
 		removed := 0
-		sweeper := &Sweeper{Rows: rows, Removed: func(count int) { removed += count }}
+		sweeper := &Sweeper{Rows: rows, OnRemoved: func(count int) { removed += count }}
 		sweep := func(now time.Time) {
 			after := ""
 			for {
--- a/server/settings/validate.go
+++ b/server/settings/validate.go
@@ -39,7 +39,7 @@
 	for _, peer := range p.Peers {
 		problems = append(problems, checkAddress("peers", peer))
 	}
-	if p.TLS.Set() {
+	if p.TLS.IsSet() {
 		problems = append(problems,
 			checkPresent("tls.certificate", p.TLS.Certificate),
 			checkPresent("tls.key", p.TLS.Key),
