--- a/ctl/adminclient/adminclient.go
+++ b/ctl/adminclient/adminclient.go
@@ -108,30 +108,30 @@
 
 // Apply accepts files that were made against the base revision. An empty ID
 // is replaced by a new one.
-func (c *Client) Apply(ctx context.Context, base uint64, change adminapi.ApplyRequest) (adminapi.ChangeResponse, error) {
+func (c *Client) Apply(ctx context.Context, base uint64, change adminapi.ApplyRequest) (adminapi.Accepted, error) {
 	fillID(&change.ID)
-	var answer adminapi.ChangeResponse
+	var answer adminapi.Accepted
 	err := c.call(ctx, request{method: http.MethodPost, path: adminapi.PathApply, body: change, revision: base, matched: true}, &answer)
 	return answer, err
 }
 
 // Rollback accepts the files of an earlier revision as a new one.
-func (c *Client) Rollback(ctx context.Context, base uint64, change adminapi.RollbackRequest) (adminapi.ChangeResponse, error) {
+func (c *Client) Rollback(ctx context.Context, base uint64, change adminapi.RollbackRequest) (adminapi.Accepted, error) {
 	fillID(&change.ID)
-	var answer adminapi.ChangeResponse
+	var answer adminapi.Accepted
 	err := c.call(ctx, request{method: http.MethodPost, path: adminapi.PathRollback, body: change, revision: base, matched: true}, &answer)
 	return answer, err
 }
 
 // SetTakenOut takes out or returns the target; kindPath is
 // adminapi.PathDataCentres or adminapi.PathBackendServers.
-func (c *Client) SetTakenOut(ctx context.Context, kindPath, name string, out bool, change adminapi.TargetRequest) (adminapi.ChangeResponse, error) {
+func (c *Client) SetTakenOut(ctx context.Context, kindPath, name string, out bool, change adminapi.TargetRequest) (adminapi.Accepted, error) {
 	fillID(&change.ID)
 	suffix := adminapi.SuffixReturn
 	if out {
 		suffix = adminapi.SuffixTakeOut
 	}
-	var answer adminapi.ChangeResponse
+	var answer adminapi.Accepted
 	err := c.call(ctx, request{method: http.MethodPost, path: kindPath + url.PathEscape(name) + suffix, body: change}, &answer)
 	return answer, err
 }
@@ -143,8 +143,8 @@
 }
 
 // Outcome tells what became of the change with the ID.
-func (c *Client) Outcome(ctx context.Context, id string) (adminapi.ChangeResponse, error) {
-	var answer adminapi.ChangeResponse
+func (c *Client) Outcome(ctx context.Context, id string) (adminapi.Accepted, error) {
+	var answer adminapi.Accepted
 	err := c.call(ctx, request{method: http.MethodGet, path: adminapi.PathApplies + url.PathEscape(id)}, &answer)
 	return answer, err
 }
--- a/ctl/cmd/persimmonctl/change.go
+++ b/ctl/cmd/persimmonctl/change.go
@@ -36,7 +36,7 @@
 }
 
 // change makes one change and reports it.
-func (f *changeFlags) change(command *cobra.Command, make func(context.Context, *adminclient.Client) (adminapi.ChangeResponse, error)) error {
+func (f *changeFlags) change(command *cobra.Command, make func(context.Context, *adminclient.Client) (adminapi.Accepted, error)) error {
 	client, err := f.client()
 	if err != nil {
 		return err
@@ -87,10 +87,10 @@
 			if err != nil {
 				return err
 			}
-			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.ChangeResponse, error) {
+			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
 				base, err := flags.base(ctx, client)
 				if err != nil {
-					return adminapi.ChangeResponse{}, err
+					return adminapi.Accepted{}, err
 				}
 				return client.Apply(ctx, base, adminapi.ApplyRequest{ID: flags.id, Files: files, AllowLastDataCentre: flags.allOut})
 			})
@@ -108,10 +108,10 @@
 		Short: "Accept the files of an earlier revision as a new one",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.ChangeResponse, error) {
+			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
 				base, err := flags.base(ctx, client)
 				if err != nil {
-					return adminapi.ChangeResponse{}, err
+					return adminapi.Accepted{}, err
 				}
 				return client.Rollback(ctx, base, adminapi.RollbackRequest{ID: flags.id, Revision: to, AllowLastDataCentre: flags.allOut})
 			})
@@ -135,7 +135,7 @@
 			if err != nil {
 				return err
 			}
-			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.ChangeResponse, error) {
+			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
 				return client.SetTakenOut(ctx, path, args[1], out, adminapi.TargetRequest{ID: flags.id, AllowLastDataCentre: flags.allOut})
 			})
 		},
@@ -144,7 +144,7 @@
 	return command
 }
 
-func printAccepted(out io.Writer, accepted adminapi.ChangeResponse) error {
+func printAccepted(out io.Writer, accepted adminapi.Accepted) error {
 	if accepted.Unchanged {
 		_, err := fmt.Fprintf(out, "unchanged: these files are in revision %d already\n", accepted.Revision)
 		return err
--- a/server/admin/adminapi/adminapi.go
+++ b/server/admin/adminapi/adminapi.go
@@ -102,8 +102,8 @@
 	AllowLastDataCentre bool   `json:"allow_last_data_centre,omitempty"`
 }
 
-// ChangeResponse answers a change.
-type ChangeResponse struct {
+// Accepted answers a change.
+type Accepted struct {
 	Revision  uint64          `json:"revision"`
 	Unchanged bool            `json:"unchanged,omitempty"` // In force already; no revision was made.
 	Changes   []config.Change `json:"changes"`
--- a/server/admin/change.go
+++ b/server/admin/change.go
@@ -120,7 +120,7 @@
 // answer puts the accepted change in force here, offers it to the others and
 // answers the operator.
 func (a *API) answer(w http.ResponseWriter, operator adminapi.Operator, change configstore.Change, accepted configstore.Accepted) error {
-	answer := adminapi.ChangeResponse{Revision: accepted.Revision, Unchanged: accepted.Unchanged, Changes: accepted.Changes}
+	answer := adminapi.Accepted{Revision: accepted.Revision, Unchanged: accepted.Unchanged, Changes: accepted.Changes}
 	logevent.Write(a.node.Log(), logevent.OrderAccepted, logrus.Fields{
 		"operator": operator.Name, "kind": change.Kind, "revision": accepted.Revision, "apply_id": change.ID,
 	})
@@ -146,7 +146,7 @@
 	if !found {
 		return result.Errorf(result.UnknownApply, "no change with the ID %q was accepted", id)
 	}
-	return writeJSON(w, adminapi.ChangeResponse{Revision: accepted.Revision, Changes: accepted.Changes})
+	return writeJSON(w, adminapi.Accepted{Revision: accepted.Revision, Changes: accepted.Changes})
 }
 
 // targetKind is what can be taken out and returned.
--- a/server/e2e/killed_apply_test.go
+++ b/server/e2e/killed_apply_test.go
@@ -32,7 +32,7 @@
 		time.Sleep(wait)
 		s.Entries["entry-1"].kill()
 		<-answered
-		var accepted adminapi.ChangeResponse
+		var accepted adminapi.Accepted
 		status := s.order("entry-2", "boris-token", http.MethodPost, adminapi.PathApply, base, request, &accepted)
 		if status != http.StatusOK || accepted.Revision != base+1 {
 			t.Errorf("killed after %v: status %d, revision %d", wait, status, accepted.Revision)
--- a/server/entry/attempt/runner.go
+++ b/server/entry/attempt/runner.go
@@ -39,7 +39,7 @@
 func (r *Runner) Sweeper() *once.Sweeper {
 	log := r.node.Log()
 	return &once.Sweeper{
-		Rows: r.rows, InstanceID: r.node.State().Self.ID,
+		Rows: r.rows, Self: r.node.State().Self.ID,
 		Entries: func() []string { return liveEntries(r.node) },
 		OnRemoved: func(rows int) {
 			logevent.Write(log, logevent.KeyRowsRemoved, logrus.Fields{"rows": rows})
--- a/server/once/sweep.go
+++ b/server/once/sweep.go
@@ -28,11 +28,11 @@
 // the live entries. Two that hold different lists do no harm: a row is removed
 // on the condition that nobody has written it since.
 type Sweeper struct {
-	Rows       *Rows
-	InstanceID string          // Instance ID.
-	Entries    func() []string // Instance IDs of live entries.
-	OnRemoved  func(rows int)
-	OnError    func(error)
+	Rows      *Rows
+	Self      string          // Instance ID.
+	Entries   func() []string // Instance IDs of live entries.
+	OnRemoved func(rows int)
+	OnError   func(error)
 }
 
 // Run sweeps until ctx ends.
@@ -48,7 +48,7 @@
 func (s *Sweeper) sweepShard(ctx context.Context, shard int) {
 	prefix := once.RowPrefix + fmt.Sprintf("%02x", shard)
 	after := ""
-	for ctx.Err() == nil && owner(shard, s.Entries()) == s.InstanceID {
+	for ctx.Err() == nil && owner(shard, s.Entries()) == s.Self {
 		next, err := s.sweepPage(ctx, prefix, after, time.Now())
 		if err != nil && ctx.Err() == nil {
 			s.OnError(err)
