--- a/server/once/fuzz_test.go
+++ b/server/once/fuzz_test.go
@@ -37,145 +37,147 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-const fuzzServers = `{"backend_servers": [
+const backendServersFile = `{"backend_servers": [
 	{"name": "certifications-1", "data_centre": "dc-1", "service": "certifications", "full_limit": 1, "cold_limit": 1},
 	{"name": "certifications-2", "data_centre": "dc-2", "service": "certifications", "full_limit": 1, "cold_limit": 1},
 ]}`
 
-// tableFault is what happens to one request for a row of a key.
+// tableFault is the fault injected into one table request for the row of a key.
 type tableFault int
 
 const (
-	noFault tableFault = iota
-	refused
-	cutBefore
-	cutAfter
-	delayed
-	faultKinds
+	noFault          tableFault = iota
+	refused                     // Rejected with status 503; has no effect.
+	abortBeforeApply            // Connection closed; the request has no effect.
+	abortAfterApply             // Connection closed after the request took effect.
+	applyDelayed                // Connection closed; the request takes effect later.
+	faultKinds                  // Number of kinds.
 )
 
-// lossyStore applies the faults, one for each request for a key's row.
-type lossyStore struct {
+// faultyStore injects the faults in order, one for each table request for the
+// row of a key.
+type faultyStore struct {
 	next  http.Handler
-	delay time.Duration
+	delay time.Duration // Of applyDelayed.
 
 	mu     sync.Mutex
 	faults []tableFault
 }
 
-func (l *lossyStore) set(faults []tableFault) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.faults = faults
+func (s *faultyStore) setFaults(faults []tableFault) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faults = faults
 }
 
-func (l *lossyStore) take() tableFault {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.faults) == 0 {
+func (s *faultyStore) nextFault() tableFault {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.faults) == 0 {
 		return noFault
 	}
-	fault := l.faults[0]
-	l.faults = l.faults[1:]
+	fault := s.faults[0]
+	s.faults = s.faults[1:]
 	return fault
 }
 
-func (l *lossyStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *faultyStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	r = r.Clone(context.Background())
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	ofKey := strings.Contains(r.URL.RawQuery, "once%2F") || bytes.Contains(body, []byte(policy.RowPrefix))
+	isKeyRow := strings.Contains(r.URL.RawQuery, "once%2F") || bytes.Contains(body, []byte(policy.RowPrefix))
 	fault := noFault
-	if ofKey {
-		fault = l.take()
+	if isKeyRow {
+		fault = s.nextFault()
 	}
 	switch fault {
 	case refused:
 		http.Error(w, "refused", http.StatusServiceUnavailable)
-	case cutBefore:
+	case abortBeforeApply:
 		panic(http.ErrAbortHandler)
-	case cutAfter:
-		l.next.ServeHTTP(httptest.NewRecorder(), r)
+	case abortAfterApply:
+		s.next.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
-	case delayed:
-		time.AfterFunc(l.delay, func() { l.next.ServeHTTP(httptest.NewRecorder(), r) })
+	case applyDelayed:
+		time.AfterFunc(s.delay, func() { s.next.ServeHTTP(httptest.NewRecorder(), r) })
 		panic(http.ErrAbortHandler)
 	default:
-		l.next.ServeHTTP(w, r)
+		s.next.ServeHTTP(w, r)
 	}
 }
 
-// front is one entry's way to the store; it counts the reads of each row. An
-// entry reads the row when a request arrives.
-type front struct {
+// countingProxy forwards the requests of one entry to the store and counts the
+// reads of each row. An entry reads the row when a request arrives.
+type countingProxy struct {
 	next http.Handler
 
 	mu    sync.Mutex
-	reads map[string]int // By the row's key.
+	reads map[string]int // By row key.
 }
 
-func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.next.ServeHTTP(w, r)
+func (p *countingProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.next.ServeHTTP(w, r)
 	if key := r.URL.Query().Get("key"); r.Method == http.MethodGet && key != "" {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.reads[key]++
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.reads[key]++
 	}
 }
 
-// count returns the reads of the row of a caller's key.
-func (f *front) count(key string) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.reads[policy.RowKey("dev", key)]
+// count returns the number of reads of the row of an idempotency key.
+func (p *countingProxy) count(key string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.reads[policy.RowKey("dev", key)]
 }
 
-// bench is two agents, two entries and a blind entry over stand-ins, in this
-// process. The blind entry sees no agent and refuses everything.
-type bench struct {
+// testSystem runs two agents, two entries and a further "blind" entry on
+// stand-ins in this process. The blind entry reads an empty instance list, so it
+// knows no agent and refuses every request.
+type testSystem struct {
 	store    *store.Store
-	lossy    *lossyStore
+	faulty   *faultyStore
 	services []*service.Service
-	entries  []string // Base URLs.
-	fronts   []*front // By entry.
+	entries  []string         // Base URLs.
+	proxies  []*countingProxy // By entry.
 	storeURL string
 	log      *logrus.Entry
 }
 
-func newBench(t testing.TB) *bench {
+func newTestSystem(t testing.TB) *testSystem {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	b := &bench{store: store.New(), log: logrus.NewEntry(logger)}
-	b.lossy = &lossyStore{next: b.store.Handler()}
-	b.storeURL = serve(t, b.lossy)
-	blind := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := &testSystem{store: store.New(), log: logrus.NewEntry(logger)}
+	s.faulty = &faultyStore{next: s.store.Handler()}
+	s.storeURL = serve(t, s.faulty)
+	noInstances := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/instances" {
 			_, _ = w.Write([]byte("[]"))
 			return
 		}
-		b.lossy.ServeHTTP(w, r)
+		s.faulty.ServeHTTP(w, r)
 	})
 	files, err := dev.ReadFiles("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	files[config.FileBackendServers] = []byte(fuzzServers)
-	accepted := configstore.Store{Table: b.store, Objects: b.store.ObjectStore()}
-	if _, err := accepted.Apply(t.Context(), files); err != nil {
+	files[config.FileBackendServers] = []byte(backendServersFile)
+	configStore := configstore.Store{Table: s.store, Objects: s.store.ObjectStore()}
+	if _, err := configStore.Apply(t.Context(), files); err != nil {
 		t.Fatal(err)
 	}
 	for number := 1; number <= 2; number++ {
-		b.addAgent(t, fmt.Sprintf("certifications-%d", number), fmt.Sprintf("dc-%d", number))
-		b.addEntry(t, fmt.Sprintf("entry-%d", number), fmt.Sprintf("dc-%d", number), b.lossy)
+		s.addAgent(t, fmt.Sprintf("certifications-%d", number), fmt.Sprintf("dc-%d", number))
+		s.addEntry(t, fmt.Sprintf("entry-%d", number), fmt.Sprintf("dc-%d", number), s.faulty)
 	}
-	for number := range b.entries {
-		b.awaitAnswer(t, number)
+	for number := range s.entries {
+		s.awaitAnswer(t, number)
 	}
-	b.addEntry(t, "blind", "dc-3", blind)
-	return b
+	s.addEntry(t, "blind", "dc-3", noInstances)
+	return s
 }
 
 func serve(t testing.TB, handler http.Handler) string {
@@ -195,67 +197,72 @@
 }
 
 func run(t testing.TB, process func(context.Context) error) {
-	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		_ = process(ctx)
 	}()
 	t.Cleanup(func() {
-		stop()
-		<-ended
+		cancel()
+		<-done
 	})
 }
 
-func (b *bench) addAgent(t testing.TB, name, dataCentre string) {
-	stand := service.New(3 * time.Millisecond)
-	b.services = append(b.services, stand)
+func (s *testSystem) addAgent(t testing.TB, name, dataCentre string) {
+	standIn := service.New(3 * time.Millisecond)
+	s.services = append(s.services, standIn)
 	listeners := agent.Listeners{Control: listen(t), Traffic: listen(t)}
-	b.store.SetInstance(ports.Instance{
+	s.store.SetInstance(ports.Instance{
 		ID: "agent-" + name, Role: ports.RoleAgent, DataCentre: dataCentre, BackendServer: name,
 		Control: listeners.Control.Addr().String(), Traffic: listeners.Traffic.Addr().String(),
 	})
-	process := settings.Process{ID: "agent-" + name, DataCentre: dataCentre, Store: b.storeURL}
-	a := agent.New(settings.Agent{Process: process, BackendServer: name, Kind: settings.KindService, Backend: serve(t, stand.Handler())}, listeners, b.log)
+	process := settings.Process{ID: "agent-" + name, DataCentre: dataCentre, Store: s.storeURL}
+	a := agent.New(settings.Agent{Process: process, BackendServer: name, Kind: settings.KindService, Backend: serve(t, standIn.Handler())}, listeners, s.log)
 	run(t, a.Run)
 }
 
-func (b *bench) addEntry(t testing.TB, id, dataCentre string, table http.Handler) {
-	way := &front{next: table, reads: map[string]int{}}
-	b.fronts = append(b.fronts, way)
-	storeURL := serve(t, way)
+func (s *testSystem) addEntry(t testing.TB, id, dataCentre string, table http.Handler) {
+	proxy := &countingProxy{next: table, reads: map[string]int{}}
+	s.proxies = append(s.proxies, proxy)
+	storeURL := serve(t, proxy)
 	listeners := entry.Listeners{Control: listen(t), Callers: listen(t), Admin: listen(t)}
-	b.entries = append(b.entries, "http://"+listeners.Callers.Addr().String())
-	if table == b.lossy {
-		b.store.SetInstance(ports.Instance{
+	s.entries = append(s.entries, "http://"+listeners.Callers.Addr().String())
+	if table == s.faulty {
+		s.store.SetInstance(ports.Instance{
 			ID: id, Role: ports.RoleEntry, DataCentre: dataCentre, Control: listeners.Control.Addr().String(),
 		})
 	}
 	process := settings.Process{ID: id, DataCentre: dataCentre, Store: storeURL}
-	run(t, entry.New(settings.Entry{Process: process}, listeners, b.log).Run)
+	run(t, entry.New(settings.Entry{Process: process}, listeners, s.log).Run)
 }
 
-func (b *bench) awaitAnswer(t testing.TB, entry int) {
+func (s *testSystem) awaitAnswer(t testing.TB, entry int) {
 	for range 200 {
-		if b.call(call{entry: entry, body: `"warm"`, patience: 5 * time.Second}).status == http.StatusOK {
+		if s.call(call{entry: entry, body: `"warm"`, timeout: 5 * time.Second}).status == http.StatusOK {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatal("the system did not become ready")
+	t.Fatal("the entry did not answer a call during start-up")
 }
 
 // call is one request of a caller.
 type call struct {
-	entry    int
-	key      string
-	body     string
-	patience time.Duration // The caller leaves after it.
-	order    int           // Of sending. The goroutines that send may run in another one.
-	arrived  *atomic.Bool  // Its entry read the row before the next call was sent.
+	entry   int
+	key     string
+	body    string
+	timeout time.Duration // The caller disconnects after it.
+	// sendIndex is the position in which the calls were started. The goroutines
+	// that send them may run in a different order.
+	sendIndex int
+	// arrived reports whether the entry read the row for this call before the next
+	// call was started.
+	arrived *atomic.Bool
 }
 
-// outcome is what the caller got; the zero status means that it left.
+// outcome is the caller's result of a call. The status is zero if the caller
+// disconnected or the request failed without an answer.
 type outcome struct {
 	call
 	status int
@@ -263,11 +270,11 @@
 	notRun bool
 }
 
-func (b *bench) call(c call) outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), c.patience)
+func (s *testSystem) call(c call) outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
 	o := outcome{call: c}
-	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, b.entries[c.entry]+"/v1/services/certifications/stamp", strings.NewReader(c.body))
+	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, s.entries[c.entry]+"/v1/services/certifications/stamp", strings.NewReader(c.body))
 	request.Header.Set("Authorization", "Bearer dev-key")
 	if c.key != "" {
 		request.Header.Set("Idempotency-Key", c.key)
@@ -292,11 +299,11 @@
 	return o
 }
 
-// runs returns the runs with the body at all services.
-func (b *bench) runs(body string) []service.Run {
+// runs returns the runs of requests with the body at all backend servers.
+func (s *testSystem) runs(body string) []service.Run {
 	var runs []service.Run
-	for _, stand := range b.services {
-		for _, run := range stand.Runs() {
+	for _, standIn := range s.services {
+		for _, run := range standIn.Runs() {
 			if run.Body == body {
 				runs = append(runs, run)
 			}
@@ -305,38 +312,41 @@
 	return runs
 }
 
-// check compares what the callers of one key got with the runs.
-func (b *bench) check(t *rapid.T, body string, outcomes []outcome) {
-	runs := b.runs(body)
+// check verifies that the work of one key ran at most once, and that its callers'
+// outcomes agree with that run. A caller may have been told that the work did not
+// run although it did, if the key may have been repeated after its call.
+func (s *testSystem) check(t *rapid.T, body string, outcomes []outcome) {
+	runs := s.runs(body)
 	if len(runs) > 1 {
 		t.Fatalf("%s ran %d times", body, len(runs))
 	}
 	for _, o := range outcomes {
 		switch {
 		case o.status == http.StatusOK && (len(runs) != 1 || !strings.Contains(o.answer, runs[0].RunID)):
-			t.Fatalf("%s: answer %s is not that of the runs %v", body, o.answer, runs)
+			t.Fatalf("%s: answer %s does not belong to the runs %v", body, o.answer, runs)
 		case o.notRun && len(runs) > 0 && !laterCall(outcomes, o):
-			t.Fatalf("%s ran although a caller without a later repeat was told %s", body, o.answer)
+			t.Fatalf("%s ran although a caller without a later repeat got %s", body, o.answer)
 		}
 	}
 }
 
-// laterCall reports whether the key was repeated after the call was sent. A
-// call sent before may be such a repeat, unless it is known to have arrived.
+// laterCall reports whether another call with the key may have reached an entry
+// after the given call. Calls with a higher sendIndex may have, and so may earlier
+// ones that are not known to have arrived.
 func laterCall(outcomes []outcome, o outcome) bool {
 	for _, other := range outcomes {
-		if other.order > o.order || (other.order < o.order && !other.arrived.Load()) {
+		if other.sendIndex > o.sendIndex || (other.sendIndex < o.sendIndex && !other.arrived.Load()) {
 			return true
 		}
 	}
 	return false
 }
 
-// awaitArrival waits until the entry has read the row for the call and tells
-// whether it has.
-func (b *bench) awaitArrival(c call, reads int) bool {
+// awaitArrival waits until the entry has read the row for the call, which shows
+// as more than the given number of reads. It returns false after a timeout.
+func (s *testSystem) awaitArrival(c call, reads int) bool {
 	for range 200 {
-		if b.fronts[c.entry].count(c.key) > reads {
+		if s.proxies[c.entry].count(c.key) > reads {
 			return true
 		}
 		time.Sleep(time.Millisecond)
@@ -344,58 +354,62 @@
 	return false
 }
 
+// TestKeyedWorkUnderDrawnFaults sends concurrent calls that repeat idempotency
+// keys while table requests fail at random. It checks that the work of each key
+// runs at most once and that no caller gets a wrong outcome.
 func TestKeyedWorkUnderDrawnFaults(t *testing.T) {
-	b := newBench(t)
+	s := newTestSystem(t)
 	round := 0
-	told := map[string]int{}
+	outcomeCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		round++
 		keys := rapid.IntRange(1, 3).Draw(rt, "keys")
-		b.lossy.delay = time.Duration(rapid.IntRange(1, 60).Draw(rt, "delay ms")) * time.Millisecond
-		b.lossy.set(drawFaults(rt))
+		s.faulty.delay = time.Duration(rapid.IntRange(1, 60).Draw(rt, "delay ms")) * time.Millisecond
+		s.faulty.setFaults(drawFaults(rt))
 		results := make([][]outcome, keys)
 		bodies := make([]string, keys)
 		var mu sync.Mutex
 		var group sync.WaitGroup
 		calls := rapid.IntRange(2, 9).Draw(rt, "calls")
-		for order := range calls {
+		for sendIndex := range calls {
 			key := rapid.IntRange(0, keys-1).Draw(rt, "key")
 			bodies[key] = fmt.Sprintf(`"round %d key %d"`, round, key)
 			c := call{
 				entry: rapid.IntRange(0, 2).Draw(rt, "entry"), key: bodies[key], body: bodies[key],
-				patience: rapid.SampledFrom([]time.Duration{4 * time.Millisecond, 15 * time.Millisecond, 20 * time.Second}).Draw(rt, "patience"),
-				order:    order,
-				arrived:  new(atomic.Bool),
+				timeout:   rapid.SampledFrom([]time.Duration{4 * time.Millisecond, 15 * time.Millisecond, 20 * time.Second}).Draw(rt, "patience"),
+				sendIndex: sendIndex,
+				arrived:   new(atomic.Bool),
 			}
-			reads := b.fronts[c.entry].count(c.key)
+			reads := s.proxies[c.entry].count(c.key)
 			group.Go(func() {
-				o := b.call(c)
+				o := s.call(c)
 				mu.Lock()
 				defer mu.Unlock()
 				results[key] = append(results[key], o)
 			})
 			if rapid.Bool().Draw(rt, "ordered") {
-				c.arrived.Store(b.awaitArrival(c, reads))
+				c.arrived.Store(s.awaitArrival(c, reads))
 			}
 			time.Sleep(time.Duration(rapid.IntRange(0, 6).Draw(rt, "gap ms")) * time.Millisecond)
 		}
 		group.Wait()
-		b.lossy.set(nil)
-		time.Sleep(2 * b.lossy.delay)
+		s.faulty.setFaults(nil)
+		time.Sleep(2 * s.faulty.delay)
 		for key, body := range bodies {
-			b.check(rt, body, results[key])
+			s.check(rt, body, results[key])
 			if body != "" {
-				// A last repeat settles the key: its "not run" must stay true.
-				last := b.call(call{entry: round % 2, key: body, body: body, patience: 20 * time.Second, order: calls, arrived: new(atomic.Bool)})
+				// The last repeat has no later call, so if it reports "not run" the
+				// work must not have run.
+				last := s.call(call{entry: round % 2, key: body, body: body, timeout: 20 * time.Second, sendIndex: calls, arrived: new(atomic.Bool)})
 				results[key] = append(results[key], last)
-				b.check(rt, body, results[key])
+				s.check(rt, body, results[key])
 			}
 			for _, o := range results[key] {
-				told[fmt.Sprint(o.status, " not run ", o.notRun)]++
+				outcomeCounts[fmt.Sprint(o.status, " not run ", o.notRun)]++
 			}
 		}
 	})
-	t.Logf("%d rounds, outcomes %v", round, told)
+	t.Logf("%d rounds, outcomes %v", round, outcomeCounts)
 }
 
 func drawFaults(rt *rapid.T) []tableFault {
@@ -412,25 +426,25 @@
 func TestLaterCall(t *testing.T) {
 	calls := func(arrived ...bool) []outcome {
 		outcomes := make([]outcome, len(arrived))
-		for order := range outcomes {
-			outcomes[order].order, outcomes[order].arrived = order, new(atomic.Bool)
-			outcomes[order].arrived.Store(arrived[order])
+		for sendIndex := range outcomes {
+			outcomes[sendIndex].sendIndex, outcomes[sendIndex].arrived = sendIndex, new(atomic.Bool)
+			outcomes[sendIndex].arrived.Store(arrived[sendIndex])
 		}
 		return outcomes
 	}
 	for _, c := range []struct {
 		name     string
 		outcomes []outcome
-		told     int
+		index    int
 		later    bool
 	}{
-		{"a call sent after it", calls(false, true), 0, true},
-		{"a call sent before that may be on its way", calls(false, false), 1, true},
-		{"a call sent before that had arrived", calls(true, false), 1, false},
+		{"a later call", calls(false, true), 0, true},
+		{"an earlier call that may still be in flight", calls(false, false), 1, true},
+		{"an earlier call that has arrived", calls(true, false), 1, false},
 		{"no other call", calls(false), 0, false},
 	} {
-		if later := laterCall(c.outcomes, c.outcomes[c.told]); later != c.later {
-			t.Errorf("%s: later %t", c.name, later)
+		if later := laterCall(c.outcomes, c.outcomes[c.index]); later != c.later {
+			t.Errorf("%s: got later %t", c.name, later)
 		}
 	}
 }
--- a/server/once/rows.go
+++ b/server/once/rows.go
@@ -1,6 +1,6 @@
-// Package once keeps the rows of idempotency keys in the platform's table
-// service, their large answers in the object store, and removes both after the
-// retention.
+// Package once stores the rows of idempotency keys in the platform's table
+// service and large answers in its object store. It removes both when the
+// retention period has passed.
 package once
 
 import (
@@ -19,26 +19,26 @@
 )
 
 const (
-	storeTimeout   = 2 * time.Second
-	delayedRead    = 200 * time.Millisecond
-	maxInlineBytes = 4 << 10 // Larger answers go to the object store.
-	objectPrefix   = "once-answers/"
+	storeTimeout    = 2 * time.Second
+	delayedReadWait = 200 * time.Millisecond
+	maxInlineBytes  = 4 << 10 // Larger answers go to the object store.
+	objectPrefix    = "once-answers/"
 )
 
-// Objects is the object store with removal.
+// Objects is an object store that can also delete objects.
 type Objects interface {
 	ports.Objects
-	// Delete removes the object; one that does not exist is no error.
+	// Delete removes the object. It is not an error if the object does not exist.
 	Delete(ctx context.Context, name string) error
 }
 
-// Rows reads and writes the rows.
+// Rows reads and writes the rows of idempotency keys.
 type Rows struct {
 	Table   ports.Table
 	Objects Objects
 }
 
-// record is the stored form of a row.
+// record is the JSON encoding of a row.
 type record struct {
 	State       once.State     `json:"state"`
 	Epoch       uint64         `json:"epoch"`
@@ -92,10 +92,10 @@
 	return row, stored.Written, nil
 }
 
-// Read carries out a ReadRow.
+// Read executes a ReadRow effect and returns its outcome as an event.
 func (r *Rows) Read(ctx context.Context, key string, effect once.ReadRow) reduce.Event {
 	if effect.Delayed {
-		wait.For(ctx, delayedRead)
+		wait.For(ctx, delayedReadWait)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -113,8 +113,10 @@
 	return once.RowRead{Row: row, Version: stored.Version}
 }
 
-// Write carries out a WriteRow. A write that the table service seems to have
-// refused counts as unknown too: only the row itself tells.
+// Write executes a WriteRow effect and returns its outcome as an event. Every
+// failure other than a conflict yields WriteUnknown, even if the table service
+// appears to have refused the write: only reading the row shows whether it took
+// effect.
 func (r *Rows) Write(ctx context.Context, key string, effect once.WriteRow) reduce.Event {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -139,7 +141,8 @@
 	return once.WriteUnknown{}
 }
 
-// storeAnswer moves a large answer to the object store.
+// storeAnswer moves an answer larger than maxInlineBytes to the object store and
+// returns the row that refers to it.
 func (r *Rows) storeAnswer(ctx context.Context, key string, row once.Row) (once.Row, error) {
 	if len(row.Answer.Body) <= maxInlineBytes {
 		return row, nil
@@ -152,10 +155,11 @@
 	return row, nil
 }
 
-// LoadAnswer returns the answer with its body, or the failure that it stands for.
+// LoadAnswer returns the answer with its body, read from the object store if it
+// is kept there. For an answer that records a failure it returns that failure.
 func (r *Rows) LoadAnswer(ctx context.Context, answer once.Answer) (once.Answer, *result.Error) {
 	if answer.Code != 0 {
-		return answer, result.Errorf(result.Code(answer.Code), "the backend server gave no answer to the only run")
+		return answer, result.Errorf(result.Code(answer.Code), "the backend server did not answer the only run of this work")
 	}
 	if answer.Object == "" {
 		return answer, nil
@@ -164,7 +168,7 @@
 	defer cancel()
 	body, err := r.Objects.Get(ctx, answer.Object)
 	if err != nil {
-		return answer, result.Errorf(result.OutcomeUnknown, "the work ran, its stored answer can't be read now: %v", err)
+		return answer, result.Errorf(result.OutcomeUnknown, "the work ran, but its stored answer can't be read: %v", err)
 	}
 	answer.Body = string(body)
 	return answer, nil
--- a/server/once/rows_test.go
+++ b/server/once/rows_test.go
@@ -31,13 +31,13 @@
 			rt.Fatal(err)
 		}
 		if decoded, _, err := decode(value); err != nil || decoded != row {
-			rt.Fatalf("row %+v came back as %+v, %v", row, decoded, err)
+			rt.Fatalf("row %+v decoded as %+v, %v", row, decoded, err)
 		}
 	})
 }
 
 func TestRowSize(t *testing.T) {
-	Convey("A done row is bounded whatever the answer", t, func() {
+	Convey("The size of a done row is bounded for every inline answer", t, func() {
 		id := strings.Repeat("0", 36)
 		for _, body := range []int{0, 200, 1000, maxInlineBytes} {
 			row := once.Row{
--- a/server/once/sweep.go
+++ b/server/once/sweep.go
@@ -13,35 +13,34 @@
 )
 
 const (
-	// Retention is the time for which a key is remembered after its row was last
-	// written.
+	// Retention is how long a key's row is kept after its last write.
 	Retention = 24 * time.Hour
 
-	shards       = 256
-	pageRows     = 100
-	pagePause    = 10 * time.Second // Between two reads of one sweeper.
+	shardCount   = 256
+	rowsPerPage  = 100
+	pageInterval = 10 * time.Second // Between two list requests of one sweeper.
 	sweepTimeout = 10 * time.Second
 )
 
-// Sweeper removes the rows that are past their retention, with their stored
-// answers. The keys are divided into shards; every shard has one sweeper among
-// the live entries. Two that hold different lists do no harm: a row is removed
-// on the condition that nobody has written it since.
+// Sweeper removes expired rows and their stored answers. The keys are divided
+// into shards, and each shard is swept by one of the live entries. Entries whose
+// lists of live entries differ may sweep the same shard. That is safe: a row is
+// removed by compare-and-set, only if it was not written since it was read.
 type Sweeper struct {
 	Rows      *Rows
 	Self      string          // Instance ID.
-	Entries   func() []string // Instance IDs of live entries.
+	Entries   func() []string // Returns the instance IDs of the live entries.
 	OnRemoved func(rows int)
 	OnError   func(error)
 }
 
-// Run sweeps until ctx ends.
+// Run sweeps all shards repeatedly until ctx is done.
 func (s *Sweeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		for shard := range shards {
+		for shard := range shardCount {
 			s.sweepShard(ctx, shard)
 		}
-		wait.For(ctx, pagePause)
+		wait.For(ctx, pageInterval)
 	}
 }
 
@@ -53,7 +52,7 @@
 		if err != nil && ctx.Err() == nil {
 			s.OnError(err)
 		}
-		wait.For(ctx, pagePause)
+		wait.For(ctx, pageInterval)
 		if next == "" {
 			return
 		}
@@ -61,43 +60,43 @@
 	}
 }
 
-// owner returns the entry that sweeps the shard: the one of highest rendezvous
-// weight.
+// owner returns the entry that sweeps the shard, chosen by rendezvous hashing.
 func owner(shard int, entries []string) string {
-	best, highest := "", uint64(0)
+	bestEntry, bestWeight := "", uint64(0)
 	for _, entry := range entries {
 		weight := xxhash.Sum64String(fmt.Sprintf("%s/%d", entry, shard))
-		if best == "" || weight > highest {
-			best, highest = entry, weight
+		if bestEntry == "" || weight > bestWeight {
+			bestEntry, bestWeight = entry, weight
 		}
 	}
-	return best
+	return bestEntry
 }
 
-// sweepPage removes the expired rows of one page in one transaction, and
-// returns the key that the next page begins after, empty for none.
+// sweepPage removes the expired rows of one page in one transaction. It returns
+// the key after which the next page begins, or "" for the last page.
 func (s *Sweeper) sweepPage(ctx context.Context, prefix, after string, now time.Time) (next string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
-	rows, err := s.Rows.Table.List(ctx, prefix, after, pageRows)
+	rows, err := s.Rows.Table.List(ctx, prefix, after, rowsPerPage)
 	if err != nil {
 		return "", fmt.Errorf("list rows after %q: %w", after, err)
 	}
-	if len(rows) == pageRows {
+	if len(rows) == rowsPerPage {
 		next = rows[len(rows)-1].Key
 	}
-	return next, s.remove(ctx, rows, now.Add(-Retention))
+	return next, s.removeExpired(ctx, rows, now.Add(-Retention))
 }
 
-func (s *Sweeper) remove(ctx context.Context, rows []ports.Row, before time.Time) error {
+// removeExpired removes those of the rows that were last written before cutoff.
+func (s *Sweeper) removeExpired(ctx context.Context, rows []ports.Row, cutoff time.Time) error {
 	var tx ports.Tx
 	var objects []string
 	for _, stored := range rows {
 		row, written, err := decode(stored.Value)
 		if err != nil {
-			return fmt.Errorf("row %q: %w", stored.Key, err)
+			return fmt.Errorf("check expiry of row %q: %w", stored.Key, err)
 		}
-		if !written.Before(before) {
+		if !written.Before(cutoff) {
 			continue
 		}
 		tx.Conditions = append(tx.Conditions, ports.Condition{Key: stored.Key, Version: stored.Version})
@@ -112,8 +111,8 @@
 	return s.commit(ctx, tx, objects)
 }
 
-// commit removes the answers before the rows, so that none is left behind
-// without a row that names it.
+// commit deletes the answers before the rows, so that a failure leaves no answer
+// without a row that refers to it.
 func (s *Sweeper) commit(ctx context.Context, tx ports.Tx, objects []string) error {
 	for _, name := range objects {
 		if err := s.Rows.Objects.Delete(ctx, name); err != nil {
--- a/server/once/sweep_test.go
+++ b/server/once/sweep_test.go
@@ -17,8 +17,8 @@
 
 func TestSweep(t *testing.T) {
 	Convey("Given 250 done rows, every second one with a large answer", t, func() {
-		stand := store.New()
-		server := httptest.NewServer(stand.Handler())
+		standIn := store.New()
+		server := httptest.NewServer(standIn.Handler())
 		defer server.Close()
 		client := httpapi.NewStore(server.URL, httpapi.NewTransport())
 		rows := &Rows{Table: client, Objects: client.Objects()}
@@ -55,40 +55,40 @@
 			}
 		}
 
-		Convey("nothing is removed within the retention", func() {
+		Convey("no row is removed before the retention has passed", func() {
 			sweep(time.Now().Add(Retention - time.Hour))
 			So(removed, ShouldEqual, 0)
 		})
 
-		Convey("all rows and their answers are removed after it, by three writes", func() {
-			before := stand.Counts().Writes
+		Convey("all rows and their answers are removed after the retention, with three writes", func() {
+			before := standIn.Counts().Writes
 			sweep(time.Now().Add(Retention + time.Hour))
 			So(removed, ShouldEqual, 250)
-			So(stand.Counts().Writes-before, ShouldEqual, 3)
+			So(standIn.Counts().Writes-before, ShouldEqual, 3)
 			for _, name := range objects {
 				_, err := client.Objects().Get(ctx, name)
 				So(err, ShouldNotBeNil)
 			}
 		})
 
-		Convey("a row that was written after the listing is kept", func() {
+		Convey("a row that was written after it was listed is kept", func() {
 			listed, err := client.List(ctx, policy.RowPrefix, "", 1)
 			So(err, ShouldBeNil)
 			written := policy.WriteRow{Version: listed[0].Version, Row: policy.Row{State: policy.Cancelled, Epoch: 1}}
 			So(rows.Write(ctx, listed[0].Key, written), ShouldHaveSameTypeAs, policy.WriteSucceeded{})
-			So(sweeper.remove(ctx, listed, time.Now().Add(time.Hour)), ShouldNotBeNil)
+			So(sweeper.removeExpired(ctx, listed, time.Now().Add(time.Hour)), ShouldNotBeNil)
 			So(rows.Read(ctx, listed[0].Key, policy.ReadRow{}).(policy.RowRead).Row.Epoch, ShouldEqual, 1)
 		})
 	})
 
-	Convey("Given entries, every shard has one owner and all own about as many", t, func() {
+	Convey("Shards are distributed about evenly over the entries", t, func() {
 		entries := []string{"entry-1", "entry-2", "entry-3", "entry-4"}
 		owned := map[string]int{}
-		for shard := range shards {
+		for shard := range shardCount {
 			owned[owner(shard, entries)]++
 		}
 		for _, entry := range entries {
-			So(owned[entry], ShouldBeBetween, shards/8, shards/2)
+			So(owned[entry], ShouldBeBetween, shardCount/8, shardCount/2)
 		}
 	})
 }
