--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	storeTimeout = 4 * time.Second
-	peersTimeout = 2 * time.Second
-	// fetchPeers is the number of peers asked for a newer configuration.
-	fetchPeers = 3
+	storeTimeout     = 4 * time.Second
+	peerFetchTimeout = 2 * time.Second
+	// fetchPeerCount is the number of peers, per group of candidates, that are
+	// asked for a newer configuration or for the instance list.
+	fetchPeerCount = 3
 )
 
-// errNoSnapshot means that no peer has a newer configuration.
-var errNoSnapshot = errors.New("no peer has a newer configuration")
+var errNoNewerConfiguration = errors.New("no peer has a newer configuration")
 
 func (n *Node) executeConfiguration(ctx context.Context, effect reduce.Effect) bool {
 	switch effect := effect.(type) {
 	case view.Fetch:
 		go n.fetch(ctx, effect)
 	case evidence.AskPeers:
-		n.ask(ctx, effect.DataCentres)
+		n.exchangePerDataCentre(ctx, effect.DataCentres)
 	case control.Announce:
 		go n.announce(ctx)
 	default:
@@ -43,9 +43,11 @@
 	return true
 }
 
-// fetch looks for a newer configuration and always ends with FetchDone.
+// fetch fetches the newest configuration, from peers first if the effect says
+// so, otherwise from the store. If the store fails and no peer was asked before,
+// it asks peers as a fallback. It always posts FetchDone at the end.
 func (n *Node) fetch(ctx context.Context, effect view.Fetch) {
-	err := error(errNoSnapshot)
+	err := error(errNoNewerConfiguration)
 	if effect.PeersFirst {
 		err = n.fetchFromPeers(ctx)
 	}
@@ -70,14 +72,15 @@
 		return err
 	}
 	if snapshot == nil {
-		return fmt.Errorf("the store holds no configuration")
+		return fmt.Errorf("the store contains no configuration")
 	}
 	n.install(snapshot)
 	n.Loop.Post(view.StoreRead{Revision: snapshot.Revision, BeganAt: began})
 	return nil
 }
 
-// install posts a snapshot that is newer than the one in force.
+// install posts the snapshot to the control loop if it is newer than the one in
+// force.
 func (n *Node) install(snapshot *config.Snapshot) {
 	if snapshot.Revision <= n.State().View.Revision() {
 		return
@@ -87,25 +90,25 @@
 	n.Loop.Post(view.Fetched{Snapshot: snapshot})
 }
 
-// Install puts a snapshot in force that this process has just accepted, and
-// offers it to every other process; it returns how many were reached, of how
-// many.
+// Install puts a snapshot in force that was just accepted through this process
+// and offers it to all other processes. It returns the number of processes that
+// received the offer and the number of all other processes.
 func (n *Node) Install(ctx context.Context, snapshot *config.Snapshot) (reached, total int) {
 	old := n.State().View.InForce
 	n.install(snapshot)
 	return n.offer(ctx, old, snapshot)
 }
 
-// fetchFromPeers asks several peers at once and installs the newest
-// configuration among theirs.
+// fetchFromPeers asks several peers concurrently and installs the newest
+// configuration that they return.
 func (n *Node) fetchFromPeers(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, peersTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerFetchTimeout)
 	defer cancel()
 	current := n.State().View.InForce
 	peers := n.fetchCandidates(current)
 	found := make(chan *config.Snapshot, len(peers))
 	forEach(peers, func(peer ports.Instance) {
-		snapshot, err := n.configurationOf(ctx, peer, current)
+		snapshot, err := n.requestConfiguration(ctx, peer, current)
 		if err != nil {
 			logevent.Write(n.Log(), logevent.PeerFetchFailed, logrus.Fields{"peer": peer.Control, "error": err.Error()})
 			return
@@ -122,43 +125,46 @@
 		}
 	}
 	if newest == nil {
-		return errNoSnapshot
+		return errNoNewerConfiguration
 	}
 	n.install(newest)
 	return nil
 }
 
-// fetchCandidates returns the peers to ask: the one that told of a newer
-// revision and some others, or without any configuration some in each data
-// centre, so that the newest reachable one is found.
+// fetchCandidates returns the peers to ask for a newer configuration: the one
+// that last reported a newer revision and a random sample of the others. A node
+// that has no configuration yet samples each data centre, so that it finds the
+// newest configuration that it can reach.
 func (n *Node) fetchCandidates(current *config.Snapshot) []ports.Instance {
 	var peers []ports.Instance
-	if teller := n.teller.Load(); teller != nil {
-		peers = n.members.peers(func(instance ports.Instance) bool { return instance.ID == *teller })
+	if newerPeerID := n.newerPeerID.Load(); newerPeerID != nil {
+		peers = n.members.peers(func(instance ports.Instance) bool { return instance.ID == *newerPeerID })
 	}
 	if current != nil {
-		return append(peers, sample(n.peersIn(""), fetchPeers)...)
+		return append(peers, sample(n.peersIn(""), fetchPeerCount)...)
 	}
 	byDataCentre := map[string]bool{}
 	for _, instance := range n.members.list() {
 		byDataCentre[instance.DataCentre] = true
 	}
 	for dataCentre := range byDataCentre {
-		peers = append(peers, sample(n.peersIn(dataCentre), fetchPeers)...)
+		peers = append(peers, sample(n.peersIn(dataCentre), fetchPeerCount)...)
 	}
 	return append(peers, n.configuredPeers()...)
 }
 
-// configurationOf returns the peer's configuration, nil where it is not newer.
-func (n *Node) configurationOf(ctx context.Context, peer ports.Instance, current *config.Snapshot) (*config.Snapshot, error) {
+// requestConfiguration returns the peer's configuration, or nil if it is not
+// newer than current.
+func (n *Node) requestConfiguration(ctx context.Context, peer ports.Instance, current *config.Snapshot) (*config.Snapshot, error) {
 	request := wire.ConfigurationRequest{Stamp: n.Stamp(), Have: digests(current)}
 	reply := new(wire.ConfigurationReply)
 	if err := n.Pool.Call(ctx, peer.Control, "Peer.Configuration", request, reply); err != nil {
 		return nil, err
 	}
-	return assemble(current, reply.Configuration)
+	return buildSnapshot(current, reply.Configuration)
 }
 
+// digests returns the digest of each file of the snapshot, by file name.
 func digests(snapshot *config.Snapshot) map[string]string {
 	have := map[string]string{}
 	if snapshot == nil {
@@ -170,9 +176,10 @@
 	return have
 }
 
-// assemble builds the snapshot of a received configuration, nil where it is
+// buildSnapshot builds the snapshot of a received configuration from the texts
+// of current and the received splices. It returns nil if the configuration is
 // not newer than current. Every text is checked against its digest.
-func assemble(current *config.Snapshot, received wire.Configuration) (*config.Snapshot, error) {
+func buildSnapshot(current *config.Snapshot, received wire.Configuration) (*config.Snapshot, error) {
 	files := config.Files{}
 	if current != nil {
 		if received.Revision <= current.Revision {
@@ -186,13 +193,13 @@
 	for name, splice := range received.Splices {
 		text, err := splice.Apply(files[name])
 		if err != nil {
-			return nil, fmt.Errorf("file %q of revision %d: %w", name, received.Revision, err)
+			return nil, fmt.Errorf("apply splice to file %q of revision %d: %w", name, received.Revision, err)
 		}
 		files[name] = text
 	}
 	for name, version := range received.Versions {
 		if digest := config.Digest(files[name]); digest != version.Digest {
-			return nil, fmt.Errorf("file %q of revision %d has digest %s, not %s", name, received.Revision, digest, version.Digest)
+			return nil, fmt.Errorf("file %q of revision %d has digest %s, want %s", name, received.Revision, digest, version.Digest)
 		}
 	}
 	return config.BuildVersions(received.Revision, received.Versions, files)
--- a/server/node/exchange.go
+++ b/server/node/exchange.go
@@ -15,23 +15,23 @@
 
 const (
 	exchangeTimeout = 900 * time.Millisecond
-	// fanOut is the number of peers called at a time when all are called.
-	fanOut = 64
+	// maxConcurrentCalls bounds the concurrent calls when many peers are called.
+	maxConcurrentCalls = 64
 )
 
-// Self returns the node's own line of the instance list.
+// Self returns the node's own entry in the instance list.
 func (n *Node) Self() ports.Instance {
 	self := n.options.Self
 	return ports.Instance{
 		ID: self.ID, Role: self.Role, DataCentre: self.DataCentre, BackendServer: self.BackendServer,
-		Control: reachable(n.options.Control.Addr().String()), Traffic: reachable(n.options.Traffic),
+		Control: advertisedAddress(n.options.Control.Addr().String()), Traffic: advertisedAddress(n.options.Traffic),
 		Leaving: n.State().Leaving,
 	}
 }
 
-// reachable returns the address unless it names no host, as that of a listener
-// on all interfaces does.
-func reachable(address string) string {
+// advertisedAddress returns the address, or "" if other hosts can't use it
+// because it names no host, such as that of a listener on all interfaces.
+func advertisedAddress(address string) string {
 	endpoint, err := netip.ParseAddrPort(address)
 	if err != nil || endpoint.Addr().IsUnspecified() {
 		return ""
@@ -39,26 +39,29 @@
 	return address
 }
 
-// ask exchanges with one peer in each data centre, with any one for none.
-func (n *Node) ask(ctx context.Context, dataCentres []string) {
+// exchangePerDataCentre starts an exchange with one peer in each of the data
+// centres, or with one peer anywhere if none is given.
+func (n *Node) exchangePerDataCentre(ctx context.Context, dataCentres []string) {
 	if len(dataCentres) == 0 {
-		n.exchangeWith(ctx, n.peersIn(""), 1)
+		n.startExchanges(ctx, n.peersIn(""), 1)
 		return
 	}
 	for _, dataCentre := range dataCentres {
-		n.exchangeWith(ctx, n.peersIn(dataCentre), 1)
+		n.startExchanges(ctx, n.peersIn(dataCentre), 1)
 	}
 }
 
-// peersIn returns the peers in the data centre, or everywhere for "": the
-// entries, since they read the store most, or the agents where there are none.
+// peersIn returns the peers in the data centre, or in all of them for "". It
+// prefers entries, because they read the store most often, and returns agents
+// only if there is no entry. If no peer is known at all, it returns the peers
+// from the settings for "".
 func (n *Node) peersIn(dataCentre string) []ports.Instance {
-	in := func(instance ports.Instance) bool { return dataCentre == "" || instance.DataCentre == dataCentre }
+	matches := func(instance ports.Instance) bool { return dataCentre == "" || instance.DataCentre == dataCentre }
 	peers := n.members.peers(func(instance ports.Instance) bool {
-		return in(instance) && instance.Role == ports.RoleEntry
+		return matches(instance) && instance.Role == ports.RoleEntry
 	})
 	if len(peers) == 0 {
-		peers = n.members.peers(in)
+		peers = n.members.peers(matches)
 	}
 	if len(peers) == 0 && dataCentre == "" {
 		peers = n.configuredPeers()
@@ -75,24 +78,27 @@
 	return peers
 }
 
-// sample returns up to count of the peers, drawn evenly.
+// sample returns up to count of the peers, chosen uniformly at random. It
+// shuffles peers.
 func sample(peers []ports.Instance, count int) []ports.Instance {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers[:min(count, len(peers))]
 }
 
-// exchangeWith starts exchanges with count of the peers.
-func (n *Node) exchangeWith(ctx context.Context, peers []ports.Instance, count int) {
+// startExchanges starts exchanges with up to count of the peers, chosen at
+// random.
+func (n *Node) startExchanges(ctx context.Context, peers []ports.Instance, count int) {
 	for _, peer := range sample(peers, count) {
 		go func() { _ = n.exchange(ctx, peer) }()
 	}
 }
 
-// exchange posts what the peer knows.
+// exchange calls the peer and posts its revision and evidence to the control
+// loop.
 func (n *Node) exchange(ctx context.Context, peer ports.Instance) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	// The time before the call: what the peer says is true at that time or later.
+	// Taken before the call: the reply describes the peer at this time or later.
 	began := time.Now()
 	reply := new(wire.ExchangeReply)
 	request := wire.ExchangeRequest{Stamp: n.Stamp(), Instance: n.Self()}
@@ -107,55 +113,55 @@
 	return nil
 }
 
-// forEach calls the function for each peer, a bounded number at a time, and
-// returns when all have ended.
+// forEach calls the function for each peer, with at most maxConcurrentCalls
+// running at a time, and returns when all calls have returned.
 func forEach(peers []ports.Instance, call func(ports.Instance)) {
-	slots := make(chan struct{}, fanOut)
+	semaphore := make(chan struct{}, maxConcurrentCalls)
 	var group sync.WaitGroup
 	for _, peer := range peers {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		group.Go(func() {
 			call(peer)
-			<-slots
+			<-semaphore
 		})
 	}
 	group.Wait()
 }
 
-// announce tells every entry where this process listens and whether it leaves,
-// ahead of the instance list.
+// announce sends every entry this node's addresses and whether it is leaving, so
+// that the entries know before the platform's instance list is updated.
 func (n *Node) announce(ctx context.Context) {
 	entries := n.members.peers(func(instance ports.Instance) bool { return instance.Role == ports.RoleEntry })
 	forEach(entries, func(peer ports.Instance) { _ = n.exchange(ctx, peer) })
 }
 
-// announceStart announces the process once it knows others.
+// announceStart announces the node as soon as it knows any other instance.
 func (n *Node) announceStart(ctx context.Context) {
 	for ctx.Err() == nil {
 		if len(n.members.list()) > 0 {
 			n.announce(ctx)
 			return
 		}
-		n.askInstances(ctx)
+		n.fetchInstances(ctx)
 		wait.For(ctx, exchangeTimeout)
 	}
 }
 
-// askInstances fills the instance list from the configured peers while the
-// platform's list was never read.
-func (n *Node) askInstances(ctx context.Context) {
+// fetchInstances fetches the instance list from a configured peer while this
+// node knows no instance, because it has not read the platform's list yet.
+func (n *Node) fetchInstances(ctx context.Context) {
 	if len(n.members.list()) > 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	for _, peer := range sample(n.configuredPeers(), fetchPeers) {
+	for _, peer := range sample(n.configuredPeers(), fetchPeerCount) {
 		reply := new(wire.InstancesReply)
 		if n.Pool.Call(ctx, peer.Control, "Peer.Instances", wire.InstancesRequest{Stamp: n.Stamp()}, reply) != nil {
 			continue
 		}
 		for _, instance := range reply.Instances {
-			n.members.hear(instance, time.Now())
+			n.members.addReported(instance, time.Now())
 		}
 		return
 	}
--- a/server/node/members.go
+++ b/server/node/members.go
@@ -9,90 +9,97 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// heardLifetime is how long a process counts as a member by its own word while
-// the instance list, read later, does not name it.
-const heardLifetime = time.Minute
+// reportedTTL is how long an instance that was reported by a process, but is
+// missing from the platform's instance list, counts as a member.
+const reportedTTL = time.Minute
 
-// members joins the platform's lagging instance list with what processes have
-// said of themselves. A process's own word counts more, the list names those
-// that were never heard.
+// members merges the platform's instance list, which lags behind, with what
+// processes report about themselves. For an instance in both, the report takes
+// precedence; the list adds the instances that have not reported.
 type members struct {
-	self string // Own instance ID, which is left out of peers.
+	self string // Own instance ID, which peers leaves out.
 
 	mu       sync.Mutex
 	listed   []ports.Instance
 	listedAt time.Time
-	heard    map[string]heardInstance // By instance ID.
-	joined   []ports.Instance         // Never modified; nil after a change.
+	reported map[string]reportedInstance // By instance ID.
+	merged   []ports.Instance            // Never modified; nil after a change.
 }
 
-// heardInstance is what a process said of itself.
-type heardInstance struct {
+// reportedInstance is an instance as reported by its process, directly or
+// through a peer.
+type reportedInstance struct {
 	instance ports.Instance
 	at       time.Time
 }
 
 func newMembers(self string) *members {
-	return &members{self: self, heard: map[string]heardInstance{}}
+	return &members{self: self, reported: map[string]reportedInstance{}}
 }
 
+// setListed replaces the platform's instance list and drops reported instances
+// that are not on it and have expired.
 func (m *members) setListed(list []ports.Instance, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.listed, m.listedAt, m.joined = list, now, nil
-	named := map[string]bool{}
+	m.listed, m.listedAt, m.merged = list, now, nil
+	listedIDs := map[string]bool{}
 	for _, instance := range list {
-		named[instance.ID] = true
+		listedIDs[instance.ID] = true
 	}
-	for id, heard := range m.heard {
-		if !named[id] && now.Sub(heard.at) > heardLifetime {
-			delete(m.heard, id)
+	for id, reported := range m.reported {
+		if !listedIDs[id] && now.Sub(reported.at) > reportedTTL {
+			delete(m.reported, id)
 		}
 	}
 }
 
-func (m *members) hear(instance ports.Instance, now time.Time) {
+// addReported adds or updates a reported instance. It ignores one without an ID
+// or control address.
+func (m *members) addReported(instance ports.Instance, now time.Time) {
 	if instance.ID == "" || instance.Control == "" {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.heard[instance.ID] = heardInstance{instance: instance, at: now}
-	m.joined = nil
+	m.reported[instance.ID] = reportedInstance{instance: instance, at: now}
+	m.merged = nil
 }
 
-// list returns all members in order of ID. The result must not be modified.
+// list returns all members sorted by ID. The result must not be modified.
 func (m *members) list() []ports.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.joined == nil {
-		m.joined = m.join()
+	if m.merged == nil {
+		m.merged = m.merge()
 	}
-	return m.joined
+	return m.merged
 }
 
-func (m *members) join() []ports.Instance {
-	joined := make([]ports.Instance, 0, len(m.listed)+len(m.heard))
-	named := map[string]bool{}
+// merge merges the listed and the reported instances. An instance is leaving if
+// either source says so.
+func (m *members) merge() []ports.Instance {
+	merged := make([]ports.Instance, 0, len(m.listed)+len(m.reported))
+	listedIDs := map[string]bool{}
 	for _, instance := range m.listed {
-		named[instance.ID] = true
-		if heard, ok := m.heard[instance.ID]; ok {
+		listedIDs[instance.ID] = true
+		if reported, ok := m.reported[instance.ID]; ok {
 			leaving := instance.Leaving
-			instance = heard.instance
+			instance = reported.instance
 			instance.Leaving = instance.Leaving || leaving
 		}
-		joined = append(joined, instance)
+		merged = append(merged, instance)
 	}
-	for id, heard := range m.heard {
-		if !named[id] {
-			joined = append(joined, heard.instance)
+	for id, reported := range m.reported {
+		if !listedIDs[id] {
+			merged = append(merged, reported.instance)
 		}
 	}
-	slices.SortFunc(joined, func(a, b ports.Instance) int { return strings.Compare(a.ID, b.ID) })
-	return joined
+	slices.SortFunc(merged, func(a, b ports.Instance) int { return strings.Compare(a.ID, b.ID) })
+	return merged
 }
 
-// peers returns the other members that keep reports true.
+// peers returns the other members for which keep returns true.
 func (m *members) peers(keep func(ports.Instance) bool) []ports.Instance {
 	var peers []ports.Instance
 	for _, instance := range m.list() {
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -1,5 +1,6 @@
-// Package node is what an entry and an agent have in common: the control loop,
-// the configuration in force, the instance list and the control RPC server.
+// Package node implements what entries and agents have in common: the control
+// loop, the configuration in force, the instance list and the control RPC
+// server.
 package node
 
 import (
@@ -37,30 +38,30 @@
 // Options configure a node.
 type Options struct {
 	Self     control.Self
-	Control  net.Listener // Control RPC; closed by Run.
+	Control  net.Listener // Listener of the control RPC server; closed by Run.
 	StoreURL string
-	Traffic  string      // host:port of the traffic server, as others reach it.
-	Peers    []string    // Control addresses to ask while no instance is known.
-	Keys     keys.Source // Between the system's processes; nil for plain TCP.
+	Traffic  string      // host:port at which other processes reach the traffic server.
+	Peers    []string    // Control addresses of peers to ask while no instance or configuration is known.
+	Keys     keys.Source // TLS keys for connections between the system's processes; nil for plain TCP.
 	Log      *logrus.Entry
 }
 
-// Node runs the control state of one process.
+// Node runs the control loop of one process.
 type Node struct {
 	options        Options
 	Loop           *loop.Loop[control.State, control.State]
 	Store          *httpapi.Store
 	Config         *configstore.Store
 	Pool           *rpc.Pool
-	Transport      *http.Transport // To the platform and the backend server.
-	AgentTransport *http.Transport // To agents.
-
-	executors []func(context.Context, reduce.Effect) bool
-	receivers map[string]any
-	members   *members
-	recent    recentSnapshots
-	teller    atomic.Pointer[string] // ID of the last peer heard with a newer revision.
-	lifetime  context.Context
+	Transport      *http.Transport // For the platform and the backend server.
+	AgentTransport *http.Transport // For the agents' traffic servers.
+
+	executors   []func(context.Context, reduce.Effect) bool
+	receivers   map[string]any
+	members     *members
+	recent      recentSnapshots
+	newerPeerID atomic.Pointer[string] // ID of the peer that last reported a newer revision.
+	runContext  context.Context
 }
 
 // New returns a node that is not running yet.
@@ -93,7 +94,7 @@
 	return keys.ClientConfig(source)
 }
 
-// SecureListener returns the listener inside TLS where the node has keys.
+// SecureListener wraps the listener in TLS if the node has keys.
 func (n *Node) SecureListener(listener net.Listener) net.Listener {
 	if n.options.Keys == nil {
 		return listener
@@ -109,19 +110,21 @@
 	return "https"
 }
 
-// AddExecutor registers an executor of effects; it reports whether the effect
-// is its own, and must not block. It must be called before Run.
+// AddExecutor registers a function that executes effects. It must not block, and
+// reports whether it handled the effect. AddExecutor must be called before Run.
 func (n *Node) AddExecutor(execute func(context.Context, reduce.Effect) bool) {
 	n.executors = append(n.executors, execute)
 }
 
-// AddReceiver registers an RPC receiver. It must be called before Run.
+// AddReceiver registers an RPC receiver under the name. It must be called before
+// Run.
 func (n *Node) AddReceiver(name string, receiver any) { n.receivers[name] = receiver }
 
 // Log returns the node's logger.
 func (n *Node) Log() *logrus.Entry { return n.options.Log }
 
-// State returns the control state as last published.
+// State returns the control state last published by the loop, or the initial
+// state before the first.
 func (n *Node) State() control.State {
 	state := n.Loop.View()
 	if state == nil {
@@ -136,51 +139,55 @@
 	return wire.Stamp{From: self.ID, Role: self.Role, DataCentre: self.DataCentre, Revision: n.State().View.Revision()}
 }
 
-// Leave begins a graceful shutdown: the node goes on running, but takes no new
+// Leave begins a graceful shutdown: the node keeps running, but accepts no new
 // work.
 func (n *Node) Leave() {
 	logevent.Write(n.Log(), logevent.ProcessLeaving, nil)
 	n.Loop.Post(control.Leave{})
 }
 
-// ObserveStamp takes in the stamp of a message.
+// ObserveStamp processes the stamp of a received message. If the sender has a
+// newer revision, the control loop is informed of it.
 func (n *Node) ObserveStamp(stamp wire.Stamp) {
 	if stamp.Revision > n.State().View.Revision() {
-		n.teller.Store(&stamp.From)
+		n.newerPeerID.Store(&stamp.From)
 		n.Loop.Post(view.RevisionSeen{Revision: stamp.Revision})
 	}
 }
 
-// Instances returns the instance list as last read, joined with what other
-// processes have said of themselves.
+// Instances returns the instance list as last read, merged with what other
+// processes have reported about themselves. The result must not be modified.
 func (n *Node) Instances() []ports.Instance { return n.members.list() }
 
-// Run runs the node until ctx ends.
+// Run runs the node until ctx is done.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	n.lifetime = ctx
+	n.runContext = ctx
 	defer n.Pool.Close()
-	served := make(chan error, 1)
-	go func() { served <- rpc.Serve(n.SecureListener(n.options.Control), n.receivers, n.Log()) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- rpc.Serve(n.SecureListener(n.options.Control), n.receivers, n.Log()) }()
 	go n.watchInstances(ctx)
-	go n.announceReady(ctx)
+	go n.logReady(ctx)
 	go n.announceStart(ctx)
 	err := n.Loop.Run(ctx, control.New(n.options.Self), tickInterval)
 	if closeErr := n.options.Control.Close(); closeErr != nil && !errors.Is(closeErr, net.ErrClosed) {
 		return fmt.Errorf("close control listener: %w", closeErr)
 	}
-	return errors.Join(err, <-served)
+	return errors.Join(err, <-serveErr)
 }
 
+// execute passes the effect to the executors until one has handled it.
 func (n *Node) execute(effect reduce.Effect) {
 	for _, execute := range n.executors {
-		if execute(n.lifetime, effect) {
+		if execute(n.runContext, effect) {
 			return
 		}
 	}
 }
 
+// watchInstances reads the platform's instance list at intervals until ctx is
+// done. When a read fails, the previous list stays in use.
 func (n *Node) watchInstances(ctx context.Context) {
 	for ctx.Err() == nil {
 		list, err := n.Store.Instances().List(ctx)
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// recentCount is the number of snapshots kept to send only what changed.
-	recentCount = 4
-	// maxOfferBytes bounds the texts in an offer; of a larger change the
-	// receivers are only told, and fetch it.
+	// maxRecentSnapshots is the number of snapshots kept, so that peers can be sent
+	// only what changed since them.
+	maxRecentSnapshots = 4
+	// maxOfferBytes bounds the file texts in an offer. The offer of a larger change
+	// carries only its revision, and the receivers fetch the change.
 	maxOfferBytes = 64 << 10
 	offerTimeout  = 2 * time.Second
 	reportTimeout = 2 * time.Second
 )
 
-// recentSnapshots keeps the last installed snapshots.
+// recentSnapshots keeps the most recently installed snapshots.
 type recentSnapshots struct {
 	mu        sync.Mutex
 	snapshots []*config.Snapshot
@@ -35,13 +36,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.snapshots = append(r.snapshots, snapshot)
-	if len(r.snapshots) > recentCount {
+	if len(r.snapshots) > maxRecentSnapshots {
 		r.snapshots = r.snapshots[1:]
 	}
 }
 
-// text returns the text of a file with the digest, nil where it is not kept.
-func (r *recentSnapshots) text(file, digest string) []byte {
+// fileText returns the text of the file with the digest, or nil if no kept
+// snapshot contains it.
+func (r *recentSnapshots) fileText(file, digest string) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, snapshot := range r.snapshots {
@@ -52,23 +54,24 @@
 	return nil
 }
 
-// pack returns the snapshot for a process that has the texts of the digests.
-func (r *recentSnapshots) pack(snapshot *config.Snapshot, have map[string]string) wire.Configuration {
-	packed := wire.Configuration{Revision: snapshot.Revision, Versions: snapshot.Versions, Splices: map[string]config.Splice{}}
+// deltaFor returns the snapshot as splices for a process that already has the
+// file texts with the digests in have.
+func (r *recentSnapshots) deltaFor(snapshot *config.Snapshot, have map[string]string) wire.Configuration {
+	delta := wire.Configuration{Revision: snapshot.Revision, Versions: snapshot.Versions, Splices: map[string]config.Splice{}}
 	for name, version := range snapshot.Versions {
 		if have[name] != version.Digest {
-			packed.Splices[name] = config.NewSplice(r.text(name, have[name]), snapshot.Files[name])
+			delta.Splices[name] = config.NewSplice(r.fileText(name, have[name]), snapshot.Files[name])
 		}
 	}
-	return packed
+	return delta
 }
 
-// offer brings the snapshot to all other processes. Connections made for it
-// are closed again: a lasting full mesh would not fit.
+// offer sends the snapshot to all other processes. It closes the connections
+// that it opens, because a permanent full mesh would be too many connections.
 func (n *Node) offer(ctx context.Context, old, snapshot *config.Snapshot) (reached, total int) {
-	request := wire.OfferRequest{Stamp: n.Stamp(), Configuration: n.recent.pack(snapshot, digests(old))}
+	request := wire.OfferRequest{Stamp: n.Stamp(), Configuration: n.recent.deltaFor(snapshot, digests(old))}
 	request.Stamp.Revision = snapshot.Revision
-	if spliceBytes(request.Configuration) > maxOfferBytes {
+	if insertedBytes(request.Configuration) > maxOfferBytes {
 		request.Configuration = wire.Configuration{}
 	}
 	pool := rpc.NewPool(clientTLS(n.options.Keys))
@@ -85,7 +88,7 @@
 	return int(count.Load()), len(peers)
 }
 
-func spliceBytes(configuration wire.Configuration) int {
+func insertedBytes(configuration wire.Configuration) int {
 	total := 0
 	for _, splice := range configuration.Splices {
 		total += len(splice.Insert)
@@ -93,13 +96,13 @@
 	return total
 }
 
-// CollectReports asks every process which configuration is in force there. Of those
-// that don't answer only the instance is filled in.
+// CollectReports asks every process which configuration it has in force. The
+// report of a process that does not answer contains only its instance.
 func (n *Node) CollectReports(ctx context.Context) []wire.ReportReply {
 	pool := rpc.NewPool(clientTLS(n.options.Keys))
 	defer pool.Close()
 	var mu sync.Mutex
-	reports := []wire.ReportReply{n.ownReport()}
+	reports := []wire.ReportReply{n.localReport()}
 	peers := n.members.peers(func(ports.Instance) bool { return true })
 	forEach(peers, func(peer ports.Instance) {
 		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -115,7 +118,7 @@
 	return reports
 }
 
-func (n *Node) ownReport() wire.ReportReply {
+func (n *Node) localReport() wire.ReportReply {
 	state := n.State()
 	report := wire.ReportReply{Stamp: n.Stamp(), Instance: n.Self(), Current: !state.View.CurrentAt.IsZero()}
 	if report.Current {
@@ -127,14 +130,14 @@
 	return report
 }
 
-// peerReceiver answers other processes of the system.
+// peerReceiver serves the RPC calls of other processes of the system.
 type peerReceiver struct{ node *Node }
 
-// Exchange tells the caller this node's revision and evidence, and hears the
-// caller's.
+// Exchange returns this node's revision and evidence, and records the caller's
+// stamp and instance.
 func (r *peerReceiver) Exchange(request wire.ExchangeRequest, reply *wire.ExchangeReply) error {
 	r.node.ObserveStamp(request.Stamp)
-	r.node.members.hear(request.Instance, time.Now())
+	r.node.members.addReported(request.Instance, time.Now())
 	state := r.node.State()
 	reply.Stamp = r.node.Stamp()
 	reply.Stamp.Revision = state.View.Revision()
@@ -146,20 +149,23 @@
 	return nil
 }
 
-// Configuration hands out this node's configuration.
+// Configuration returns this node's configuration if it is newer than the
+// caller's.
 func (r *peerReceiver) Configuration(request wire.ConfigurationRequest, reply *wire.ConfigurationReply) error {
 	r.node.ObserveStamp(request.Stamp)
 	reply.Stamp = r.node.Stamp()
 	snapshot := r.node.State().View.InForce
 	if snapshot != nil && snapshot.Revision > request.Stamp.Revision {
-		reply.Configuration = r.node.recent.pack(snapshot, request.Have)
+		reply.Configuration = r.node.recent.deltaFor(snapshot, request.Have)
 	}
 	return nil
 }
 
-// Offer takes in a newly accepted configuration.
+// Offer installs a newly accepted configuration. If the offer can't be applied
+// to the configuration in force, the stamp still reports the new revision, and
+// the control loop fetches it.
 func (r *peerReceiver) Offer(request wire.OfferRequest, reply *wire.OfferReply) error {
-	snapshot, err := assemble(r.node.State().View.InForce, request.Configuration)
+	snapshot, err := buildSnapshot(r.node.State().View.InForce, request.Configuration)
 	if err == nil && snapshot != nil {
 		r.node.install(snapshot)
 	}
@@ -171,14 +177,14 @@
 	return nil
 }
 
-// Report tells which configuration is in force here.
+// Report returns which configuration this node has in force.
 func (r *peerReceiver) Report(request wire.ReportRequest, reply *wire.ReportReply) error {
 	r.node.ObserveStamp(request.Stamp)
-	*reply = r.node.ownReport()
+	*reply = r.node.localReport()
 	return nil
 }
 
-// Instances hands out this node's instance list.
+// Instances returns this node's instance list, with the node itself first.
 func (r *peerReceiver) Instances(request wire.InstancesRequest, reply *wire.InstancesReply) error {
 	r.node.ObserveStamp(request.Stamp)
 	reply.Stamp = r.node.Stamp()
--- a/server/node/ready.go
+++ b/server/node/ready.go
@@ -10,15 +10,16 @@
 	"persimmonwind.dev/server/wait"
 )
 
-const readyPoll = 50 * time.Millisecond
+const readyPollInterval = 50 * time.Millisecond
 
-// announceReady logs once that the process knows the configuration.
-func (n *Node) announceReady(ctx context.Context) {
+// logReady waits until a configuration is in force and logs that the process is
+// ready.
+func (n *Node) logReady(ctx context.Context) {
 	for n.State().View.InForce == nil {
 		if ctx.Err() != nil {
 			return
 		}
-		wait.For(ctx, readyPoll)
+		wait.For(ctx, readyPollInterval)
 	}
 	logevent.Write(n.Log(), logevent.ProcessReady, logrus.Fields{"revision": n.State().View.Revision()})
 }
