--- a/server/configstore/apply.go
+++ b/server/configstore/apply.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	settleInterval = 100 * time.Millisecond
-	retryAfter     = 2 * time.Second
-	// maxInlineChanges bounds the changes kept in the audit record's row; more
-	// go to the object store.
+	retryInterval = 100 * time.Millisecond
+	retryAfter    = 2 * time.Second
+	// maxInlineChanges bounds the changes kept in the row of the audit record. A
+	// longer list goes to the object store.
 	maxInlineChanges = 100
 )
 
-// Kinds of change.
+// Kinds of changes.
 const (
 	KindApply    = "apply"
 	KindRollback = "rollback"
@@ -28,18 +28,18 @@
 	KindReturn   = "return"
 )
 
-// Change is one operator's change of whole files.
+// Change is a change of whole files by an operator.
 type Change struct {
-	ID         string // Chosen by the operator's tool; a repeat has the same one.
+	ID         string // Chosen by the operator's tool; a retry has the same ID.
 	Kind       string
 	Operator   string
-	Entry      string // Entry instance that carries out the change.
-	DataCentre string // Of the entry; empty where the system itself applies.
+	Entry      string // Entry instance that submits the change.
+	DataCentre string // Data centre of the entry; empty for a change by the system itself.
 	At         time.Time
 	Base       uint64 // Revision that the change was made against.
 	Files      config.Files
-	RollbackTo uint64 // Of KindRollback.
-	// AllowLastDataCentre permits that no data centre is left in service.
+	RollbackTo uint64 // Revision to restore; for KindRollback only.
+	// AllowLastDataCentre permits a change that leaves no data centre in service.
 	AllowLastDataCentre bool
 }
 
@@ -47,25 +47,27 @@
 type Accepted struct {
 	Revision uint64          `json:"revision"`
 	Changes  []config.Change `json:"changes"`
-	// Unchanged tells that the files are in force already; no revision was made.
+	// Unchanged reports that the files are already in force and that no revision
+	// was created.
 	Unchanged bool `json:"unchanged,omitempty"`
 
-	Snapshot *config.Snapshot `json:"-"` // Nil where the change was accepted by an earlier call.
+	Snapshot *config.Snapshot `json:"-"` // Nil if the change was accepted by an earlier call.
 }
 
-// Submit validates the change and accepts it, or changes nothing. A repeat
-// with the same ID returns the first outcome. The error is jsonfile.Problems
-// or *result.Error; ApplyUnknown alone leaves the outcome open.
+// Submit validates the change and either accepts it or changes nothing. A retry
+// with the same ID returns the outcome of the first call. Refusals are reported
+// as jsonfile.Problems or *result.Error. After an error with the code
+// ApplyUnknown, and only then, the change may have been accepted.
 func (s *Store) Submit(ctx context.Context, change Change) (Accepted, error) {
 	if earlier, found, err := s.Outcome(ctx, change.ID); err != nil || found {
 		return earlier, err
 	}
 	head, version, err := s.Head(ctx)
 	if err != nil {
-		return Accepted{}, unavailable(err)
+		return Accepted{}, unavailableError(err)
 	}
 	if head.Revision != change.Base {
-		return Accepted{}, conflict(head, change)
+		return Accepted{}, conflictError(head, change)
 	}
 	p, err := s.prepare(ctx, head, change)
 	if err != nil {
@@ -75,7 +77,7 @@
 	if len(p.changed) == 0 {
 		return Accepted{Revision: head.Revision, Unchanged: true, Snapshot: p.current}, nil
 	}
-	tx, err := s.transaction(ctx, head, version, change, p)
+	tx, err := s.buildTx(ctx, head, version, change, p)
 	if err != nil {
 		return Accepted{}, err
 	}
@@ -86,24 +88,25 @@
 type prepared struct {
 	current *config.Snapshot // Nil before the first revision.
 	next    *config.Snapshot
-	changed []string // Files whose text differs.
+	changed []string // Names of the files whose text differs.
 	changes []config.Change
 }
 
+// prepare validates the change against the head.
 func (s *Store) prepare(ctx context.Context, head Head, change Change) (prepared, error) {
 	var p prepared
 	var err error
 	if head.Revision > 0 {
 		if p.current, err = s.snapshot(ctx, head, nil); err != nil {
-			return p, unavailable(err)
+			return p, unavailableError(err)
 		}
 	}
 	revision := head.Revision + 1
-	files, versions := merge(p.current, change.Files, revision)
+	files, versions := mergeFiles(p.current, change.Files, revision)
 	if p.next, err = config.BuildVersions(revision, versions, files); err != nil {
 		return p, err
 	}
-	if err := permitted(p, change); err != nil {
+	if err := checkTakeOuts(p, change); err != nil {
 		return p, err
 	}
 	for _, name := range config.FileNames {
@@ -119,25 +122,26 @@
 	return p, err
 }
 
-// permitted refuses changes that are valid but dangerous. An entry in a data
-// centre that is taken out may take out nothing more: agents elsewhere don't
-// ask there whether their configuration is current.
-func permitted(p prepared, change Change) error {
+// checkTakeOuts refuses changes that are valid but dangerous. An entry in a data
+// centre that is taken out may not take out anything else, because agents in
+// other data centres don't ask there whether their configuration is current.
+// Leaving no data centre in service requires AllowLastDataCentre.
+func checkTakeOuts(p prepared, change Change) error {
 	if p.current == nil {
 		return nil
 	}
-	allWereOut := p.current.AllTakenOut()
-	if !allWereOut && p.current.DataCentres[change.DataCentre].TakenOut && takesOut(p.current, p.next) {
+	allTakenOutBefore := p.current.AllTakenOut()
+	if !allTakenOutBefore && p.current.DataCentres[change.DataCentre].TakenOut && takesOut(p.current, p.next) {
 		return result.Errorf(result.ChangeFromTakenOut, "data centre %q is taken out; take out others through an entry in another data centre", change.DataCentre)
 	}
-	if !allWereOut && p.next.AllTakenOut() && !change.AllowLastDataCentre {
-		return result.Errorf(result.LastDataCentre, "the change leaves no data centre in service; say so with the explicit flag if it is meant")
+	if !allTakenOutBefore && p.next.AllTakenOut() && !change.AllowLastDataCentre {
+		return result.Errorf(result.LastDataCentre, "the change leaves no data centre in service; if that is intended, allow it with the explicit flag")
 	}
 	return nil
 }
 
-// takesOut reports whether something is out of service in next that was in
-// service before.
+// takesOut reports whether a data centre or backend server is taken out in next
+// that is not taken out in current.
 func takesOut(current, next *config.Snapshot) bool {
 	for name, dataCentre := range next.DataCentres {
 		if dataCentre.TakenOut && !current.DataCentres[name].TakenOut {
@@ -152,13 +156,13 @@
 	return false
 }
 
-// transaction stores what is large and returns the one transaction that
-// accepts the change.
-func (s *Store) transaction(ctx context.Context, head Head, version uint64, change Change, p prepared) (ports.Tx, error) {
+// buildTx stores the file texts, and a long list of changes, in the object store
+// and returns the transaction that accepts the change.
+func (s *Store) buildTx(ctx context.Context, head Head, version uint64, change Change, p prepared) (ports.Tx, error) {
 	for _, name := range p.changed {
 		object := objectName(name, p.next.Versions[name].Digest)
-		if err := s.put(ctx, object, p.next.Files[name]); err != nil {
-			return ports.Tx{}, unavailable(fmt.Errorf("store file %q: %w", name, err))
+		if err := s.putObject(ctx, object, p.next.Files[name]); err != nil {
+			return ports.Tx{}, unavailableError(fmt.Errorf("store file %q: %w", name, err))
 		}
 	}
 	record := newRecord(head, change, p)
@@ -175,17 +179,19 @@
 	return acceptTx(next, version, record)
 }
 
-// put stores an object that is named by its content, so that storing it again
-// after a lost answer is safe.
-func (s *Store) put(ctx context.Context, name string, body []byte) error {
+// putObject stores an object. It retries while the outcome is unknown, which is
+// safe because objects are named by their content.
+func (s *Store) putObject(ctx context.Context, name string, body []byte) error {
 	for {
 		err := s.Objects.Put(ctx, name, body)
-		if err == nil || !errors.Is(err, ports.ErrUnknownOutcome) || !pause(ctx) {
+		if err == nil || !errors.Is(err, ports.ErrUnknownOutcome) || !waitRetry(ctx) {
 			return err
 		}
 	}
 }
 
+// acceptTx returns the transaction that writes the head, the audit record and
+// the revision under the change's ID, if the head still has the given version.
 func acceptTx(next Head, version uint64, record Record) (ports.Tx, error) {
 	headValue, err := json.Marshal(next)
 	if err != nil {
@@ -200,18 +206,18 @@
 		return ports.Tx{}, fmt.Errorf("encode apply %q: %w", record.ApplyID, err)
 	}
 	return ports.Tx{
-		Conditions: []ports.Condition{{Key: keyHead, Version: version}},
+		Conditions: []ports.Condition{{Key: headKey, Version: version}},
 		Writes: []ports.Write{
-			{Key: keyHead, Value: headValue},
+			{Key: headKey, Value: headValue},
 			{Key: recordKey(record.Revision), Value: recordValue},
 			{Key: applyKey(record.ApplyID), Value: applyValue},
 		},
 	}, nil
 }
 
-// commit sends the transaction until its outcome is certain. Sending it again
-// is safe: all copies require the same version of the head, so that at most
-// one takes effect.
+// commit sends the transaction until its outcome is certain or ctx is done.
+// Sending it again is safe: all copies require the same version of the head, so
+// at most one of them takes effect.
 func (s *Store) commit(ctx context.Context, tx ports.Tx, change Change) error {
 	uncertain := false
 	for {
@@ -220,21 +226,22 @@
 		case err == nil:
 			return nil
 		case errors.Is(err, ports.ErrConflict):
-			return s.settle(ctx, change)
+			return s.resolveConflict(ctx, change)
 		case errors.Is(err, ports.ErrUnavailable) && !uncertain:
-			return unavailable(err)
+			return unavailableError(err)
 		case !errors.Is(err, ports.ErrUnavailable):
 			uncertain = true
 		}
-		if !pause(ctx) {
-			return outcomeUnknown(change, err)
+		if !waitRetry(ctx) {
+			return outcomeUnknownError(change, err)
 		}
 	}
 }
 
-// settle tells whether the change or another one has won, by reading back the
-// change's own ID.
-func (s *Store) settle(ctx context.Context, change Change) error {
+// resolveConflict determines whether the conflict is with an earlier copy of the
+// change's own transaction or with another change, by looking up the change's
+// ID.
+func (s *Store) resolveConflict(ctx context.Context, change Change) error {
 	for {
 		_, found, err := s.Outcome(ctx, change.ID)
 		if err == nil && found {
@@ -243,41 +250,42 @@
 		if err == nil {
 			var head Head
 			if head, _, err = s.Head(ctx); err == nil {
-				return conflict(head, change)
+				return conflictError(head, change)
 			}
 		}
-		if !pause(ctx) {
-			return outcomeUnknown(change, err)
+		if !waitRetry(ctx) {
+			return outcomeUnknownError(change, err)
 		}
 	}
 }
 
-func pause(ctx context.Context) bool {
+// waitRetry waits for retryInterval and reports whether ctx is still active.
+func waitRetry(ctx context.Context) bool {
 	select {
-	case <-time.After(settleInterval):
+	case <-time.After(retryInterval):
 		return ctx.Err() == nil
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func outcomeUnknown(change Change, err error) *result.Error {
+func outcomeUnknownError(change Change, err error) *result.Error {
 	unknown := result.Errorf(result.ApplyUnknown, "change %q may have been accepted: %v", change.ID, err)
 	unknown.RetryAfter = retryAfter
 	return unknown
 }
 
-func conflict(head Head, change Change) *result.Error {
+func conflictError(head Head, change Change) *result.Error {
 	return result.Errorf(result.RevisionConflict, "revision %d was accepted from %s at %s; the change was made against revision %d",
 		head.Revision, head.Operator, head.At.UTC().Format(time.RFC3339), change.Base)
 }
 
-// Outcome returns what an earlier Submit with the ID brought about; found is
-// false where no change with the ID was accepted.
+// Outcome returns the outcome of an earlier Submit with the ID. found is false
+// if no change with the ID was accepted.
 func (s *Store) Outcome(ctx context.Context, id string) (accepted Accepted, found bool, err error) {
 	row, err := s.Table.Get(ctx, applyKey(id))
 	if err != nil {
-		return accepted, false, unavailable(fmt.Errorf("read apply %q: %w", id, err))
+		return accepted, false, unavailableError(fmt.Errorf("read apply %q: %w", id, err))
 	}
 	if row.Version == 0 {
 		return accepted, false, nil
--- a/server/configstore/apply_test.go
+++ b/server/configstore/apply_test.go
@@ -17,10 +17,10 @@
 	"persimmonwind.dev/server/ports"
 )
 
-func dataCentres(region string, out ...bool) []byte {
+func dataCentres(region string, takenOutFlags ...bool) []byte {
 	var text strings.Builder
 	text.WriteString(`{"data_centres": [`)
-	for index, takenOut := range out {
+	for index, takenOut := range takenOutFlags {
 		fmt.Fprintf(&text, `{"name": "dc-%d", "region": %q, "taken_out": %v},`, index+1, region, takenOut)
 	}
 	text.WriteString("]}")
@@ -34,50 +34,50 @@
 	}
 }
 
-func shortly(t interface{ Cleanup(func()) }, wait time.Duration) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+func withTimeout(t interface{ Cleanup(func()) }, timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 func TestSubmit(t *testing.T) {
 	Convey("Given a store with one accepted revision", t, func() {
-		s, table := newFaulty()
+		s, table := newFaultyStore()
 		ctx := context.Background()
 		_, err := s.Submit(ctx, change("first", 0, dataCentres("r", false, false)))
 		So(err, ShouldBeNil)
 
-		Convey("a change against an old revision is a conflict that names winner, time and revision", func() {
+		Convey("a change against an old revision is a conflict that names the accepted revision, its operator and time", func() {
 			_, err := s.Submit(ctx, change("second", 0, dataCentres("s", false)))
 			So(result.From(err).Code, ShouldEqual, result.RevisionConflict)
 			So(err.Error(), ShouldContainSubstring, "revision 1 was accepted from anna at 1970-01-01T00:16:40Z")
 		})
 
-		Convey("a repeat with the same ID returns the first outcome", func() {
+		Convey("a retry with the same ID returns the first outcome", func() {
 			accepted, err := s.Submit(ctx, change("first", 0, dataCentres("r", false, false)))
 			So(err, ShouldBeNil)
 			So(accepted.Revision, ShouldEqual, 1)
 			So(accepted.Changes, ShouldNotBeEmpty)
 		})
 
-		Convey("a lost answer is settled as accepted", func() {
-			table.fates = []fate{answerLost}
+		Convey("a commit whose reply is lost is recognised as accepted", func() {
+			table.faults = []commitFault{replyLost}
 			accepted, err := s.Submit(ctx, change("second", 1, dataCentres("s", false)))
 			So(err, ShouldBeNil)
 			So(accepted.Revision, ShouldEqual, 2)
 		})
 
-		Convey("a commit that never arrived is sent again", func() {
-			table.fates = []fate{neverSeen}
+		Convey("a commit whose request is lost is sent again", func() {
+			table.faults = []commitFault{requestLost}
 			accepted, err := s.Submit(ctx, change("second", 1, dataCentres("s", false)))
 			So(err, ShouldBeNil)
 			So(accepted.Revision, ShouldEqual, 2)
 		})
 
-		Convey("a lost answer while another operator follows is settled by the ID", func() {
-			table.fates = []fate{answerLost}
-			table.after = func() {
-				table.after = nil
+		Convey("a commit whose reply is lost is found by its ID after another operator's change", func() {
+			table.faults = []commitFault{replyLost}
+			table.afterCommit = func() {
+				table.afterCommit = nil
 				_, err := s.Submit(ctx, change("third", 2, dataCentres("t", false)))
 				So(err, ShouldBeNil)
 			}
@@ -86,17 +86,17 @@
 			So(accepted.Revision, ShouldEqual, 2)
 		})
 
-		Convey("an outage before the commit changes nothing and says so", func() {
-			table.fates = []fate{refused}
+		Convey("an outage before the commit is reported as unavailable", func() {
+			table.faults = []commitFault{refused}
 			_, err := s.Submit(ctx, change("second", 1, dataCentres("s", false)))
 			So(result.From(err).Code, ShouldEqual, result.StoreUnavailable)
 		})
 
-		Convey("an outage after a commit of unknown fate is reported as unknown", func() {
-			table.fates = []fate{delayed, refused, refused, refused, refused, refused, refused, refused}
-			_, err := s.Submit(shortly(t, 300*time.Millisecond), change("second", 1, dataCentres("s", false)))
+		Convey("an outage after a commit with an unknown outcome is reported as unknown", func() {
+			table.faults = []commitFault{delayed, refused, refused, refused, refused, refused, refused, refused}
+			_, err := s.Submit(withTimeout(t, 300*time.Millisecond), change("second", 1, dataCentres("s", false)))
 			So(result.From(err).Code, ShouldEqual, result.ApplyUnknown)
-			table.land()
+			table.applyDelayed()
 			accepted, found, err := s.Outcome(ctx, "second")
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
@@ -111,13 +111,13 @@
 			_, err = s.Submit(ctx, all)
 			So(err, ShouldBeNil)
 
-			Convey("and its return is accepted from anywhere", func() {
+			Convey("its return is accepted through an entry in any data centre", func() {
 				_, err := s.Submit(ctx, change("third", 2, dataCentres("r", false, true)))
 				So(err, ShouldBeNil)
 			})
 		})
 
-		Convey("an entry in a data centre that is taken out takes out nothing more", func() {
+		Convey("an entry in a data centre that is taken out can't take out another one", func() {
 			_, err := s.Submit(ctx, change("second", 1, dataCentres("r", false, true)))
 			So(err, ShouldBeNil)
 			third := change("third", 2, dataCentres("r", true, true))
@@ -125,20 +125,20 @@
 			_, err = s.Submit(ctx, third)
 			So(result.From(err).Code, ShouldEqual, result.ChangeFromTakenOut)
 
-			Convey("but changes and returns other things", func() {
+			Convey("it can return data centres and change other fields", func() {
 				_, err := s.Submit(ctx, change("third", 2, dataCentres("s", false, false)))
 				So(err, ShouldBeNil)
 			})
 		})
 
-		Convey("an invalid file is refused and nothing changes", func() {
+		Convey("an invalid file is refused and the revision stays", func() {
 			_, err := s.Submit(ctx, change("second", 1, []byte(`{"data_centres": [{"name": "dc-1"}`)))
 			So(err, ShouldHaveSameTypeAs, jsonfile.Problems{})
 			head, _, _ := s.Head(ctx)
 			So(head.Revision, ShouldEqual, 1)
 		})
 
-		Convey("text that is in force already makes no revision", func() {
+		Convey("text that is already in force creates no revision", func() {
 			accepted, err := s.Submit(ctx, change("second", 1, dataCentres("r", false, false)))
 			So(err, ShouldBeNil)
 			So(accepted.Unchanged, ShouldBeTrue)
@@ -149,7 +149,7 @@
 
 func TestAuditChain(t *testing.T) {
 	Convey("Given a chain of three records", t, func() {
-		s, _ := newFaulty()
+		s, _ := newFaultyStore()
 		ctx := context.Background()
 		for base := range uint64(3) {
 			_, err := s.Submit(ctx, change(fmt.Sprint("apply-", base), base, dataCentres(fmt.Sprint("region-", base), false)))
@@ -169,41 +169,41 @@
 			So(err, ShouldBeNil)
 			So(s.Table.Commit(ctx, ports.Tx{Writes: []ports.Write{{Key: recordKey(record.Revision), Value: value}}}), ShouldBeNil)
 		}
-		broken := func() {
+		expectBroken := func() {
 			_, err := s.VerifyAudit(ctx)
 			So(result.From(err).Code, ShouldEqual, result.AuditBroken)
 		}
-		Convey("an altered record is found", func() {
+		Convey("an altered record is detected", func() {
 			records[1].Operator = "nobody"
 			rewrite(records[1])
-			broken()
+			expectBroken()
 		})
-		Convey("an altered record with a fitting hash is found", func() {
+		Convey("an altered record with a recomputed hash is detected", func() {
 			records[1].Operator = "nobody"
 			records[1].Hash = records[1].hash()
 			rewrite(records[1])
-			broken()
+			expectBroken()
 		})
-		Convey("an altered last record with a fitting hash is found", func() {
+		Convey("an altered last record with a recomputed hash is detected", func() {
 			records[2].Operator = "nobody"
 			records[2].Hash = records[2].hash()
 			rewrite(records[2])
-			broken()
+			expectBroken()
 		})
-		Convey("a removed record is found", func() {
+		Convey("a removed record is detected", func() {
 			So(s.Table.Commit(ctx, ports.Tx{Writes: []ports.Write{{Key: recordKey(2), Delete: true}}}), ShouldBeNil)
-			broken()
+			expectBroken()
 		})
 	})
 }
 
-// TestSubmitMachine drives racing operators against a store that loses and
-// delays answers. The oracle: every change known as accepted stays accepted at
-// its one revision, a change known as refused is never accepted, and the
-// chain is whole.
+// TestSubmitMachine submits changes of concurrent operators to a table service
+// that loses and delays commits. It checks that a change reported as accepted
+// stays accepted at the same revision, that a change reported as refused is never
+// accepted, and that the audit chain is intact.
 func TestSubmitMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, table := newFaulty()
+		s, table := newFaultyStore()
 		ctx := context.Background()
 		accepted := map[string]uint64{}
 		refusedIDs := map[string]bool{}
@@ -218,45 +218,45 @@
 				id = fmt.Sprint("apply-", rapid.IntRange(0, step).Draw(t, "which"))
 			}
 			base := head.Revision - min(head.Revision, rapid.Uint64Range(0, 1).Draw(t, "behind"))
-			table.fates = rapid.SliceOfN(rapid.SampledFrom([]fate{served, refused, answerLost, neverSeen, delayed}), 0, 3).Draw(t, "fates")
+			table.faults = rapid.SliceOfN(rapid.SampledFrom([]commitFault{noFault, refused, replyLost, requestLost, delayed}), 0, 3).Draw(t, "fates")
 			if rapid.Bool().Draw(t, "rival") {
-				table.after = func() {
-					table.after = nil
-					rival, _, _ := s.Head(ctx)
-					_, _ = s.Submit(shortly(t, time.Millisecond), change(id+"-rival", rival.Revision, dataCentres(id+"-rival", false)))
+				table.afterCommit = func() {
+					table.afterCommit = nil
+					rivalHead, _, _ := s.Head(ctx)
+					_, _ = s.Submit(withTimeout(t, time.Millisecond), change(id+"-rival", rivalHead.Revision, dataCentres(id+"-rival", false)))
 				}
 			}
 			delete(refusedIDs, id)
-			outcome, err := s.Submit(shortly(t, 2*time.Millisecond), change(id, base, dataCentres(id, false)))
-			table.after = nil
+			outcome, err := s.Submit(withTimeout(t, 2*time.Millisecond), change(id, base, dataCentres(id, false)))
+			table.afterCommit = nil
 			switch {
 			case err == nil:
 				if known, ok := accepted[id]; ok && known != outcome.Revision {
-					t.Fatalf("%s accepted as %d and as %d", id, known, outcome.Revision)
+					t.Fatalf("%s accepted as revision %d and as revision %d", id, known, outcome.Revision)
 				}
 				accepted[id] = outcome.Revision
 			case result.From(err).Code != result.ApplyUnknown:
 				if _, ok := accepted[id]; ok && result.From(err).Code == result.RevisionConflict {
-					t.Fatalf("%s was accepted and is a conflict now", id)
+					t.Fatalf("%s was accepted before and is now reported as a conflict", id)
 				}
-				refusedIDs[id] = result.From(err).Code == result.RevisionConflict && !refusedByOpen(table)
+				refusedIDs[id] = result.From(err).Code == result.RevisionConflict && !hasDelayedCommits(table)
 			}
 			if rapid.Bool().Draw(t, "land") {
-				table.land()
+				table.applyDelayed()
 			}
 		}
-		table.fates = nil
-		table.land()
+		table.faults = nil
+		table.applyDelayed()
 		for id, revision := range accepted {
 			record, err := s.Record(ctx, revision)
 			if err != nil || record.ApplyID != id {
-				t.Fatalf("revision %d belongs to %q, not to %q: %v", revision, record.ApplyID, id, err)
+				t.Fatalf("revision %d has apply ID %q, want %q: %v", revision, record.ApplyID, id, err)
 			}
 			delete(refusedIDs, id)
 		}
-		for id, sure := range refusedIDs {
-			if _, found, _ := s.Outcome(ctx, id); sure && found {
-				t.Fatalf("%s was refused and is accepted", id)
+		for id, certain := range refusedIDs {
+			if _, found, _ := s.Outcome(ctx, id); certain && found {
+				t.Fatalf("%s was reported as refused but is accepted", id)
 			}
 		}
 		if _, err := s.VerifyAudit(ctx); err != nil {
@@ -265,5 +265,6 @@
 	})
 }
 
-// refusedByOpen reports whether an earlier copy of some change may land yet.
-func refusedByOpen(table *faultyTable) bool { return len(table.late) > 0 }
+// hasDelayedCommits reports whether a copy of an earlier change may still take
+// effect.
+func hasDelayedCommits(table *faultyTable) bool { return len(table.delayedTxs) > 0 }
--- a/server/configstore/audit.go
+++ b/server/configstore/audit.go
@@ -15,12 +15,13 @@
 const (
 	recordPrefix = "config/audit/"
 	applyPrefix  = "config/apply/"
-	// AuditPageSize is the most records that one read returns.
+	// AuditPageSize is the maximum number of records that one read returns.
 	AuditPageSize = 500
 )
 
-// Record is the audit record of one accepted change. Its hash covers all other
-// fields and the hash of the record before it.
+// Record is the audit record of one accepted change. The records form a hash
+// chain: a record's hash covers all its other fields, one of which is the hash
+// of the previous record.
 type Record struct {
 	Revision   uint64                        `json:"revision"`
 	ApplyID    string                        `json:"apply_id"`
@@ -32,9 +33,10 @@
 	Files      map[string]config.FileVersion `json:"files"` // In force from this revision on.
 	Changed    []string                      `json:"changed"`
 	Changes    []config.Change               `json:"changes,omitempty"`
-	// ChangesDigest names the object with the changes where they are many.
+	// ChangesDigest is the digest that names the object with the changes, if they
+	// are too many for the record.
 	ChangesDigest string `json:"changes_digest,omitempty"`
-	Previous      string `json:"previous"`
+	Previous      string `json:"previous"` // Hash of the previous record; empty in the first.
 	Hash          string `json:"hash"`
 }
 
@@ -70,25 +72,25 @@
 		return fmt.Errorf("encode changes of revision %d: %w", record.Revision, err)
 	}
 	digest := config.Digest(body)
-	if err := s.put(ctx, changesObject(digest), body); err != nil {
-		return unavailable(fmt.Errorf("store changes of revision %d: %w", record.Revision, err))
+	if err := s.putObject(ctx, changesObject(digest), body); err != nil {
+		return unavailableError(fmt.Errorf("store changes of revision %d: %w", record.Revision, err))
 	}
 	record.Changes, record.ChangesDigest = nil, digest
 	return nil
 }
 
-// Changes returns the record's changes, from the object store where they are
-// kept there.
+// Changes returns the record's changes, and reads them from the object store if
+// they are kept there.
 func (s *Store) Changes(ctx context.Context, record Record) ([]config.Change, error) {
 	if record.ChangesDigest == "" {
 		return record.Changes, nil
 	}
 	body, err := s.Objects.Get(ctx, changesObject(record.ChangesDigest))
 	if err != nil {
-		return nil, unavailable(fmt.Errorf("read changes of revision %d: %w", record.Revision, err))
+		return nil, unavailableError(fmt.Errorf("read changes of revision %d: %w", record.Revision, err))
 	}
 	if digest := config.Digest(body); digest != record.ChangesDigest {
-		return nil, result.Errorf(result.AuditBroken, "the changes of revision %d have digest %s, not %s", record.Revision, digest, record.ChangesDigest)
+		return nil, result.Errorf(result.AuditBroken, "the changes of revision %d have digest %s, want %s", record.Revision, digest, record.ChangesDigest)
 	}
 	var changes []config.Change
 	if err := json.Unmarshal(body, &changes); err != nil {
@@ -102,7 +104,7 @@
 	var record Record
 	row, err := s.Table.Get(ctx, recordKey(revision))
 	if err != nil {
-		return record, unavailable(fmt.Errorf("read audit record %d: %w", revision, err))
+		return record, unavailableError(fmt.Errorf("read audit record %d: %w", revision, err))
 	}
 	if row.Version == 0 {
 		return record, result.Errorf(result.UnknownRevision, "revision %d was never accepted", revision)
@@ -122,7 +124,7 @@
 func (s *Store) Audit(ctx context.Context, after uint64, limit int) ([]Record, error) {
 	rows, err := s.Table.List(ctx, recordPrefix, recordKey(after), min(limit, AuditPageSize))
 	if err != nil {
-		return nil, unavailable(fmt.Errorf("list audit records: %w", err))
+		return nil, unavailableError(fmt.Errorf("list audit records: %w", err))
 	}
 	records := make([]Record, len(rows))
 	for index, row := range rows {
@@ -133,12 +135,13 @@
 	return records, nil
 }
 
-// VerifyAudit reads the whole chain and returns its length, or an error of
-// code AuditBroken naming the first record that was altered, added or removed.
+// VerifyAudit verifies the whole chain and returns its length. If a record was
+// altered, added or removed, it returns an error with the code AuditBroken that
+// names the first such record.
 func (s *Store) VerifyAudit(ctx context.Context) (uint64, error) {
 	head, _, err := s.Head(ctx)
 	if err != nil {
-		return 0, unavailable(err)
+		return 0, unavailableError(err)
 	}
 	previous := ""
 	var revision uint64
@@ -151,7 +154,7 @@
 			return revision, result.Errorf(result.AuditBroken, "audit record %d is missing", revision+1)
 		}
 		for _, record := range records {
-			if err := follows(record, revision+1, previous); err != nil {
+			if err := verifyRecord(record, revision+1, previous); err != nil {
 				return revision, err
 			}
 			revision, previous = record.Revision, record.Hash
@@ -161,20 +164,21 @@
 		}
 	}
 	if previous != head.AuditHash {
-		return revision, result.Errorf(result.AuditBroken, "audit record %d is not the one that the head names", revision)
+		return revision, result.Errorf(result.AuditBroken, "audit record %d does not have the hash that is stored in the configuration head", revision)
 	}
 	return revision, nil
 }
 
-// follows checks one record against its place in the chain.
-func follows(record Record, revision uint64, previous string) error {
+// verifyRecord checks that the record is intact and has the given revision and
+// previous hash.
+func verifyRecord(record Record, revision uint64, previous string) error {
 	switch {
 	case record.Revision != revision:
-		return result.Errorf(result.AuditBroken, "audit record %d stands in the place of %d", record.Revision, revision)
+		return result.Errorf(result.AuditBroken, "audit record %d found where record %d was expected", record.Revision, revision)
 	case record.Previous != previous:
-		return result.Errorf(result.AuditBroken, "audit record %d does not follow the record before it", revision)
+		return result.Errorf(result.AuditBroken, "audit record %d does not contain the hash of the previous record", revision)
 	case record.Hash != record.hash():
-		return result.Errorf(result.AuditBroken, "audit record %d was altered", revision)
+		return result.Errorf(result.AuditBroken, "audit record %d was altered: its hash does not match its fields", revision)
 	}
 	return nil
 }
--- a/server/configstore/configstore.go
+++ b/server/configstore/configstore.go
@@ -1,9 +1,9 @@
-// Package configstore keeps the accepted configuration in the platform: the
-// head and the audit records in the table service, the files' texts in the
-// object store.
+// Package configstore stores the accepted configuration in the platform: the
+// head and the audit records in the table service, and the texts of the files in
+// the object store.
 //
-// Invariant: the head's revision grows by one with each accepted change, and
-// every change is written with its audit record in one transaction.
+// Invariant: each accepted change increments the head's revision by one, and is
+// written in one transaction with its audit record.
 package configstore
 
 import (
@@ -19,16 +19,16 @@
 )
 
 // keyHead is the key of the head's row.
-const keyHead = "config/head"
+const headKey = "config/head"
 
-// Head is the accepted configuration.
+// Head describes the accepted configuration.
 type Head struct {
 	Revision  uint64                        `json:"revision"`
 	Files     map[string]config.FileVersion `json:"files"`
-	ApplyID   string                        `json:"apply_id"` // The change that brought the revision.
+	ApplyID   string                        `json:"apply_id"` // ID of the change that created the revision.
 	Operator  string                        `json:"operator"`
 	At        time.Time                     `json:"at"`
-	AuditHash string                        `json:"audit_hash"` // Hash of the newest audit record.
+	AuditHash string                        `json:"audit_hash"` // Hash of the latest audit record.
 }
 
 // Store reads and writes the accepted configuration.
@@ -40,7 +40,7 @@
 // Head returns the head and the version of its row.
 func (s *Store) Head(ctx context.Context) (Head, uint64, error) {
 	head := Head{Files: map[string]config.FileVersion{}}
-	row, err := s.Table.Get(ctx, keyHead)
+	row, err := s.Table.Get(ctx, headKey)
 	if err != nil {
 		return head, 0, fmt.Errorf("read configuration head: %w", err)
 	}
@@ -53,13 +53,14 @@
 	return head, row.Version, nil
 }
 
-// Load returns the newest snapshot, nil where nothing was accepted yet.
+// Load returns the newest snapshot, or nil if no configuration was accepted yet.
 func (s *Store) Load(ctx context.Context) (*config.Snapshot, error) {
 	return s.Refresh(ctx, nil)
 }
 
-// Refresh returns the newest snapshot. It reads only the files that current,
-// which may be nil, lacks, and returns current itself where it is the newest.
+// Refresh returns the newest snapshot, or nil if no configuration was accepted
+// yet. It reads only the files that are not in current, which may be nil, and
+// returns current itself if that is the newest.
 func (s *Store) Refresh(ctx context.Context, current *config.Snapshot) (*config.Snapshot, error) {
 	head, _, err := s.Head(ctx)
 	if err != nil || head.Revision == 0 {
@@ -79,7 +80,8 @@
 	return config.BuildVersions(head.Revision, head.Files, files)
 }
 
-// files returns the texts of the versions, from current where it has them.
+// files returns the texts of the versions. It reads those from the object store
+// that current, which may be nil, does not have.
 func (s *Store) files(ctx context.Context, versions map[string]config.FileVersion, current *config.Snapshot) (config.Files, error) {
 	files := config.Files{}
 	for name, version := range versions {
@@ -96,20 +98,21 @@
 	return files, nil
 }
 
+// text reads the text of a file version and checks its digest.
 func (s *Store) text(ctx context.Context, name string, version config.FileVersion) ([]byte, error) {
 	text, err := s.Objects.Get(ctx, objectName(name, version.Digest))
 	if err != nil {
 		return nil, fmt.Errorf("read file %q of revision %d: %w", name, version.Revision, err)
 	}
 	if digest := config.Digest(text); digest != version.Digest {
-		return nil, fmt.Errorf("file %q of revision %d has digest %s, not %s", name, version.Revision, digest, version.Digest)
+		return nil, fmt.Errorf("file %q of revision %d has digest %s, want %s", name, version.Revision, digest, version.Digest)
 	}
 	return text, nil
 }
 
 func objectName(file, digest string) string { return "config/" + file + "/" + digest }
 
-// FilesAt returns the texts that were in force at an accepted revision.
+// FilesAt returns the texts and versions of the files at an accepted revision.
 func (s *Store) FilesAt(ctx context.Context, revision uint64) (config.Files, map[string]config.FileVersion, error) {
 	record, err := s.Record(ctx, revision)
 	if err != nil {
@@ -119,8 +122,8 @@
 	return files, record.Files, err
 }
 
-// Apply accepts the files on top of the head that it reads, on behalf of the
-// system itself; it returns the new revision.
+// Apply submits the files as a change by the system itself against the current
+// head, and returns the new revision.
 func (s *Store) Apply(ctx context.Context, files config.Files) (uint64, error) {
 	head, _, err := s.Head(ctx)
 	if err != nil {
@@ -133,9 +136,10 @@
 	return accepted.Revision, err
 }
 
-// merge returns the current files with the changed ones in their place, and
-// the versions at the revision.
-func merge(current *config.Snapshot, changed config.Files, revision uint64) (config.Files, map[string]config.FileVersion) {
+// mergeFiles returns the current files with the changed ones replaced, and the
+// versions of all files at the new revision. A file whose text does not differ
+// keeps its version.
+func mergeFiles(current *config.Snapshot, changed config.Files, revision uint64) (config.Files, map[string]config.FileVersion) {
 	files, versions := config.Files{}, map[string]config.FileVersion{}
 	if current != nil {
 		maps.Copy(files, current.Files)
@@ -152,7 +156,8 @@
 	return files, versions
 }
 
-// unavailable returns the coded error of a failed read.
-func unavailable(err error) *result.Error {
+// unavailableError returns the error that reports a failed read or write of the
+// platform's store.
+func unavailableError(err error) *result.Error {
 	return &result.Error{Code: result.StoreUnavailable, Detail: err.Error(), RetryAfter: retryAfter}
 }
--- a/server/configstore/faults_test.go
+++ b/server/configstore/faults_test.go
@@ -17,59 +17,60 @@
 	os.Exit(m.Run())
 }
 
-// fate is what happens to one commit.
-type fate int
+// commitFault is the fault injected into one commit.
+type commitFault int
 
 const (
-	served     fate = iota
-	refused         // No effect, and the caller knows.
-	answerLost      // Took effect, the caller doesn't know.
-	neverSeen       // No effect, the caller doesn't know.
-	delayed         // Takes effect before some later commit, the caller doesn't know.
+	noFault     commitFault = iota
+	refused                 // No effect; reported as unavailable.
+	replyLost               // Takes effect; reported as unknown.
+	requestLost             // No effect; reported as unknown.
+	delayed                 // Takes effect later, by applyDelayed; reported as unknown.
 )
 
-// faultyTable is a table service whose commits meet the fates in turn.
+// faultyTable is a table service that injects the faults into its commits, in
+// order.
 type faultyTable struct {
 	ports.Table
-	fates []fate
-	late  []ports.Tx
-	after func() // Called after each commit.
+	faults      []commitFault
+	delayedTxs  []ports.Tx
+	afterCommit func() // Called after each commit.
 }
 
 func (f *faultyTable) Commit(ctx context.Context, tx ports.Tx) error {
-	if f.after != nil {
-		defer f.after()
+	if f.afterCommit != nil {
+		defer f.afterCommit()
 	}
-	next := served
-	if len(f.fates) > 0 {
-		next, f.fates = f.fates[0], f.fates[1:]
+	fault := noFault
+	if len(f.faults) > 0 {
+		fault, f.faults = f.faults[0], f.faults[1:]
 	}
-	switch next {
+	switch fault {
 	case refused:
 		return ports.ErrUnavailable
-	case answerLost:
+	case replyLost:
 		_ = f.Table.Commit(ctx, tx)
 		return ports.ErrUnknownOutcome
-	case neverSeen:
+	case requestLost:
 		return ports.ErrUnknownOutcome
 	case delayed:
-		f.late = append(f.late, tx)
+		f.delayedTxs = append(f.delayedTxs, tx)
 		return ports.ErrUnknownOutcome
 	}
 	return f.Table.Commit(ctx, tx)
 }
 
-// land lets the delayed commits take effect.
-func (f *faultyTable) land() {
-	for _, tx := range f.late {
+// applyDelayed sends the delayed commits to the table service.
+func (f *faultyTable) applyDelayed() {
+	for _, tx := range f.delayedTxs {
 		_ = f.Table.Commit(context.Background(), tx)
 	}
-	f.late = nil
+	f.delayedTxs = nil
 }
 
-// newFaulty returns a store with its faulty table.
-func newFaulty() (*Store, *faultyTable) {
-	stand := store.New()
-	table := &faultyTable{Table: stand}
-	return &Store{Table: table, Objects: stand.ObjectStore()}, table
+// newFaultyStore returns a store and its faulty table.
+func newFaultyStore() (*Store, *faultyTable) {
+	standIn := store.New()
+	table := &faultyTable{Table: standIn}
+	return &Store{Table: table, Objects: standIn.ObjectStore()}, table
 }
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -22,8 +22,8 @@
 const (
 	storeTimeout     = 4 * time.Second
 	peerFetchTimeout = 2 * time.Second
-	// fetchPeerCount is the number of peers, per group of candidates, that are
-	// asked for a newer configuration or for the instance list.
+	// fetchPeerCount is the number of random peers asked for a newer configuration,
+	// in total or per data centre, or for the instance list.
 	fetchPeerCount = 3
 )
 
--- a/server/node/exchange.go
+++ b/server/node/exchange.go
@@ -19,7 +19,7 @@
 	maxConcurrentCalls = 64
 )
 
-// Self returns the node's own entry in the instance list.
+// Self returns the node's own instance, as it appears in instance lists.
 func (n *Node) Self() ports.Instance {
 	self := n.options.Self
 	return ports.Instance{
