--- a/server/admin/admin.go
+++ b/server/admin/admin.go
@@ -1,9 +1,9 @@
-// Package admin serves the administration API of an entry: operators read,
-// compare, apply and roll back the configuration, take out and return data
-// centres and backend servers, and read the audit trail.
+// Package admin serves the administration API of an entry. Operators use it to
+// read, compare, apply and roll back the configuration, to take out and return
+// data centres and backend servers, and to read the audit trail.
 //
-// All state lives in the platform, so that operators may use several entries
-// at once.
+// All state is kept in the platform, so operators may use several entries at the
+// same time.
 package admin
 
 import (
@@ -28,16 +28,17 @@
 	"persimmonwind.dev/server/node"
 )
 
-// applyTimeout bounds a change; after it the outcome is reported as unknown.
+// applyTimeout bounds the submission of a change. When it expires during the
+// commit, the outcome is reported as unknown.
 const applyTimeout = 15 * time.Second
 
 // API serves the administration API.
 type API struct {
 	node      *node.Node
-	operators map[string]adminapi.Operator // By digest of the token.
+	operators map[string]adminapi.Operator // By hex SHA-256 of the token, in lower case.
 }
 
-// New returns the API over the node for the operators.
+// New returns an API for the operators that works through the node.
 func New(n *node.Node, operators []adminapi.Operator) *API {
 	api := &API{node: n, operators: map[string]adminapi.Operator{}}
 	for _, operator := range operators {
@@ -46,14 +47,14 @@
 	return api
 }
 
-// handler serves one request of an operator.
+// handler serves a request of an authenticated operator.
 type handler func(w http.ResponseWriter, r *http.Request, operator adminapi.Operator) error
 
-// Handler returns the handler of all paths of the API.
+// Handler returns the HTTP handler for all paths of the API.
 func (a *API) Handler() http.Handler {
 	mux := http.NewServeMux()
 	route := func(method, path string, role adminapi.Role, next handler) {
-		mux.HandleFunc(method+" "+path, a.permitted(role, next))
+		mux.HandleFunc(method+" "+path, a.requireRole(role, next))
 	}
 	route("GET", adminapi.PathConfiguration, adminapi.RoleViewer, a.serveConfiguration)
 	route("GET", adminapi.PathFiles+"{file}", adminapi.RoleViewer, a.serveFile)
@@ -77,12 +78,13 @@
 	return mux
 }
 
-// permitted lets operators of the role or a higher one pass.
-func (a *API) permitted(role adminapi.Role, next handler) http.HandlerFunc {
+// requireRole returns a handler that authenticates the operator and calls next
+// if the operator has the role or a higher one.
+func (a *API) requireRole(role adminapi.Role, next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		operator, err := a.authenticate(r)
 		if err == nil && operator.Role.Level() < role.Level() {
-			err = forbidden(operator, role)
+			err = forbiddenError(operator, role)
 		}
 		if err == nil {
 			r.Body = http.MaxBytesReader(w, r.Body, adminapi.MaxBodyBytes)
@@ -95,6 +97,7 @@
 	}
 }
 
+// authenticate returns the operator whose bearer token the request carries.
 func (a *API) authenticate(r *http.Request) (adminapi.Operator, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -108,7 +111,7 @@
 	return operator, nil
 }
 
-func forbidden(operator adminapi.Operator, role adminapi.Role) error {
+func forbiddenError(operator adminapi.Operator, role adminapi.Role) error {
 	return result.Errorf(result.OperatorForbidden, "operator %q has the role %q; the request needs the role %q", operator.Name, operator.Role, role)
 }
 
@@ -122,17 +125,18 @@
 	})
 }
 
-// writeError answers with the error; jsonfile.Problems are InvalidFile.
+// writeError writes the error as the response. jsonfile.Problems get the code
+// InvalidFile.
 func (a *API) writeError(w http.ResponseWriter, err error) {
 	detail := adminapi.ErrorDetail{Message: err.Error()}
 	var retryAfter time.Duration
 	if errors.As(err, &detail.Problems) {
 		detail.Code = result.InvalidFile
 	} else {
-		coded := result.From(err)
-		detail.Code, retryAfter = coded.Code, coded.RetryAfter
-		if coded.Detail != "" {
-			detail.Message = coded.Detail
+		codedErr := result.From(err)
+		detail.Code, retryAfter = codedErr.Code, codedErr.RetryAfter
+		if codedErr.Detail != "" {
+			detail.Message = codedErr.Detail
 		}
 	}
 	info := result.Describe(detail.Code)
@@ -148,17 +152,17 @@
 func writeJSON(w http.ResponseWriter, value any) error {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(value); err != nil {
-		return fmt.Errorf("write answer: %w", err)
+		return fmt.Errorf("write response: %w", err)
 	}
 	return nil
 }
 
-// setRevision sets the entity tag of the revision.
+// setRevision sets the ETag header to the revision.
 func setRevision(w http.ResponseWriter, revision uint64) {
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(revision, 10)))
 }
 
-// requiredRevision returns the revision of the header If-Match.
+// requiredRevision returns the revision in the If-Match header.
 func requiredRevision(r *http.Request) (uint64, error) {
 	tag := r.Header.Get("If-Match")
 	if tag == "" {
@@ -174,7 +178,7 @@
 	return 0, result.Errorf(result.MalformedOrder, "If-Match holds %s; write the revision in double quotes, as in If-Match: \"7\"", tag)
 }
 
-// readJSON decodes the body, which may be empty where the request needs none.
+// readJSON decodes the body into target. An empty body leaves target unchanged.
 func readJSON(r *http.Request, target any) error {
 	body, err := readBody(r)
 	if err != nil || len(body) == 0 {
--- a/server/admin/adminapi/adminapi.go
+++ b/server/admin/adminapi/adminapi.go
@@ -1,5 +1,5 @@
-// Package adminapi declares the messages of the administration API, version 1.
-// docs/ADMIN_API.md describes them for other clients.
+// Package adminapi declares the paths and messages of the administration API,
+// version 1. docs/ADMIN_API.md documents them for other clients.
 package adminapi
 
 import (
@@ -10,7 +10,7 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Paths of the API. Those that end in a slash are followed by a name.
+// Paths of the API. A path that ends in a slash is followed by a name or ID.
 const (
 	PathConfiguration  = "/admin/v1/configuration"
 	PathFiles          = PathConfiguration + "/files/"
@@ -26,29 +26,30 @@
 	PathDataCentres    = "/admin/v1/data-centres/"
 	PathBackendServers = "/admin/v1/backend-servers/"
 
-	// SuffixTakeOut and SuffixReturn follow the name of a data centre or
-	// backend server.
+	// SuffixTakeOut and SuffixReturn follow the name of a data centre or backend
+	// server.
 	SuffixTakeOut = "/take-out"
 	SuffixReturn  = "/return"
 )
 
-// HeaderApplyID carries the change's ID where the body is a file's text.
+// HeaderApplyID carries the ID of a change whose request body is a file's text.
 const HeaderApplyID = "Persimmonwind-Apply-Id"
 
-// MaxBodyBytes bounds the body of a request.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 2 * jsonfile.MaxBytes
 
-// Role is what an operator may do.
+// Role determines what an operator may do.
 type Role string
 
-// The roles; each includes those before it.
+// The roles. Each role includes the permissions of those before it.
 const (
 	RoleViewer        Role = "viewer"        // Reads, validates and compares.
 	RoleOperator      Role = "operator"      // Applies, rolls back, takes out and returns.
 	RoleAdministrator Role = "administrator" // Takes out the last data centre.
 )
 
-// Level orders the roles; an unknown role has rank 0 and may do nothing.
+// Level orders the roles by their permissions. An unknown role has level 0 and
+// no permissions.
 func (r Role) Level() int {
 	switch r {
 	case RoleViewer:
@@ -61,14 +62,14 @@
 	return 0
 }
 
-// Operator is one who may use the API.
+// Operator is a user of the API.
 type Operator struct {
 	Name        string `json:"name"`
-	TokenSHA256 string `json:"token_sha256"` // Hex digest of the token.
+	TokenSHA256 string `json:"token_sha256"` // Hex SHA-256 of the token.
 	Role        Role   `json:"role"`
 }
 
-// Configuration is the accepted configuration.
+// Configuration describes the accepted configuration.
 type Configuration struct {
 	Revision uint64                        `json:"revision"`
 	Operator string                        `json:"operator"`
@@ -76,48 +77,48 @@
 	Files    map[string]config.FileVersion `json:"files"`
 }
 
-// Files carries the texts of files, in base64 as encoding/json writes bytes.
+// Files contains the texts of files by name, encoded in base64 by encoding/json.
 type Files struct {
 	Files map[string][]byte `json:"files"`
 }
 
-// ApplyRequest asks to accept files. The revision that they were made against
-// is in the header If-Match.
+// ApplyRequest requests a change of whole files. The If-Match header carries the
+// revision that the change was made against.
 type ApplyRequest struct {
 	ID                  string            `json:"id"`
 	Files               map[string][]byte `json:"files"`
 	AllowLastDataCentre bool              `json:"allow_last_data_centre,omitempty"`
 }
 
-// RollbackRequest asks to accept the files of an earlier revision anew.
+// RollbackRequest requests a new revision with the files of an earlier one.
 type RollbackRequest struct {
 	ID                  string `json:"id"`
 	Revision            uint64 `json:"revision"`
 	AllowLastDataCentre bool   `json:"allow_last_data_centre,omitempty"`
 }
 
-// TargetRequest asks to take out or return one data centre or backend server.
+// TargetRequest requests to take out or return a data centre or backend server.
 type TargetRequest struct {
 	ID                  string `json:"id"`
 	AllowLastDataCentre bool   `json:"allow_last_data_centre,omitempty"`
 }
 
-// Accepted answers a change.
+// Accepted is the response to an accepted change.
 type Accepted struct {
 	Revision  uint64          `json:"revision"`
-	Unchanged bool            `json:"unchanged,omitempty"` // In force already; no revision was made.
+	Unchanged bool            `json:"unchanged,omitempty"` // The files were in force already; no revision was created.
 	Changes   []config.Change `json:"changes"`
-	Reached   int             `json:"reached"` // Other processes that took the change at once.
-	Processes int             `json:"processes"`
+	Reached   int             `json:"reached"`   // Number of other processes that received the change at once.
+	Processes int             `json:"processes"` // Number of other processes.
 }
 
-// Comparison answers a validation or a comparison.
+// Comparison is the response to a validation or comparison.
 type Comparison struct {
-	Base    uint64          `json:"base"` // Revision compared with.
+	Base    uint64          `json:"base"` // Revision that the files were compared with.
 	Changes []config.Change `json:"changes"`
 }
 
-// Process is one process's configuration in force.
+// Process describes the configuration in force in one process.
 type Process struct {
 	ID            string            `json:"id"`
 	Role          string            `json:"role"`
@@ -126,24 +127,24 @@
 	Leaving       bool              `json:"leaving,omitempty"`
 	Answered      bool              `json:"answered"`
 	Revision      uint64            `json:"revision"`
-	Files         map[string]uint64 `json:"files,omitempty"` // Revision that brought each file.
-	CurrentAgeMS  int64             `json:"current_age_ms"`  // Since the revision was known to be the newest; -1 for never.
+	Files         map[string]uint64 `json:"files,omitempty"` // Revision of each file's version.
+	CurrentAgeMS  int64             `json:"current_age_ms"`  // Time since the revision was known to be the newest; -1 for never.
 }
 
-// Status is the configuration in force in every process.
+// Status describes the configuration in force in every process.
 type Status struct {
-	Revision  uint64            `json:"revision"`   // Accepted.
-	FromStore bool              `json:"from_store"` // Else the newest known to any process.
+	Revision  uint64            `json:"revision"`   // Accepted revision.
+	FromStore bool              `json:"from_store"` // Whether Revision was read from the store; otherwise it is the newest of any process.
 	Files     map[string]uint64 `json:"files"`
 	Processes []Process         `json:"processes"`
 }
 
-// Verification answers a check of the audit chain.
+// Verification is the response to a successful verification of the audit chain.
 type Verification struct {
-	Records uint64 `json:"records"` // All of them whole.
+	Records uint64 `json:"records"` // Number of records in the chain, all of them intact.
 }
 
-// Error is the body of every answer that is not a success.
+// Error is the body of every response that reports a failure.
 type Error struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -153,5 +154,5 @@
 	Code     result.Code       `json:"code"`
 	Name     string            `json:"name"`
 	Message  string            `json:"message"`
-	Problems jsonfile.Problems `json:"problems,omitempty"` // Of invalid files.
+	Problems jsonfile.Problems `json:"problems,omitempty"` // Problems found in invalid files.
 }
--- a/server/admin/change.go
+++ b/server/admin/change.go
@@ -19,13 +19,13 @@
 const (
 	storeRetryAfter = 2 * time.Second
 	offerTimeout    = 3 * time.Second
-	// maxTargetTries bounds how often a take-out or return is made anew against
-	// a newer revision.
-	maxTargetTries = 8
-	maxIDLength    = 128
+	// maxTargetAttempts bounds the attempts at a take-out or return when other
+	// changes are accepted in between.
+	maxTargetAttempts = 8
+	maxIDBytes        = 128
 )
 
-// serveApply accepts whole files.
+// serveApply applies a change of whole files.
 func (a *API) serveApply(w http.ResponseWriter, r *http.Request, operator adminapi.Operator) error {
 	base, err := requiredRevision(r)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return a.submit(w, r, operator, change)
 }
 
-// servePutFile accepts one whole file whose text is the body.
+// servePutFile applies a change of one file, whose text is the request body.
 func (a *API) servePutFile(w http.ResponseWriter, r *http.Request, operator adminapi.Operator) error {
 	base, err := requiredRevision(r)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return a.submit(w, r, operator, change)
 }
 
-// serveRollback accepts the files of an earlier revision as a new one.
+// serveRollback applies the files of an earlier revision as a new revision.
 func (a *API) serveRollback(w http.ResponseWriter, r *http.Request, operator adminapi.Operator) error {
 	base, err := requiredRevision(r)
 	if err != nil {
@@ -80,6 +80,8 @@
 	return a.submit(w, r, operator, change)
 }
 
+// newChange returns a change by the operator through this entry. It generates an
+// ID if id is empty.
 func (a *API) newChange(id, kind string, operator adminapi.Operator) configstore.Change {
 	if id == "" {
 		id = uuid.NewString()
@@ -90,11 +92,12 @@
 	}
 }
 
+// submit submits the change to the store and answers the operator.
 func (a *API) submit(w http.ResponseWriter, r *http.Request, operator adminapi.Operator, change configstore.Change) error {
 	if err := checkChange(operator, change); err != nil {
 		return err
 	}
-	// A caller that leaves must not cut off the settling of the outcome.
+	// The outcome is determined even if the caller disconnects.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), applyTimeout)
 	defer cancel()
 	accepted, err := a.node.Config.Submit(ctx, change)
@@ -105,20 +108,20 @@
 }
 
 func checkChange(operator adminapi.Operator, change configstore.Change) error {
-	if len(change.ID) > maxIDLength {
-		return result.Errorf(result.MalformedOrder, "the change's ID has %d bytes; at most %d are accepted", len(change.ID), maxIDLength)
+	if len(change.ID) > maxIDBytes {
+		return result.Errorf(result.MalformedOrder, "the change's ID has %d bytes; at most %d are accepted", len(change.ID), maxIDBytes)
 	}
 	if len(change.Files) == 0 {
-		return result.Errorf(result.MalformedOrder, "the change holds no file")
+		return result.Errorf(result.MalformedOrder, "the change contains no files")
 	}
 	if change.AllowLastDataCentre && operator.Role.Level() < adminapi.RoleAdministrator.Level() {
-		return forbidden(operator, adminapi.RoleAdministrator)
+		return forbiddenError(operator, adminapi.RoleAdministrator)
 	}
 	return nil
 }
 
-// answer puts the accepted change in force here, offers it to the others and
-// answers the operator.
+// answer puts the accepted change in force in this process, offers it to the
+// others and answers the operator.
 func (a *API) answer(w http.ResponseWriter, operator adminapi.Operator, change configstore.Change, accepted configstore.Accepted) error {
 	answer := adminapi.Accepted{Revision: accepted.Revision, Unchanged: accepted.Unchanged, Changes: accepted.Changes}
 	logevent.Write(a.node.Log(), logevent.OrderAccepted, logrus.Fields{
@@ -136,7 +139,7 @@
 	return writeJSON(w, answer)
 }
 
-// serveOutcome tells what became of a change.
+// serveOutcome answers with the outcome of an accepted change.
 func (a *API) serveOutcome(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	id := r.PathValue("id")
 	accepted, found, err := a.node.Config.Outcome(r.Context(), id)
@@ -149,11 +152,11 @@
 	return writeJSON(w, adminapi.Accepted{Revision: accepted.Revision, Changes: accepted.Changes})
 }
 
-// targetKind is what can be taken out and returned.
+// targetKind is a kind of object that can be taken out and returned.
 type targetKind struct {
-	path string
-	name string
-	file string
+	path string // Prefix of the API paths.
+	name string // For messages.
+	file string // Configuration file, and the list in it, that contains the targets.
 }
 
 var targetKinds = []targetKind{
@@ -161,37 +164,37 @@
 	{adminapi.PathBackendServers, "backend server", config.FileBackendServers},
 }
 
-// serveTarget takes out or returns one target as a small change of its file.
-// Another operator's change in between does not matter to it, so it is made
-// anew against the newer revision.
-func (a *API) serveTarget(kind targetKind, out bool) handler {
+// serveTarget takes out or returns one target by a change of its file. A conflict
+// with another operator's change is resolved by repeating the change against the
+// newer revision, because it does not depend on the rest of the configuration.
+func (a *API) serveTarget(kind targetKind, takenOut bool) handler {
 	return func(w http.ResponseWriter, r *http.Request, operator adminapi.Operator) error {
 		var request adminapi.TargetRequest
 		if err := readJSON(r, &request); err != nil {
 			return err
 		}
-		name := configstore.KindReturn
-		if out {
-			name = configstore.KindTakeOut
+		changeKind := configstore.KindReturn
+		if takenOut {
+			changeKind = configstore.KindTakeOut
 		}
-		change := a.newChange(request.ID, name, operator)
+		change := a.newChange(request.ID, changeKind, operator)
 		change.AllowLastDataCentre = request.AllowLastDataCentre
-		for try := 1; ; try++ {
+		for attempt := 1; ; attempt++ {
 			var err error
-			if change.Base, change.Files, err = a.retarget(r.Context(), kind, r.PathValue("name"), out); err != nil {
+			if change.Base, change.Files, err = a.targetFiles(r.Context(), kind, r.PathValue("name"), takenOut); err != nil {
 				return err
 			}
 			err = a.submit(w, r, operator, change)
-			if err == nil || result.From(err).Code != result.RevisionConflict || try == maxTargetTries {
+			if err == nil || result.From(err).Code != result.RevisionConflict || attempt == maxTargetAttempts {
 				return err
 			}
 		}
 	}
 }
 
-// retarget returns the accepted revision and the target's file with its field
-// taken_out set.
-func (a *API) retarget(ctx context.Context, kind targetKind, name string, out bool) (uint64, config.Files, error) {
+// targetFiles returns the accepted revision and the target's file, with the
+// target's field taken_out set to takenOut.
+func (a *API) targetFiles(ctx context.Context, kind targetKind, name string, takenOut bool) (uint64, config.Files, error) {
 	current, err := a.node.Config.Refresh(ctx, a.node.State().View.InForce)
 	if err != nil {
 		return 0, nil, storeError(err)
@@ -199,7 +202,7 @@
 	if current == nil {
 		return 0, nil, result.Errorf(result.UnknownTarget, "no configuration was accepted yet")
 	}
-	text, found, err := jsonfile.SetInList(kind.file, current.Files[kind.file], kind.file, name, "taken_out", out)
+	text, found, err := jsonfile.SetInList(kind.file, current.Files[kind.file], kind.file, name, "taken_out", takenOut)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/server/admin/configuration.go
+++ b/server/admin/configuration.go
@@ -10,7 +10,8 @@
 	"persimmonwind.dev/server/admin/adminapi"
 )
 
-// serveConfiguration answers with the accepted revision and its files.
+// serveConfiguration answers with the accepted revision and the versions of its
+// files.
 func (a *API) serveConfiguration(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	head, _, err := a.node.Config.Head(r.Context())
 	if err != nil {
@@ -20,18 +21,20 @@
 	return writeJSON(w, adminapi.Configuration{Revision: head.Revision, Operator: head.Operator, At: head.At, Files: head.Files})
 }
 
-// storeError returns the coded error of a failed read of the head.
+// storeError returns the error that reports a failed read of the configuration
+// store.
 func storeError(err error) error {
 	return &result.Error{Code: result.StoreUnavailable, Detail: err.Error(), RetryAfter: storeRetryAfter}
 }
 
-// serveFile answers with a file's text at the accepted or an earlier revision.
+// serveFile answers with the text of a file at the accepted or an earlier
+// revision.
 func (a *API) serveFile(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	name := r.PathValue("file")
 	if !config.KnownFile(name) {
 		return result.Errorf(result.UnknownFile, "no configuration file is named %q", name)
 	}
-	revision, err := a.askedRevision(r)
+	revision, err := a.requestedRevision(r)
 	if err != nil {
 		return err
 	}
@@ -49,8 +52,9 @@
 	return err
 }
 
-// askedRevision returns the query's revision, or the accepted one.
-func (a *API) askedRevision(r *http.Request) (uint64, error) {
+// requestedRevision returns the revision in the query, or the accepted revision
+// if there is none.
+func (a *API) requestedRevision(r *http.Request) (uint64, error) {
 	if text := r.URL.Query().Get("revision"); text != "" {
 		revision, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
@@ -65,8 +69,8 @@
 	return head.Revision, nil
 }
 
-// serveCompare validates files against the accepted ones and answers with what
-// they would change.
+// serveCompare validates files together with the accepted ones and answers with
+// the changes that they would make.
 func (a *API) serveCompare(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	var request adminapi.Files
 	if err := readJSON(r, &request); err != nil {
@@ -80,6 +84,8 @@
 	return writeJSON(w, comparison)
 }
 
+// compare validates the accepted files with the changed ones replaced, and
+// returns their differences from the accepted files.
 func (a *API) compare(ctx context.Context, changed config.Files) (adminapi.Comparison, error) {
 	current, err := a.node.Config.Refresh(ctx, a.node.State().View.InForce)
 	if err != nil {
--- a/server/admin/decision.go
+++ b/server/admin/decision.go
@@ -9,7 +9,8 @@
 	"persimmonwind.dev/server/group"
 )
 
-// serveDecision tells what the planner last decided about a group's expert map.
+// serveDecision answers with the planner's latest decision about the expert map
+// of a group.
 func (a *API) serveDecision(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	name := r.PathValue("group")
 	row, err := a.node.Store.Get(r.Context(), group.DecisionKey(name))
@@ -18,7 +19,7 @@
 	}
 	var decision group.Decision
 	if row.Version == 0 || json.Unmarshal(row.Value, &decision) != nil {
-		return result.Errorf(result.UnknownGroup, "no decision about a group %q is kept", name)
+		return result.Errorf(result.UnknownGroup, "no decision about group %q is stored", name)
 	}
 	return writeJSON(w, decision)
 }
--- a/server/admin/status.go
+++ b/server/admin/status.go
@@ -15,14 +15,16 @@
 
 const defaultAuditLimit = 50
 
-// serveStatus asks every process for its configuration in force.
+// serveStatus answers with the configuration in force in every process. If the
+// store can't be read, the newest revision of any process counts as the accepted
+// one.
 func (a *API) serveStatus(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	var status adminapi.Status
 	if head, _, err := a.node.Config.Head(r.Context()); err == nil {
-		status.Revision, status.FromStore, status.Files = head.Revision, true, revisions(head.Files)
+		status.Revision, status.FromStore, status.Files = head.Revision, true, fileRevisions(head.Files)
 	}
 	for _, report := range a.node.CollectReports(r.Context()) {
-		process := processOf(report)
+		process := processStatus(report)
 		if !status.FromStore && process.Revision > status.Revision {
 			status.Revision, status.Files = process.Revision, process.Files
 		}
@@ -33,11 +35,11 @@
 	return writeJSON(w, status)
 }
 
-func processOf(report wire.ReportReply) adminapi.Process {
+func processStatus(report wire.ReportReply) adminapi.Process {
 	process := adminapi.Process{
 		ID: report.Instance.ID, Role: report.Instance.Role, DataCentre: report.Instance.DataCentre,
 		BackendServer: report.Instance.BackendServer, Leaving: report.Instance.Leaving,
-		Answered: report.Stamp.From != "", Revision: report.Stamp.Revision, Files: revisions(report.Versions), CurrentAgeMS: -1,
+		Answered: report.Stamp.From != "", Revision: report.Stamp.Revision, Files: fileRevisions(report.Versions), CurrentAgeMS: -1,
 	}
 	if report.Current {
 		process.CurrentAgeMS = report.Age.Milliseconds()
@@ -45,7 +47,8 @@
 	return process
 }
 
-func revisions(versions map[string]config.FileVersion) map[string]uint64 {
+// fileRevisions returns the revision of each file version.
+func fileRevisions(versions map[string]config.FileVersion) map[string]uint64 {
 	files := make(map[string]uint64, len(versions))
 	for name, version := range versions {
 		files[name] = version.Revision
@@ -53,9 +56,9 @@
 	return files
 }
 
-// serveAudit answers with audit records, by default the newest ones.
+// serveAudit answers with audit records, by default the latest ones.
 func (a *API) serveAudit(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
-	limit, err := number(r, "limit", defaultAuditLimit)
+	limit, err := uintParam(r, "limit", defaultAuditLimit)
 	if err != nil {
 		return err
 	}
@@ -64,7 +67,7 @@
 		return storeError(err)
 	}
 	limit = min(limit, configstore.AuditPageSize)
-	after, err := number(r, "after", head.Revision-min(head.Revision, limit))
+	after, err := uintParam(r, "after", head.Revision-min(head.Revision, limit))
 	if err != nil {
 		return err
 	}
@@ -82,10 +85,12 @@
 	return writeJSON(w, records)
 }
 
-func number(r *http.Request, name string, otherwise uint64) (uint64, error) {
+// uintParam returns the value of a query parameter, or defaultValue if it is
+// missing.
+func uintParam(r *http.Request, name string, defaultValue uint64) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -94,7 +99,7 @@
 	return value, nil
 }
 
-// serveVerify checks the whole audit chain.
+// serveVerify verifies the whole audit chain and answers with its length.
 func (a *API) serveVerify(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	records, err := a.node.Config.VerifyAudit(r.Context())
 	if err != nil {
--- a/server/configstore/apply.go
+++ b/server/configstore/apply.go
@@ -135,7 +135,7 @@
 		return result.Errorf(result.ChangeFromTakenOut, "data centre %q is taken out; take out others through an entry in another data centre", change.DataCentre)
 	}
 	if !allTakenOutBefore && p.next.AllTakenOut() && !change.AllowLastDataCentre {
-		return result.Errorf(result.LastDataCentre, "the change leaves no data centre in service; if that is intended, allow it with the explicit flag")
+		return result.Errorf(result.LastDataCentre, "the change leaves no data centre in service; if that is intended, set the flag allow_last_data_centre")
 	}
 	return nil
 }
--- a/server/keys/generate.go
+++ b/server/keys/generate.go
@@ -22,14 +22,14 @@
 	serialNumber = 1
 )
 
-// Generated is a new authority with one certificate for all processes.
+// Generated contains a new authority and one certificate for all processes.
 type Generated struct {
 	CertificatePEM []byte
 	KeyPEM         []byte
 	AuthorityPEM   []byte
 }
 
-// Generate makes an authority and a certificate that it signs, for development
+// Generate generates an authority and a certificate signed by it, for development
 // and tests.
 func Generate() (Generated, error) {
 	now := time.Now()
@@ -44,15 +44,17 @@
 	}
 	authorityKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Generated{}, fmt.Errorf("generate authority's key: %w", err)
+		return Generated{}, fmt.Errorf("generate authority key: %w", err)
 	}
 	authorityDER, err := x509.CreateCertificate(rand.Reader, authority, authority, &authorityKey.PublicKey, authorityKey)
 	if err != nil {
-		return Generated{}, fmt.Errorf("create authority's certificate: %w", err)
+		return Generated{}, fmt.Errorf("create authority certificate: %w", err)
 	}
 	return generateLeaf(authority, authorityKey, authorityDER)
 }
 
+// generateLeaf generates the certificate that all processes present, signed by
+// the authority.
 func generateLeaf(authority *x509.Certificate, authorityKey *ecdsa.PrivateKey, authorityDER []byte) (Generated, error) {
 	leaf := &x509.Certificate{
 		SerialNumber: big.NewInt(serialNumber + 1),
@@ -86,7 +88,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// Keys returns the generated keys for use in this process.
+// Keys parses the generated PEM data.
 func (g Generated) Keys() (*Keys, error) {
 	certificate, err := tls.X509KeyPair(g.CertificatePEM, g.KeyPEM)
 	if err != nil {
@@ -97,7 +99,8 @@
 	return &Keys{Certificate: certificate, Authority: pool}, nil
 }
 
-// Write writes the keys as three files into the directory.
+// Write writes the certificate, the key and the authority as three PEM files
+// into the directory and returns their paths.
 func (g Generated) Write(dir string) (Files, error) {
 	files := Files{
 		Certificate: filepath.Join(dir, "certificate.pem"),
--- a/server/keys/keys.go
+++ b/server/keys/keys.go
@@ -1,6 +1,7 @@
-// Package keys holds the TLS keys between the system's own processes: every
-// process shows a certificate of the system's authority and asks its peers for
-// one. Key files are read again when they change.
+// Package keys provides the TLS configuration for connections between the
+// system's own processes. Each process presents a certificate issued by the
+// system's certificate authority and requires one of its peers (mutual TLS). Key
+// files are reloaded when they change.
 package keys
 
 import (
@@ -13,55 +14,56 @@
 	"time"
 )
 
-// ServerName is the name that every process's certificate carries; instances
-// have no stable host names.
+// ServerName is the DNS name in the certificates of all processes. It is the same
+// for all because instances have no stable host names.
 const ServerName = "persimmonwind"
 
-// checkInterval is the least time between two looks at the key files.
+// checkInterval is the minimum time between two checks of the key files.
 const checkInterval = 5 * time.Second
 
-// Files names the PEM files of a process.
+// Files contains the paths of the PEM files of a process.
 type Files struct {
 	Certificate string `json:"certificate" doc:"PEM file with the certificate of this process, for the name persimmonwind."`
 	Key         string `json:"key" doc:"PEM file with the certificate's private key."`
 	Authority   string `json:"authority" doc:"PEM file with the certificates of the system's authority."`
 }
 
-// IsSet reports whether any file is named.
+// IsSet reports whether any path is set.
 func (f Files) IsSet() bool { return f != Files{} }
 
-// Keys is one process's key, its certificate and the system's authority.
+// Keys contains the certificate and private key of a process, and the
+// certificates of the system's authority.
 type Keys struct {
 	Certificate tls.Certificate
 	Authority   *x509.CertPool
 }
 
-// Source gives the keys in force.
+// Source provides the keys in force.
 type Source interface {
 	// Current returns the keys for a new connection.
 	Current() (*Keys, error)
 }
 
-// StaticSource is a Source of keys that never change.
+// StaticSource is a Source whose keys never change.
 type StaticSource struct{ Keys *Keys }
 
-// Current implements Source.
 func (f StaticSource) Current() (*Keys, error) { return f.Keys, nil }
 
-// Reloader is a Source that reads its files again when one has changed.
+// Reloader is a Source that reloads its files when one of them has changed.
 type Reloader struct {
 	files Files
 
 	mu       sync.Mutex
 	keys     *Keys
-	modified [3]time.Time
-	checked  time.Time
+	modified [3]time.Time // Modification times of the loaded files.
+	checked  time.Time    // Time of the last check for changes.
 }
 
-// NewReloader reads the files once; an error names the file.
+// NewReloader loads the files and returns a Reloader for them. The error names
+// the file that could not be loaded.
 func NewReloader(files Files) (*Reloader, error) {
 	r := &Reloader{files: files}
-	keys, err := load(files)
+	keys, err := loadKeys(files)
 	if err != nil {
 		return nil, err
 	}
@@ -69,8 +71,8 @@
 	return r, nil
 }
 
-// Current implements Source. Files that can't be read leave the keys as they
-// are.
+// Current returns the keys, reloaded if a file has changed. If the changed files
+// can't be loaded, the previous keys stay in force.
 func (r *Reloader) Current() (*Keys, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +88,7 @@
 	if modified == r.modified {
 		return
 	}
-	keys, err := load(r.files)
+	keys, err := loadKeys(r.files)
 	if err != nil {
 		return
 	}
@@ -102,24 +104,24 @@
 	return times
 }
 
-func load(files Files) (*Keys, error) {
+func loadKeys(files Files) (*Keys, error) {
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		return nil, fmt.Errorf("load key pair %q, %q: %w", files.Certificate, files.Key, err)
 	}
-	text, err := os.ReadFile(files.Authority)
+	authorityPEM, err := os.ReadFile(files.Authority)
 	if err != nil {
 		return nil, fmt.Errorf("load authority: %w", err)
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("load authority: file %q holds no PEM certificate", files.Authority)
+	if !pool.AppendCertsFromPEM(authorityPEM) {
+		return nil, fmt.Errorf("load authority: file %q contains no PEM certificate", files.Authority)
 	}
 	return &Keys{Certificate: certificate, Authority: pool}, nil
 }
 
-// ServerConfig returns the configuration of a server that takes connections
-// of the system's own processes only.
+// ServerConfig returns the TLS configuration of a server that accepts
+// connections only from the system's own processes.
 func ServerConfig(source Source) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -138,16 +140,16 @@
 	}
 }
 
-var errNoPeerCertificate = errors.New("peer shows no certificate")
+var errNoPeerCertificate = errors.New("peer presented no certificate")
 
-// ClientConfig returns the configuration of a client that calls the system's
-// own processes only.
+// ClientConfig returns the TLS configuration of a client that connects only to
+// the system's own processes.
 func ClientConfig(source Source) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ServerName: ServerName,
-		// The authority may change while the process runs, so the certificate is
-		// verified against the keys in force instead of a fixed pool.
+		// The authority may change while the process runs, so VerifyConnection
+		// verifies the certificate against the keys in force instead of a fixed pool.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyServer(source, state)
@@ -162,6 +164,8 @@
 	}
 }
 
+// verifyServer verifies the server's certificate chain against the authority in
+// force.
 func verifyServer(source Source, state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return errNoPeerCertificate
--- a/server/keys/keys_test.go
+++ b/server/keys/keys_test.go
@@ -11,8 +11,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// exchange connects a client to a server and returns the client's error.
-func exchange(server, client *tls.Config) error {
+// connect connects a client to a server, reads from the connection and returns
+// the client's error.
+func connect(server, client *tls.Config) error {
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	if err != nil {
 		return err
@@ -36,7 +37,7 @@
 	return err
 }
 
-func generated(t *testing.T) Generated {
+func generateKeys(t *testing.T) Generated {
 	t.Helper()
 	g, err := Generate()
 	if err != nil {
@@ -45,7 +46,7 @@
 	return g
 }
 
-func fixed(t *testing.T, g Generated) StaticSource {
+func staticSource(t *testing.T, g Generated) StaticSource {
 	t.Helper()
 	k, err := g.Keys()
 	if err != nil {
@@ -54,25 +55,25 @@
 	return StaticSource{Keys: k}
 }
 
-func TestOnlyTheSystemsOwnProcesses(t *testing.T) {
-	ours, others := fixed(t, generated(t)), fixed(t, generated(t))
+func TestPeerAuthentication(t *testing.T) {
+	ours, others := staticSource(t, generateKeys(t)), staticSource(t, generateKeys(t))
 	Convey("Given two authorities", t, func() {
-		Convey("processes of one system reach each other", func() {
-			So(exchange(ServerConfig(ours), ClientConfig(ours)), ShouldBeNil)
+		Convey("a client and a server of the same authority connect", func() {
+			So(connect(ServerConfig(ours), ClientConfig(ours)), ShouldBeNil)
 		})
 		Convey("a client of another authority is refused", func() {
-			mixed := ClientConfig(others)
-			mixed.VerifyConnection = nil
-			So(exchange(ServerConfig(ours), mixed), ShouldNotBeNil)
+			foreignClient := ClientConfig(others)
+			foreignClient.VerifyConnection = nil
+			So(connect(ServerConfig(ours), foreignClient), ShouldNotBeNil)
 		})
 		Convey("a client without a certificate is refused", func() {
-			bare := &tls.Config{InsecureSkipVerify: true}
-			So(exchange(ServerConfig(ours), bare), ShouldNotBeNil)
+			anonymousClient := &tls.Config{InsecureSkipVerify: true}
+			So(connect(ServerConfig(ours), anonymousClient), ShouldNotBeNil)
 		})
 		Convey("a server of another authority is refused", func() {
 			client := ClientConfig(ours)
 			server := ServerConfig(others)
-			So(exchange(server, client), ShouldNotBeNil)
+			So(connect(server, client), ShouldNotBeNil)
 		})
 	})
 }
@@ -80,14 +81,14 @@
 func TestReload(t *testing.T) {
 	Convey("Given keys read from files", t, func() {
 		dir := t.TempDir()
-		files, err := generated(t).Write(dir)
+		files, err := generateKeys(t).Write(dir)
 		So(err, ShouldBeNil)
 		source, err := NewReloader(files)
 		So(err, ShouldBeNil)
 		before, _ := source.Current()
 
-		Convey("changed files come into force", func() {
-			_, err := generated(t).Write(dir)
+		Convey("changed files are reloaded", func() {
+			_, err := generateKeys(t).Write(dir)
 			So(err, ShouldBeNil)
 			later := time.Now().Add(time.Minute)
 			So(os.Chtimes(files.Certificate, later, later), ShouldBeNil)
@@ -96,7 +97,7 @@
 			So(after, ShouldNotEqual, before)
 		})
 
-		Convey("a broken file leaves the keys as they are", func() {
+		Convey("the previous keys stay in force if a changed file is invalid", func() {
 			So(os.WriteFile(files.Certificate, []byte("broken"), 0o600), ShouldBeNil)
 			later := time.Now().Add(time.Minute)
 			So(os.Chtimes(files.Certificate, later, later), ShouldBeNil)
@@ -105,7 +106,7 @@
 			So(after, ShouldEqual, before)
 		})
 	})
-	Convey("A missing file is named", t, func() {
+	Convey("The error for a missing file names it", t, func() {
 		_, err := NewReloader(Files{Certificate: "no-such.pem", Key: "no-such.pem", Authority: "no-such.pem"})
 		So(err.Error(), ShouldContainSubstring, "no-such.pem")
 	})
