--- a/server/admin/change.go
+++ b/server/admin/change.go
@@ -70,7 +70,7 @@
 	if err := readJSON(r, &request); err != nil {
 		return err
 	}
-	files, _, err := a.node.Config.FilesAt(r.Context(), request.Revision)
+	files, _, err := a.node.ConfigStore.FilesAt(r.Context(), request.Revision)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	// The outcome is determined even if the caller disconnects.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), applyTimeout)
 	defer cancel()
-	accepted, err := a.node.Config.Submit(ctx, change)
+	accepted, err := a.node.ConfigStore.Submit(ctx, change)
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 // serveOutcome answers with the outcome of an accepted change.
 func (a *API) serveOutcome(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	id := r.PathValue("id")
-	accepted, found, err := a.node.Config.Outcome(r.Context(), id)
+	accepted, found, err := a.node.ConfigStore.Outcome(r.Context(), id)
 	if err != nil {
 		return err
 	}
@@ -195,7 +195,7 @@
 // targetFiles returns the accepted revision and the target's file, with the
 // target's field taken_out set to takenOut.
 func (a *API) targetFiles(ctx context.Context, kind targetKind, name string, takenOut bool) (uint64, config.Files, error) {
-	current, err := a.node.Config.Refresh(ctx, a.node.State().View.InForce)
+	current, err := a.node.ConfigStore.Refresh(ctx, a.node.State().View.InForce)
 	if err != nil {
 		return 0, nil, storeError(err)
 	}
--- a/server/admin/configuration.go
+++ b/server/admin/configuration.go
@@ -13,7 +13,7 @@
 // serveConfiguration answers with the accepted revision and the versions of its
 // files.
 func (a *API) serveConfiguration(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
-	head, _, err := a.node.Config.Head(r.Context())
+	head, _, err := a.node.ConfigStore.Head(r.Context())
 	if err != nil {
 		return storeError(err)
 	}
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	files, _, err := a.node.Config.FilesAt(r.Context(), revision)
+	files, _, err := a.node.ConfigStore.FilesAt(r.Context(), revision)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 		}
 		return revision, nil
 	}
-	head, _, err := a.node.Config.Head(r.Context())
+	head, _, err := a.node.ConfigStore.Head(r.Context())
 	if err != nil {
 		return 0, storeError(err)
 	}
@@ -87,7 +87,7 @@
 // compare validates the accepted files with the changed ones replaced, and
 // returns their differences from the accepted files.
 func (a *API) compare(ctx context.Context, changed config.Files) (adminapi.Comparison, error) {
-	current, err := a.node.Config.Refresh(ctx, a.node.State().View.InForce)
+	current, err := a.node.ConfigStore.Refresh(ctx, a.node.State().View.InForce)
 	if err != nil {
 		return adminapi.Comparison{}, storeError(err)
 	}
--- a/server/admin/status.go
+++ b/server/admin/status.go
@@ -20,7 +20,7 @@
 // one.
 func (a *API) serveStatus(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	var status adminapi.Status
-	if head, _, err := a.node.Config.Head(r.Context()); err == nil {
+	if head, _, err := a.node.ConfigStore.Head(r.Context()); err == nil {
 		status.Revision, status.FromStore, status.Files = head.Revision, true, fileRevisions(head.Files)
 	}
 	for _, report := range a.node.CollectReports(r.Context()) {
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	head, _, err := a.node.Config.Head(r.Context())
+	head, _, err := a.node.ConfigStore.Head(r.Context())
 	if err != nil {
 		return storeError(err)
 	}
@@ -71,13 +71,13 @@
 	if err != nil {
 		return err
 	}
-	records, err := a.node.Config.Audit(r.Context(), after, int(limit))
+	records, err := a.node.ConfigStore.Audit(r.Context(), after, int(limit))
 	if err != nil {
 		return err
 	}
 	if r.URL.Query().Get("changes") != "none" {
 		for index, record := range records {
-			if records[index].Changes, err = a.node.Config.Changes(r.Context(), record); err != nil {
+			if records[index].Changes, err = a.node.ConfigStore.Changes(r.Context(), record); err != nil {
 				return err
 			}
 		}
@@ -101,7 +101,7 @@
 
 // serveVerify verifies the whole audit chain and answers with its length.
 func (a *API) serveVerify(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
-	records, err := a.node.Config.VerifyAudit(r.Context())
+	records, err := a.node.ConfigStore.VerifyAudit(r.Context())
 	if err != nil {
 		return err
 	}
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	began := time.Now()
-	snapshot, err := n.Config.Refresh(ctx, n.State().View.InForce)
+	snapshot, err := n.ConfigStore.Refresh(ctx, n.State().View.InForce)
 	if err != nil {
 		return err
 	}
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -51,7 +51,7 @@
 	options        Options
 	Loop           *loop.Loop[control.State, control.State]
 	Store          *httpapi.Store
-	Config         *configstore.Store
+	ConfigStore    *configstore.Store
 	Pool           *rpc.Pool
 	Transport      *http.Transport // For the platform and the backend server.
 	AgentTransport *http.Transport // For the agents' traffic servers.
@@ -72,7 +72,7 @@
 	n := &Node{
 		options:        options,
 		Store:          store,
-		Config:         &configstore.Store{Table: store, Objects: store.Objects()},
+		ConfigStore:    &configstore.Store{Table: store, Objects: store.Objects()},
 		Pool:           rpc.NewPool(clientTLS),
 		Transport:      transport,
 		AgentTransport: httpapi.NewTransport(),
