--- a/server/admin/admin.go
+++ b/server/admin/admin.go
@@ -175,7 +175,7 @@
 			return revision, nil
 		}
 	}
-	return 0, result.Errorf(result.MalformedOrder, "If-Match holds %s; write the revision in double quotes, as in If-Match: \"7\"", tag)
+	return 0, result.Errorf(result.MalformedOrder, "If-Match is %s; write the revision in double quotes, as in If-Match: \"7\"", tag)
 }
 
 // readJSON decodes the body into target. An empty body leaves target unchanged.
--- a/server/admin/adminapi/adminapi.go
+++ b/server/admin/adminapi/adminapi.go
@@ -109,7 +109,7 @@
 	Unchanged bool            `json:"unchanged,omitempty"` // The files were in force already; no revision was created.
 	Changes   []config.Change `json:"changes"`
 	Reached   int             `json:"reached"`   // Number of other processes that received the change at once.
-	Processes int             `json:"processes"` // Number of other processes.
+	Processes int             `json:"processes"` // Number of other processes to which the change was offered.
 }
 
 // Comparison is the response to a validation or comparison.
@@ -127,7 +127,7 @@
 	Leaving       bool              `json:"leaving,omitempty"`
 	Answered      bool              `json:"answered"`
 	Revision      uint64            `json:"revision"`
-	Files         map[string]uint64 `json:"files,omitempty"` // Revision of each file's version.
+	Files         map[string]uint64 `json:"files,omitempty"` // Revision in which each file last changed.
 	CurrentAgeMS  int64             `json:"current_age_ms"`  // Time since the revision was known to be the newest; -1 for never.
 }
 
--- a/server/configstore/apply.go
+++ b/server/configstore/apply.go
@@ -55,9 +55,10 @@
 }
 
 // Submit validates the change and either accepts it or changes nothing. A retry
-// with the same ID returns the outcome of the first call. Refusals are reported
-// as jsonfile.Problems or *result.Error. After an error with the code
-// ApplyUnknown, and only then, the change may have been accepted.
+// with the same ID returns the outcome of the first call. The error is
+// jsonfile.Problems or *result.Error, unless stored data can't be decoded. After
+// an error with the code ApplyUnknown, and only then, the change may have been
+// accepted.
 func (s *Store) Submit(ctx context.Context, change Change) (Accepted, error) {
 	if earlier, found, err := s.Outcome(ctx, change.ID); err != nil || found {
 		return earlier, err
@@ -219,7 +220,7 @@
 // Sending it again is safe: all copies require the same version of the head, so
 // at most one of them takes effect.
 func (s *Store) commit(ctx context.Context, tx ports.Tx, change Change) error {
-	uncertain := false
+	uncertain := false // Whether an earlier copy may have taken effect.
 	for {
 		err := s.Table.Commit(ctx, tx)
 		switch {
--- a/server/configstore/configstore.go
+++ b/server/configstore/configstore.go
@@ -18,7 +18,7 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// keyHead is the key of the head's row.
+// headKey is the key of the row that contains the head.
 const headKey = "config/head"
 
 // Head describes the accepted configuration.
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -133,8 +133,8 @@
 
 // fetchCandidates returns the peers to ask for a newer configuration: the one
 // that last reported a newer revision and a random sample of the others. A node
-// that has no configuration yet samples each data centre, so that it finds the
-// newest configuration that it can reach.
+// that has no configuration yet samples each data centre and adds the peers from
+// the settings, so that it finds the newest configuration that it can reach.
 func (n *Node) fetchCandidates(current *config.Snapshot) []ports.Instance {
 	var peers []ports.Instance
 	if newerPeerID := n.newerPeerID.Load(); newerPeerID != nil {
--- a/server/node/exchange.go
+++ b/server/node/exchange.go
@@ -79,7 +79,7 @@
 }
 
 // sample returns up to count of the peers, chosen uniformly at random. It
-// shuffles peers.
+// shuffles the slice in place.
 func sample(peers []ports.Instance, count int) []ports.Instance {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers[:min(count, len(peers))]
@@ -135,7 +135,8 @@
 	forEach(entries, func(peer ports.Instance) { _ = n.exchange(ctx, peer) })
 }
 
-// announceStart announces the node as soon as it knows any other instance.
+// announceStart announces the node once its instance list is not empty, and asks
+// the configured peers for their lists until then.
 func (n *Node) announceStart(ctx context.Context) {
 	for ctx.Err() == nil {
 		if len(n.members.list()) > 0 {
