--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -184,7 +184,7 @@
 	if err := l.node.Pool.Call(ctx, address, "Share.Ask", request, reply); err != nil {
 		return share.Grant{}, err
 	}
-	l.node.Hear(reply.Stamp)
+	l.node.ObserveStamp(reply.Stamp)
 	retryAfter := time.Duration(reply.RetryAfterMS) * time.Millisecond
 	return share.Grant{Tokens: reply.Tokens, Slots: reply.Slots, RetryAfter: retryAfter}, nil
 }
@@ -266,7 +266,7 @@
 
 // Ask grants a lease.
 func (r *receiver) Ask(request wire.ShareRequest, reply *wire.ShareReply) error {
-	r.limiter.node.Hear(request.Stamp)
+	r.limiter.node.ObserveStamp(request.Stamp)
 	grant := r.limiter.grant(share.Ask{
 		Org: request.Org, Entry: request.Stamp.From, Want: request.Want, Unused: request.Unused,
 		Slots: request.Slots, InUse: request.InUse,
--- a/server/entry/route/probe.go
+++ b/server/entry/route/probe.go
@@ -36,6 +36,6 @@
 		return probeResult{target: target, timedOut: errors.Is(err, context.DeadlineExceeded)}
 	}
 	r.suspects.clear(target.BackendServer)
-	r.node.Hear(reply.Stamp)
+	r.node.ObserveStamp(reply.Stamp)
 	return probeResult{target: target, reply: reply}
 }
