--- a/server/deployed/topology.go
+++ b/server/deployed/topology.go
@@ -64,7 +64,7 @@
 // run follows the store until ctx ends.
 func (f *follower) run(ctx context.Context) error {
 	for _, table := range []string{platform.TableOperators, platform.TableServers} {
-		w := &watch.Watch{Store: f.store, Table: table, Post: f.loop.Post, Log: f.log, Settle: f.settle}
+		w := &watch.Watch{Store: f.store, Table: table, Post: f.loop.Post, Log: f.log, BatchDelay: f.settle}
 		go w.Run(ctx)
 	}
 	return f.loop.Run(ctx, topology.New(), tickInterval)
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -224,7 +224,7 @@
 // send sends the request and relays the answer.
 func (c *call) send(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
 	conn, err := c.gateway.pool.Get(ctx, upstream.Target{
-		Address: server.Address, Once: !c.route.Repeatable(),
+		Address: server.Address, NonRepeatable: !c.route.Repeatable(),
 		MaxIdle: c.snapshot.Service(service).MaxConnections / (2 * assumedEntries),
 	})
 	if err != nil {
@@ -237,11 +237,11 @@
 		return c.broken(ctx, err)
 	}
 	said := platform.DecodeResponse(exchange.Response.StatusCode, exchange.Response.Header)
-	if said.NotRun {
+	if said.NotExecuted {
 		exchange.Abort()
 		refusal := result.Errorf(result.Overloaded, "server %s refused with status %d", server.ID, exchange.Response.StatusCode)
 		refusal.RetryAfter = said.RetryAfter
-		if said.OtherServer {
+		if said.Misdirected {
 			return dispatch.Replaced, refusal
 		}
 		return dispatch.Busy, refusal
@@ -259,14 +259,14 @@
 }
 
 func (c *call) forward(server topology.Candidate) upstream.Request {
-	forward := platform.Forward{Server: server.ID, Remaining: time.Until(c.deadline), LastEventID: c.lastEvent}
+	forward := platform.ForwardOptions{Server: server.ID, Remaining: time.Until(c.deadline), LastEventID: c.lastEvent}
 	if c.organisation != nil {
 		forward.Organisation = c.organisation.Name
 	}
 	return upstream.Request{
 		Method: c.http.Method, Target: c.http.RequestURI, Host: c.http.Host,
 		Header: platform.ForwardHeader(c.http.Header, forward), Body: c.body,
-		Answers: func(header http.Header) bool {
+		Matches: func(header http.Header) bool {
 			return platform.DecodeResponse(0, header).AttemptID == c.request.AttemptID
 		},
 	}
--- a/server/gateway/deliver.go
+++ b/server/gateway/deliver.go
@@ -38,7 +38,7 @@
 		// The caller has had a part of a stream; another answer can't follow it.
 		return dispatch.Failed, result.Errorf(result.CutAnswer, "the stream was to go on, and the server answered status %d", exchange.Response.StatusCode)
 	}
-	whole := &answer{status: exchange.Response.StatusCode, header: platform.EndToEnd(exchange.Response.Header), body: body}
+	whole := &answer{status: exchange.Response.StatusCode, header: platform.EndToEndHeader(exchange.Response.Header), body: body}
 	if whole.status >= http.StatusInternalServerError && c.route.Repeatable() {
 		c.fallback = whole
 		return dispatch.Failed, result.Errorf(result.BackendFailed, "server answered status %d", whole.status)
@@ -103,7 +103,7 @@
 func (c *call) refuse(failure *result.Error) {
 	info := result.Describe(failure.Code)
 	header := c.writer.Header()
-	platform.Answered(header, c.request.AttemptID, failure.RetryAfter)
+	platform.SetResponseHeader(header, c.request.AttemptID, failure.RetryAfter)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	c.writer.WriteHeader(info.HTTPStatus)
 	c.write([]byte(failure.Error() + "\n"))
--- a/server/gateway/stream.go
+++ b/server/gateway/stream.go
@@ -86,7 +86,7 @@
 	}
 	c.begun = true
 	c.firstAt = time.Now()
-	copyHeader(c.writer.Header(), platform.EndToEnd(response.Header))
+	copyHeader(c.writer.Header(), platform.EndToEndHeader(response.Header))
 	c.writer.WriteHeader(response.StatusCode)
 }
 
--- a/server/mapcontrol/bench_test.go
+++ b/server/mapcontrol/bench_test.go
@@ -107,12 +107,12 @@
 		state.Prepared = order.Version
 	case topology.Arm:
 		if order.Pass <= e.group.pass {
-			return platform.ErrUnfit
+			return platform.ErrOrderRejected
 		}
 		state.Armed, state.ArmedPass = order.Version, order.Pass
 	case topology.Hold:
 		if order.Pass <= e.group.pass {
-			return platform.ErrUnfit
+			return platform.ErrOrderRejected
 		}
 		state.HeldPass = order.Pass
 	case topology.Release:
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -197,7 +197,7 @@
 // giveOnly gives the order; the reply says what the engine thought of it.
 func giveOnly(ctx context.Context, engine Engine, order topology.Order, reply *GiveReply) error {
 	err := engine.Give(ctx, order)
-	if err != nil && !errors.Is(err, platform.ErrUnfit) && !errors.Is(err, platform.ErrUnknownOutcome) {
+	if err != nil && !errors.Is(err, platform.ErrOrderRejected) && !errors.Is(err, platform.ErrUnknownOutcome) {
 		return err
 	}
 	if err != nil {
--- a/server/soak/callers_test.go
+++ b/server/soak/callers_test.go
@@ -203,7 +203,7 @@
 	for i := range k.attempts {
 		byID[k.attempts[i].id] = &k.attempts[i]
 	}
-	k.w.ledger.Each(func(id string, runs []platformtest.Run) {
+	k.w.ledger.Each(func(id string, runs []platformtest.Execution) {
 		a := byID[id]
 		if a == nil {
 			return // A look at the configuration, or a caller that was stopped.
@@ -218,7 +218,7 @@
 			k.broken = append(k.broken, fmt.Sprintf("%s: ran at %d servers, allowed are 2", id, len(runs)))
 		}
 	})
-	for _, passes := range k.w.group.Broken() {
+	for _, passes := range k.w.group.Violations() {
 		k.broken = append(k.broken, "two maps in one pass: "+passes)
 	}
 }
--- a/server/soak/soak_test.go
+++ b/server/soak/soak_test.go
@@ -65,7 +65,7 @@
 	time.Sleep(time.Second) // A calm start: maps and connections are there.
 	faults := &faults{k: k, w: w, random: rand.New(rand.NewPCG(seed, 2))}
 	faults.run(time.Now().Add(*duration))
-	w.group.LoseOrders(0)
+	w.group.DelayOrders(0)
 	time.Sleep(touchTime)
 	calmFrom, passBefore := time.Now(), w.pass()
 	time.Sleep(2 * time.Second)
@@ -273,7 +273,7 @@
 	if k.w.harmedBetween(left.Add(-touchTime), back, func(*machine) bool { return true }) {
 		return
 	}
-	k.w.ledger.Each(func(id string, runs []platformtest.Run) {
+	k.w.ledger.Each(func(id string, runs []platformtest.Execution) {
 		for _, run := range runs {
 			if run.Server == b.server.ID && run.At.After(left.Add(drainTime)) && run.At.Before(back) {
 				k.report("%s: ran at %s %v after it began to leave", id, run.Server, run.At.Sub(left))
@@ -288,13 +288,13 @@
 	f.later(lasts, func() { f.w.store.Remove(platform.TableOperators, platformtest.TakenOutKey("dc-1")) })
 }
 
-func (f *faults) forget(*machine, time.Duration) { f.w.store.Forget() }
+func (f *faults) forget(*machine, time.Duration) { f.w.store.DropHistory() }
 
 // loseOrders lets engines carry orders out late, without an answer.
 func (f *faults) loseOrders(_ *machine, lasts time.Duration) {
-	f.w.group.LoseOrders(0.3)
-	f.later(lasts, func() { f.w.group.LoseOrders(0) })
+	f.w.group.DelayOrders(0.3)
+	f.later(lasts, func() { f.w.group.DelayOrders(0) })
 }
 
 // form lets the group form again, as after the crash of a rank.
-func (f *faults) form(*machine, time.Duration) { f.w.group.Form() }
+func (f *faults) form(*machine, time.Duration) { f.w.group.StartEpoch() }
--- a/server/soak/world_test.go
+++ b/server/soak/world_test.go
@@ -58,7 +58,7 @@
 	network  string // First three numbers of every address.
 	store    *platformtest.Store
 	group    *platformtest.Group
-	ledger   *platformtest.Ledger
+	ledger   *platformtest.ExecutionLog
 	backends []*backend
 	machines []*machine // Entries first.
 
@@ -79,7 +79,7 @@
 func newWorld(t *testing.T, seed uint64, number int) *world {
 	w := &world{
 		t: t, dir: t.TempDir(), network: fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, number%250+1),
-		store: platformtest.NewStore(), group: platformtest.NewGroup(shape, seed), ledger: platformtest.NewLedger(),
+		store: platformtest.NewStore(), group: platformtest.NewGroup(shape, seed), ledger: platformtest.NewExecutionLog(),
 	}
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
@@ -122,9 +122,9 @@
 }
 
 func (w *world) addBackend(i int, id string) {
-	b := &backend{server: &platformtest.Server{ID: id, Slots: slots, Ledger: w.ledger}, service: platformtest.Plain, zone: fmt.Sprint("dc-", i%2)}
+	b := &backend{server: &platformtest.Server{ID: id, Slots: slots, Executions: w.ledger}, service: platformtest.PlainService, zone: fmt.Sprint("dc-", i%2)}
 	if i < ranks {
-		b.server.Group, b.server.Rank, b.service = w.group, i, platformtest.Engines
+		b.server.Group, b.server.Rank, b.service = w.group, i, platformtest.EngineService
 	}
 	b.address = w.address(101+i, linkPort)
 	w.serve(w.address(101+i, serverPort), b.server)
--- a/server/stream/stream.go
+++ b/server/stream/stream.go
@@ -21,8 +21,8 @@
 
 var errTooLong = errors.New("piece is longer than a line may be")
 
-// ErrCut means that the stream ended without its end piece.
-var ErrCut = errors.New("answer cut before its end")
+// ErrTruncated means that the stream ended without its end piece.
+var ErrTruncated = errors.New("answer cut before its end")
 
 // Usage counts the tokens of one answer.
 type Usage struct {
@@ -118,7 +118,7 @@
 	}
 	piece, err := parsePiece(line, r.lastID)
 	if err != nil {
-		return Piece{}, fmt.Errorf("%w: malformed piece: %v", ErrCut, err)
+		return Piece{}, fmt.Errorf("%w: malformed piece: %v", ErrTruncated, err)
 	}
 	r.lastID = piece.ID
 	r.ended = r.ended || piece.End
@@ -157,10 +157,10 @@
 
 func (r *Reader) endError(err error) error {
 	if !errors.Is(err, io.EOF) {
-		return fmt.Errorf("%w: %v", ErrCut, err)
+		return fmt.Errorf("%w: %v", ErrTruncated, err)
 	}
 	if !r.ended {
-		return ErrCut
+		return ErrTruncated
 	}
 	return io.EOF
 }
--- a/server/stream/stream_test.go
+++ b/server/stream/stream_test.go
@@ -22,7 +22,7 @@
 				ended = ended || piece.End
 				continue
 			}
-			if errors.Is(err, io.EOF) != (ended && !errors.Is(err, ErrCut)) {
+			if errors.Is(err, io.EOF) != (ended && !errors.Is(err, ErrTruncated)) {
 				t.Fatalf("ended %v, error %v", ended, err)
 			}
 			return
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -21,12 +21,12 @@
 )
 
 var (
-	// ErrBroken means that the exchange broke off after bytes of the request
+	// ErrInterrupted means that the exchange broke off after bytes of the request
 	// may have reached the server.
-	ErrBroken = errors.New("exchange with backend server broke off")
-	// ErrForeignAnswer means that the server's bytes are no answer to this
+	ErrInterrupted = errors.New("exchange with backend server broke off")
+	// ErrMismatchedResponse means that the server's bytes are no answer to this
 	// request.
-	ErrForeignAnswer = errors.New("backend server's bytes don't answer this request")
+	ErrMismatchedResponse = errors.New("backend server's bytes don't answer this request")
 )
 
 // Request is what is sent.
@@ -36,8 +36,8 @@
 	Host   string
 	Header http.Header // End-to-end headers only.
 	Body   []byte
-	// Answers reports whether the headers belong to an answer to this request.
-	Answers func(header http.Header) bool
+	// Matches reports whether the headers belong to an answer to this request.
+	Matches func(header http.Header) bool
 }
 
 // Exchange is a request that was sent and the head of its answer.
@@ -58,7 +58,7 @@
 	exchange.stop = context.AfterFunc(ctx, func() { reset(conn) })
 	if err := exchange.send(request); err != nil {
 		exchange.Abort()
-		return nil, fmt.Errorf("%w: send: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: send: %w", ErrInterrupted, err)
 	}
 	if err := exchange.receiveHead(request); err != nil {
 		exchange.Abort()
@@ -99,23 +99,23 @@
 	for range maxForeignAnswers {
 		response, err := http.ReadResponse(e.conn.reader, shape)
 		if err != nil {
-			return fmt.Errorf("%w: receive: %w", ErrBroken, err)
+			return fmt.Errorf("%w: receive: %w", ErrInterrupted, err)
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Answers(response.Header) {
+		if request.Matches(response.Header) {
 			e.Response = response
 			return nil
 		}
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return fmt.Errorf("%w: it has no length", ErrForeignAnswer)
+			return fmt.Errorf("%w: it has no length", ErrMismatchedResponse)
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes)); err != nil {
-			return fmt.Errorf("%w: receive another request's answer: %w", ErrBroken, err)
+			return fmt.Errorf("%w: receive another request's answer: %w", ErrInterrupted, err)
 		}
 	}
-	return fmt.Errorf("%w: %d in a row", ErrForeignAnswer, maxForeignAnswers)
+	return fmt.Errorf("%w: %d in a row", ErrMismatchedResponse, maxForeignAnswers)
 }
 
 // Finish ends an exchange whose body was read to its end and keeps the
--- a/server/upstream/pool.go
+++ b/server/upstream/pool.go
@@ -32,16 +32,16 @@
 	bufferBytes = 8 << 10
 )
 
-// ErrNotSent means that no byte of the request has left: the backend server
+// ErrUnreachable means that no byte of the request has left: the backend server
 // could not be connected to.
-var ErrNotSent = errors.New("backend server can't be reached")
+var ErrUnreachable = errors.New("backend server can't be reached")
 
 // Target is where a request goes.
 type Target struct {
 	Address string
-	// Once says that the request can't be sent again, so a connection that was
+	// NonRepeatable says that the request can't be sent again, so a connection that was
 	// idle for long isn't used.
-	Once bool
+	NonRepeatable bool
 	// MaxIdle is how many connections to the server may be kept; all entries
 	// together must leave room under what the server accepts.
 	MaxIdle int
@@ -80,7 +80,7 @@
 			break
 		}
 		idle := time.Since(conn.idleSince)
-		if idle < conn.idleLimit && (!target.Once || idle < freshIdleLimit) && conn.quiet() {
+		if idle < conn.idleLimit && (!target.NonRepeatable || idle < freshIdleLimit) && conn.quiet() {
 			conn.Reused = true
 			return conn, nil
 		}
@@ -88,7 +88,7 @@
 	}
 	raw, err := p.dial(ctx, "tcp", target.Address)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	return &Conn{
 		Conn: raw, reader: bufio.NewReaderSize(raw, bufferBytes), address: target.Address,
--- a/server/upstream/upstream_test.go
+++ b/server/upstream/upstream_test.go
@@ -46,7 +46,7 @@
 func request(id string) Request {
 	return Request{
 		Method: http.MethodGet, Target: "/a//b%2f?x=%20", Host: "h.example", Header: http.Header{"X-Id": {id}},
-		Answers: func(header http.Header) bool { return header.Get("X-Id") == id },
+		Matches: func(header http.Header) bool { return header.Get("X-Id") == id },
 	}
 }
 
@@ -206,7 +206,7 @@
 		_, err := do(pool, s.address(), "1")
 		So(err, ShouldBeNil)
 		_, err = do(pool, s.address(), "1")
-		So(errors.Is(err, ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, ErrInterrupted), ShouldBeTrue)
 		time.Sleep(20 * time.Millisecond)
 		So(requests.Load(), ShouldEqual, 2)
 	})
@@ -246,7 +246,7 @@
 		conn, err := pool.Get(ctx, Target{Address: s.address()})
 		So(err, ShouldBeNil)
 		_, err = pool.Do(ctx, conn, request("1"))
-		So(errors.Is(err, ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, ErrInterrupted), ShouldBeTrue)
 		So((<-broken).Error(), ShouldContainSubstring, "reset")
 	})
 
@@ -256,7 +256,7 @@
 		address := listener.Addr().String()
 		_ = listener.Close()
 		_, err = do(NewPool(Dial), address, "1")
-		So(errors.Is(err, ErrNotSent), ShouldBeTrue)
+		So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 	})
 
 	Convey("Idle connections end by the time that the server names", t, func() {
--- a/server/watch/watch.go
+++ b/server/watch/watch.go
@@ -39,9 +39,9 @@
 	Table string
 	Post  func(reduce.Event)
 	Log   *logrus.Entry
-	// Settle is the pause after a change, which gathers those that come close
+	// BatchDelay is the pause after a change, which gathers those that come close
 	// together into one poll.
-	Settle time.Duration
+	BatchDelay time.Duration
 
 	pause time.Duration
 	lost  bool // StoreLost was posted and not taken back.
@@ -94,7 +94,7 @@
 		}
 	}
 	if len(rows.Rows) > 0 {
-		wait.For(ctx, w.Settle)
+		wait.For(ctx, w.BatchDelay)
 	}
 	return max(after, rows.Version), true
 }
