--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -237,7 +237,7 @@
 		return c.broken(ctx, err)
 	}
 	said := platform.DecodeResponse(exchange.Response.StatusCode, exchange.Response.Header)
-	if said.NotExecuted {
+	if said.NotRun {
 		exchange.Abort()
 		refusal := result.Errorf(result.Overloaded, "server %s refused with status %d", server.ID, exchange.Response.StatusCode)
 		refusal.RetryAfter = said.RetryAfter
--- a/server/group/decision.go
+++ b/server/group/decision.go
@@ -31,14 +31,14 @@
 // last Decision.
 func DecisionKey(group string) string { return "groups/" + group + "/decision" }
 
-// decided keeps the decision: at once when it moves something, else now and
+// recordDecision keeps the decision: at once when it moves something, else now and
 // then.
-func (g *Group) decided(ctx context.Context, inForce string, plan planner.Plan) {
+func (g *Group) recordDecision(ctx context.Context, inForce string, plan planner.Plan) {
 	now := time.Now()
-	if len(plan.Moves) == 0 && now.Sub(g.decidedAt) < decisionInterval {
+	if len(plan.Moves) == 0 && now.Sub(g.decisionRecordedAt) < decisionInterval {
 		return
 	}
-	g.decidedAt = now
+	g.decisionRecordedAt = now
 	decision := Decision{
 		At: now, Group: g.name(), Map: inForce, Reason: plan.Reason,
 		Moves: len(plan.Moves), SkewBefore: plan.SkewBefore, SkewAfter: plan.SkewAfter,
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -33,23 +33,23 @@
 
 	orders chan expertmap.Forward // To the engine, in sequence.
 
-	mu      sync.Mutex
-	tickets uint64
-	waiting map[uint64]chan answer
-	planned planner.Placement // To be stored when the change begins.
-	loaded  loadedMap
-	loading expertmap.ID
-
-	state     planner.State // Of the planning goroutine, as decidedAt.
-	decidedAt time.Time
+	mu         sync.Mutex
+	lastTicket uint64
+	pending    map[uint64]chan answer
+	plannedMap planner.Placement // To be stored when the change begins.
+	loaded     loadedMap
+	loadingID  expertmap.ID
+
+	plannerState       planner.State // Of the planning goroutine, as decidedAt.
+	decisionRecordedAt time.Time
 }
 
 // New registers the executors and the RPC receiver at the agent's node.
 func New(n *node.Node, engine ports.RankEngine) *Group {
 	g := &Group{
 		node: n, engine: engine,
-		orders:  make(chan expertmap.Forward, orderQueue),
-		waiting: map[uint64]chan answer{},
+		orders:  make(chan expertmap.Forward, orderQueueLength),
+		pending: map[uint64]chan answer{},
 	}
 	n.AddExecutor(g.execute)
 	n.AddReceiver("Group", &receiver{group: g})
@@ -58,7 +58,7 @@
 
 // Run passes orders to the engine and plans until ctx ends.
 func (g *Group) Run(ctx context.Context) error {
-	go g.plan(ctx)
+	go g.runPlanner(ctx)
 	for {
 		select {
 		case forward := <-g.orders:
@@ -76,21 +76,21 @@
 	case expertmap.Send:
 		go g.send(ctx, effect)
 	case expertmap.Forward:
-		g.queue(effect)
+		g.enqueue(effect)
 	case expertmap.RefuseOrder:
 		g.answer(effect.Ticket, answer{refused: true, seen: effect.Seen})
 		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.Seen.Fence, "ready": effect.FenceKnown})
 	case expertmap.PublishMap:
-		go g.store(ctx, effect.ID)
+		go g.storeMap(ctx, effect.ID)
 	case expertmap.Notice:
-		g.notice(effect)
+		g.logNotice(effect)
 	default:
 		return g.executeTable(ctx, effect)
 	}
 	return true
 }
 
-func (g *Group) notice(n expertmap.Notice) {
+func (g *Group) logNotice(n expertmap.Notice) {
 	event := logevent.MapPhase
 	if len(n.Ranks) > 0 {
 		event = logevent.MapWaiting
@@ -110,11 +110,11 @@
 	return fmt.Sprintf("expert-maps/%s/%s", g.name(), id)
 }
 
-// store keeps the planned map under the change's ID. Ranks ask until it is
+// storeMap keeps the planned map under the change's ID. Ranks ask until it is
 // there.
-func (g *Group) store(ctx context.Context, id expertmap.ID) {
+func (g *Group) storeMap(ctx context.Context, id expertmap.ID) {
 	g.mu.Lock()
-	placement := g.planned
+	placement := g.plannedMap
 	g.mu.Unlock()
 	body, err := json.Marshal(placement)
 	if err == nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-// load reads a map.
-func (g *Group) load(ctx context.Context, id expertmap.ID) (planner.Placement, []byte, error) {
+// readMap reads a map.
+func (g *Group) readMap(ctx context.Context, id expertmap.ID) (planner.Placement, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	body, err := g.node.Store.Objects().Get(ctx, g.objectName(id))
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -13,9 +13,9 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// orderQueue is how many orders wait for the engine before more are dropped;
+// orderQueueLength is how many orders wait for the engine before more are dropped;
 // the coordinator gives them again.
-const orderQueue = 64
+const orderQueueLength = 64
 
 // expertBytes is the size of one expert's weights.
 const expertBytes = 44 << 20
@@ -40,7 +40,7 @@
 // Order passes the order to the control loop and waits for the engine.
 func (r *receiver) Order(request wire.MapOrder, reply *wire.MapReply) error {
 	r.group.node.Hear(request.Stamp)
-	ticket, done := r.group.expect()
+	ticket, done := r.group.registerOrder()
 	r.group.node.Loop.Post(expertmap.OrderReceived{Ticket: ticket, Order: request.Order})
 	result := <-done
 	reply.Stamp = r.group.node.Stamp()
@@ -48,46 +48,46 @@
 	return result.err
 }
 
-func (g *Group) expect() (uint64, <-chan answer) {
+func (g *Group) registerOrder() (uint64, <-chan answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tickets++
+	g.lastTicket++
 	done := make(chan answer, 1)
-	g.waiting[g.tickets] = done
-	return g.tickets, done
+	g.pending[g.lastTicket] = done
+	return g.lastTicket, done
 }
 
 func (g *Group) answer(ticket uint64, a answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if done, ok := g.waiting[ticket]; ok {
-		delete(g.waiting, ticket)
+	if done, ok := g.pending[ticket]; ok {
+		delete(g.pending, ticket)
 		done <- a
 	}
 }
 
-func (g *Group) queue(forward expertmap.Forward) {
+func (g *Group) enqueue(forward expertmap.Forward) {
 	select {
 	case g.orders <- forward:
 	default:
-		g.answer(forward.Ticket, answer{err: fmt.Errorf("%d orders wait for the engine", orderQueue)})
+		g.answer(forward.Ticket, answer{err: fmt.Errorf("%d orders wait for the engine", orderQueueLength)})
 	}
 }
 
 // forward gives the order to the engine, with its map and weights where it
 // needs them.
 func (g *Group) forward(ctx context.Context, forward expertmap.Forward) {
-	state, err := g.give(ctx, forward.Order)
+	state, err := g.applyOrder(ctx, forward.Order)
 	if errors.Is(err, ports.ErrFenced) || errors.Is(err, ports.ErrUnavailable) {
 		g.log(logevent.MapOrderFailed, logrus.Fields{"order": forward.Order.Kind, "error": err.Error()})
 	}
 	g.answer(forward.Ticket, answer{state: state, err: err})
 }
 
-func (g *Group) give(ctx context.Context, order expertmap.Order) (expertmap.EngineState, error) {
+func (g *Group) applyOrder(ctx context.Context, order expertmap.Order) (expertmap.EngineState, error) {
 	request := ports.RankOrder{Fence: order.Number.EngineFence(), Order: order}
-	if id, needs := mapOf(order); needs {
-		body, err := g.fetch(ctx, id)
+	if id, needs := mapNeeded(order); needs {
+		body, err := g.mapWithWeights(ctx, id)
 		if err != nil {
 			return expertmap.EngineState{}, err
 		}
@@ -98,8 +98,8 @@
 	return g.engine.OrderMap(ctx, request)
 }
 
-// mapOf returns the map that the engine needs for the order.
-func mapOf(order expertmap.Order) (expertmap.ID, bool) {
+// mapNeeded returns the map that the engine needs for the order.
+func mapNeeded(order expertmap.Order) (expertmap.ID, bool) {
 	switch order.Kind {
 	case expertmap.Prepare:
 		return order.Change.ID, true
@@ -109,41 +109,41 @@
 	return expertmap.ID{}, false
 }
 
-// fetch returns the map once the rank's weights are present. Until then it
+// mapWithWeights returns the map once the rank's weights are present. Until then it
 // fails, while they load beside the other orders; the coordinator asks again.
-func (g *Group) fetch(ctx context.Context, id expertmap.ID) ([]byte, error) {
+func (g *Group) mapWithWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.loaded.id == id && g.loaded.body != nil {
 		return g.loaded.body, nil
 	}
-	if g.loading != id {
-		g.loading = id
+	if g.loadingID != id {
+		g.loadingID = id
 		go g.loadWeights(ctx, id)
 	}
 	return nil, fmt.Errorf("weights of map %s are loading", id)
 }
 
 func (g *Group) loadWeights(ctx context.Context, id expertmap.ID) {
-	body, err := g.fetchWeights(ctx, id)
+	body, err := g.readMapAndWeights(ctx, id)
 	if err != nil {
 		g.log(logevent.MapOrderFailed, logrus.Fields{"map": id.String(), "error": err.Error()})
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.loading != id {
+	if g.loadingID != id {
 		return
 	}
-	g.loading = expertmap.ID{}
+	g.loadingID = expertmap.ID{}
 	if err == nil {
 		g.loaded = loadedMap{id: id, body: body}
 	}
 }
 
-// fetchWeights reads the map and loads the rank's weights from the weight
+// readMapAndWeights reads the map and loads the rank's weights from the weight
 // store.
-func (g *Group) fetchWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
-	placement, body, err := g.load(ctx, id)
+func (g *Group) readMapAndWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
+	placement, body, err := g.readMap(ctx, id)
 	if err != nil {
 		return nil, err
 	}
@@ -166,7 +166,7 @@
 	defer cancel()
 	request := wire.MapOrder{Stamp: g.node.Stamp(), Order: send.Order}
 	var reply wire.MapReply
-	if err := g.call(ctx, send.Rank, request, &reply); err != nil {
+	if err := g.callRank(ctx, send.Rank, request, &reply); err != nil {
 		return
 	}
 	g.node.Hear(reply.Stamp)
@@ -176,21 +176,21 @@
 	})
 }
 
-// call calls the rank's agent; the own rank's is this process, whatever the
+// callRank calls the rank's agent; the own rank's is this process, whatever the
 // instance list says.
-func (g *Group) call(ctx context.Context, rank int, request wire.MapOrder, reply *wire.MapReply) error {
+func (g *Group) callRank(ctx context.Context, rank int, request wire.MapOrder, reply *wire.MapReply) error {
 	if rank == g.node.State().Member.Rank {
 		return (&receiver{group: g}).Order(request, reply)
 	}
-	address, ok := g.address(rank)
+	agentAddress, ok := g.agentAddress(rank)
 	if !ok {
 		return fmt.Errorf("no agent of rank %d is listed", rank)
 	}
-	return g.node.Pool.Call(ctx, address, "Group.Order", request, reply)
+	return g.node.Pool.Call(ctx, agentAddress, "Group.Order", request, reply)
 }
 
-// address returns the control address of the rank's agent.
-func (g *Group) address(rank int) (string, bool) {
+// agentAddress returns the control address of the rank's agent.
+func (g *Group) agentAddress(rank int) (string, bool) {
 	state := g.node.State()
 	for _, instance := range g.node.Instances() {
 		server := state.View.InForce.BackendServers[instance.BackendServer]
--- a/server/group/plan.go
+++ b/server/group/plan.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	planInterval   = time.Second
-	secondsPerStep = 0.027
-	expertPart     = 0.6 // Part of a step that experts take.
-	moveSeconds    = 0.44e-3
-	switchSeconds  = 1e-3
-	horizonSteps   = 66000
-	maxMoves       = 13500
+	planInterval    = time.Second
+	secondsPerStep  = 0.027
+	expertTimeShare = 0.6 // Part of a step that experts take.
+	moveSeconds     = 0.44e-3
+	switchSeconds   = 1e-3
+	horizonSteps    = 66000
+	maxMoves        = 13500
 )
 
-// plan looks at the engine, and plans while this agent coordinates.
-func (g *Group) plan(ctx context.Context) {
+// runPlanner looks at the engine, and plans while this agent coordinates.
+func (g *Group) runPlanner(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
@@ -55,14 +55,14 @@
 		g.propose(evenPlacement(report.Shape), "the group has no map yet")
 		return
 	}
-	current, _, err := g.load(ctx, report.State.InForce.ID)
+	current, _, err := g.readMap(ctx, report.State.InForce.ID)
 	if err != nil {
 		return
 	}
-	plan := planner.Decide(&g.state, planner.Input{
+	plan := planner.Decide(&g.plannerState, planner.Input{
 		Shape: report.Shape, Costs: costs(report), Observed: report.Popularity, Slowness: report.Slowness, Current: current,
 	})
-	g.decided(ctx, report.State.InForce.ID.String(), plan)
+	g.recordDecision(ctx, report.State.InForce.ID.String(), plan)
 	if len(plan.Moves) > 0 {
 		g.propose(plan.Placement, plan.Reason)
 	}
@@ -70,7 +70,7 @@
 
 func (g *Group) propose(placement planner.Placement, reason string) {
 	g.mu.Lock()
-	g.planned = placement
+	g.plannedMap = placement
 	g.mu.Unlock()
 	g.log(logevent.MapPlanned, logrus.Fields{"reason": reason})
 	g.node.Loop.Post(expertmap.Propose{})
@@ -96,7 +96,7 @@
 		}
 	}
 	return planner.Costs{
-		SecondsPerLoad: secondsPerStep * expertPart * float64(report.Shape.Ranks) / max(total, 1),
+		SecondsPerLoad: secondsPerStep * expertTimeShare * float64(report.Shape.Ranks) / max(total, 1),
 		MoveSeconds:    moveSeconds, SwitchSeconds: switchSeconds, HorizonSteps: horizonSteps, MaxMoves: maxMoves,
 	}
 }
--- a/server/loadreport/loadreport.go
+++ b/server/loadreport/loadreport.go
@@ -22,12 +22,12 @@
 	reportInterval = 100 * time.Millisecond
 	// subscribeInterval is how often an entry renews its subscriptions.
 	subscribeInterval = time.Second
-	// lookInterval is how often an entry looks whether agents have been added.
-	lookInterval = 100 * time.Millisecond
-	// subscriptionLife outlasts two lost renewals.
-	subscriptionLife = 3500 * time.Millisecond
-	// maxDatagram fits one Ethernet frame.
-	maxDatagram = 1400
+	// agentScanInterval is how often an entry looks whether agents have been added.
+	agentScanInterval = 100 * time.Millisecond
+	// subscriptionTTL outlasts two lost renewals.
+	subscriptionTTL = 3500 * time.Millisecond
+	// maxDatagramBytes fits one Ethernet frame.
+	maxDatagramBytes = 1400
 )
 
 // Report is the load of one backend server.
@@ -54,7 +54,7 @@
 
 // Serve takes subscriptions until the socket is closed.
 func (p *Publisher) Serve() error {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		_, from, err := p.conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -81,7 +81,7 @@
 		case <-ctx.Done():
 			return
 		}
-		subscribers := p.live()
+		subscribers := p.active()
 		if len(subscribers) == 0 {
 			continue
 		}
@@ -89,11 +89,11 @@
 		if !ok {
 			continue
 		}
-		p.publish(Report{Server: server, Open: state.Open, Queued: state.Queued, Active: state.Active, Pace: state.Pace}, subscribers)
+		p.send(Report{Server: server, Open: state.Open, Queued: state.Queued, Active: state.Active, Pace: state.Pace}, subscribers)
 	}
 }
 
-func (p *Publisher) publish(report Report, subscribers []netip.AddrPort) {
+func (p *Publisher) send(report Report, subscribers []netip.AddrPort) {
 	data, err := json.Marshal(report)
 	if err != nil {
 		panic(fmt.Sprintf("a report can always be encoded: %v", err))
@@ -104,18 +104,18 @@
 	}
 }
 
-func (p *Publisher) live() []netip.AddrPort {
+func (p *Publisher) active() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var live []netip.AddrPort
-	for address, at := range p.subscribers {
-		if time.Since(at) > subscriptionLife {
+	var active []netip.AddrPort
+	for address, renewedAt := range p.subscribers {
+		if time.Since(renewedAt) > subscriptionTTL {
 			delete(p.subscribers, address)
 			continue
 		}
-		live = append(live, address)
+		active = append(active, address)
 	}
-	return live
+	return active
 }
 
 // Subscriber is an entry's side.
@@ -127,8 +127,8 @@
 func NewSubscriber(conn net.PacketConn) *Subscriber { return &Subscriber{conn: conn} }
 
 // Serve passes reports on until the socket is closed.
-func (s *Subscriber) Serve(take func(Report)) error {
-	buffer := make([]byte, maxDatagram)
+func (s *Subscriber) Serve(handle func(Report)) error {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := s.conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -139,14 +139,14 @@
 		}
 		var report Report
 		if json.Unmarshal(buffer[:n], &report) == nil && report.Server != "" {
-			take(report)
+			handle(report)
 		}
 	}
 }
 
 // Run subscribes at the agents' addresses until ctx ends; at new ones at once.
 func (s *Subscriber) Run(ctx context.Context, agents func() []string) {
-	ticker := time.NewTicker(lookInterval)
+	ticker := time.NewTicker(agentScanInterval)
 	defer ticker.Stop()
 	subscribed := map[string]time.Time{}
 	for {
--- a/server/loadreport/loadreport_test.go
+++ b/server/loadreport/loadreport_test.go
@@ -52,8 +52,8 @@
 		defer func() { _ = conn.Close() }()
 		publisher := NewPublisher(conn)
 		address := conn.LocalAddr().(*net.UDPAddr).AddrPort()
-		publisher.subscribers[address] = time.Now().Add(-subscriptionLife - time.Second)
-		So(publisher.live(), ShouldBeEmpty)
+		publisher.subscribers[address] = time.Now().Add(-subscriptionTTL - time.Second)
+		So(publisher.active(), ShouldBeEmpty)
 		So(publisher.subscribers, ShouldBeEmpty)
 	})
 }
--- a/server/soak/world_test.go
+++ b/server/soak/world_test.go
@@ -122,7 +122,7 @@
 }
 
 func (w *world) addBackend(i int, id string) {
-	b := &backend{server: &platformtest.Server{ID: id, Slots: slots, Executions: w.ledger}, service: platformtest.PlainService, zone: fmt.Sprint("dc-", i%2)}
+	b := &backend{server: &platformtest.Server{ID: id, Slots: slots, ExecutionLog: w.ledger}, service: platformtest.PlainService, zone: fmt.Sprint("dc-", i%2)}
 	if i < ranks {
 		b.server.Group, b.server.Rank, b.service = w.group, i, platformtest.EngineService
 	}
--- a/server/stream/codec.go
+++ b/server/stream/codec.go
@@ -21,7 +21,7 @@
 
 // AppendString appends the text as a JSON string.
 func AppendString(line []byte, text string) []byte {
-	if plain(text) {
+	if needsNoEscape(text) {
 		line = append(line, '"')
 		line = append(line, text...)
 		return append(line, '"')
@@ -33,8 +33,8 @@
 	return append(line, quoted...)
 }
 
-// plain reports whether the text needs no escapes inside a JSON string.
-func plain[T string | []byte](text T) bool {
+// needsNoEscape reports whether the text needs no escapes inside a JSON string.
+func needsNoEscape[T string | []byte](text T) bool {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c >= utf8.RuneSelf || c == '"' || c == '\\' {
 			return false
@@ -65,7 +65,7 @@
 func textOnly(piece Piece) bool {
 	rest := piece
 	rest.ID, rest.Seq, rest.From, rest.Tokens, rest.Text = "", 0, 0, 0, ""
-	return rest == Piece{} && piece.Text != "" && plain(piece.ID) && plain(piece.Text)
+	return rest == Piece{} && piece.Text != "" && needsNoEscape(piece.ID) && needsNoEscape(piece.Text)
 }
 
 // parsePiece reads one line. lastID is the id of the piece before, shared where
@@ -89,7 +89,7 @@
 	from, rest, fromOK := cutNumber(rest, openTokens)
 	tokens, rest, tokensOK := cutNumber(rest, openText)
 	text, textOK := bytes.CutSuffix(rest, []byte(closeText))
-	if !idOK || !seqOK || !fromOK || !tokensOK || !textOK || !plain(id) || !plain(text) {
+	if !idOK || !seqOK || !fromOK || !tokensOK || !textOK || !needsNoEscape(id) || !needsNoEscape(text) {
 		return Piece{}, false
 	}
 	if string(id) != lastID {
--- a/server/stream/stream.go
+++ b/server/stream/stream.go
@@ -19,7 +19,7 @@
 	readBufferBytes = 4 << 10
 )
 
-var errTooLong = errors.New("piece is longer than a line may be")
+var errLineTooLong = errors.New("piece is longer than a line may be")
 
 // ErrTruncated means that the stream ended without its end piece.
 var ErrTruncated = errors.New("answer cut before its end")
@@ -59,10 +59,10 @@
 
 // Writer writes pieces.
 type Writer struct {
-	w     io.Writer
-	line  []byte // Reused by each piece.
-	flush func()
-	held  bool // Something was written since the last flush.
+	w         io.Writer
+	line      []byte // Reused by each piece.
+	flush     func()
+	unflushed bool // Something was written since the last flush.
 }
 
 // NewWriter returns a Writer that calls flush, if not nil, after each piece
@@ -81,7 +81,7 @@
 	if _, err := w.w.Write(w.line); err != nil {
 		return fmt.Errorf("write piece %d of %q: %w", piece.Seq, piece.ID, err)
 	}
-	w.held = true
+	w.unflushed = true
 	if !piece.More {
 		w.Flush()
 	}
@@ -90,17 +90,17 @@
 
 // Flush sends what pieces marked More have left waiting.
 func (w *Writer) Flush() {
-	if w.flush != nil && w.held {
+	if w.flush != nil && w.unflushed {
 		w.flush()
 	}
-	w.held = false
+	w.unflushed = false
 }
 
 // Reader reads pieces. Close must be called.
 type Reader struct {
 	lines  *bufio.Reader
 	body   io.Closer
-	ended  bool
+	sawEnd bool
 	lastID string
 }
 
@@ -114,14 +114,14 @@
 func (r *Reader) Next() (Piece, error) {
 	line, err := r.readLine()
 	if err != nil {
-		return Piece{}, r.endError(err)
+		return Piece{}, r.readError(err)
 	}
 	piece, err := parsePiece(line, r.lastID)
 	if err != nil {
 		return Piece{}, fmt.Errorf("%w: malformed piece: %v", ErrTruncated, err)
 	}
 	r.lastID = piece.ID
-	r.ended = r.ended || piece.End
+	r.sawEnd = r.sawEnd || piece.End
 	piece.More = r.lineBuffered()
 	return piece, nil
 }
@@ -129,18 +129,18 @@
 // readLine returns the next line without its end, valid until the next call.
 // A last line without an end counts.
 func (r *Reader) readLine() ([]byte, error) {
-	var long []byte // A line longer than the buffer.
+	var accumulated []byte // A line longer than the buffer.
 	for {
 		part, err := r.lines.ReadSlice('\n')
-		if len(long)+len(part) > maxPieceBytes {
-			return nil, errTooLong
+		if len(accumulated)+len(part) > maxPieceBytes {
+			return nil, errLineTooLong
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, part...)
+			accumulated = append(accumulated, part...)
 			continue
 		}
-		if long != nil {
-			part = append(long, part...)
+		if accumulated != nil {
+			part = append(accumulated, part...)
 		}
 		if err != nil && (!errors.Is(err, io.EOF) || len(part) == 0) {
 			return nil, err
@@ -151,15 +151,15 @@
 
 // lineBuffered reports whether the next line can be read without waiting.
 func (r *Reader) lineBuffered() bool {
-	waiting, _ := r.lines.Peek(r.lines.Buffered())
-	return bytes.IndexByte(waiting, '\n') >= 0
+	buffered, _ := r.lines.Peek(r.lines.Buffered())
+	return bytes.IndexByte(buffered, '\n') >= 0
 }
 
-func (r *Reader) endError(err error) error {
+func (r *Reader) readError(err error) error {
 	if !errors.Is(err, io.EOF) {
 		return fmt.Errorf("%w: %v", ErrTruncated, err)
 	}
-	if !r.ended {
+	if !r.sawEnd {
 		return ErrTruncated
 	}
 	return io.EOF
@@ -169,7 +169,7 @@
 // is gone. After an end piece it reads the stream out, so that its connection
 // can be used again.
 func (r *Reader) Close() error {
-	if r.ended {
+	if r.sawEnd {
 		_, _ = r.lines.Peek(1)
 	}
 	return r.body.Close()
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// inlineBodyBytes is the size up to which a body is written before the
+	// maxInlineBodyBytes is the size up to which a body is written before the
 	// answer is read; it fits the socket's buffer, so the write doesn't block.
-	inlineBodyBytes = 16 << 10
-	// maxForeignAnswers bounds answers to other requests that are skipped.
-	maxForeignAnswers = 4
-	// maxForeignBytes bounds the body of such an answer.
-	maxForeignBytes = 1 << 20
+	maxInlineBodyBytes = 16 << 10
+	// maxMismatchedResponses bounds answers to other requests that are skipped.
+	maxMismatchedResponses = 4
+	// maxMismatchedBodyBytes bounds the body of such an answer.
+	maxMismatchedBodyBytes = 1 << 20
 )
 
 var (
@@ -44,18 +44,18 @@
 type Exchange struct {
 	Response *http.Response
 
-	conn    *Conn
-	pool    *Pool
-	written chan error // Nil where the body was written at once.
-	stop    func() bool
-	ended   bool
+	conn      *Conn
+	pool      *Pool
+	bodyWrite chan error // Nil where the body was written at once.
+	stopWatch func() bool
+	ended     bool
 }
 
 // Do sends the request on the connection and reads the head of its answer. The
 // end of ctx closes the connection. It fails with ErrBroken or ErrForeignAnswer.
 func (p *Pool) Do(ctx context.Context, conn *Conn, request Request) (*Exchange, error) {
 	exchange := &Exchange{conn: conn, pool: p}
-	exchange.stop = context.AfterFunc(ctx, func() { reset(conn) })
+	exchange.stopWatch = context.AfterFunc(ctx, func() { reset(conn) })
 	if err := exchange.send(request); err != nil {
 		exchange.Abort()
 		return nil, fmt.Errorf("%w: send: %w", ErrInterrupted, err)
@@ -77,7 +77,7 @@
 		return err
 	}
 	head.WriteString("\r\n")
-	if len(request.Body) <= inlineBodyBytes {
+	if len(request.Body) <= maxInlineBodyBytes {
 		head.Write(request.Body)
 		_, err := e.conn.Write(head.Bytes())
 		return err
@@ -86,18 +86,18 @@
 		return err
 	}
 	// A server may answer before it has read a long body.
-	e.written = make(chan error, 1)
+	e.bodyWrite = make(chan error, 1)
 	go func() {
 		_, err := e.conn.Write(request.Body)
-		e.written <- err
+		e.bodyWrite <- err
 	}()
 	return nil
 }
 
 func (e *Exchange) receiveHead(request Request) error {
-	shape := &http.Request{Method: request.Method}
-	for range maxForeignAnswers {
-		response, err := http.ReadResponse(e.conn.reader, shape)
+	methodOnly := &http.Request{Method: request.Method}
+	for range maxMismatchedResponses {
+		response, err := http.ReadResponse(e.conn.reader, methodOnly)
 		if err != nil {
 			return fmt.Errorf("%w: receive: %w", ErrInterrupted, err)
 		}
@@ -111,17 +111,17 @@
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 			return fmt.Errorf("%w: it has no length", ErrMismatchedResponse)
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBodyBytes)); err != nil {
 			return fmt.Errorf("%w: receive another request's answer: %w", ErrInterrupted, err)
 		}
 	}
-	return fmt.Errorf("%w: %d in a row", ErrMismatchedResponse, maxForeignAnswers)
+	return fmt.Errorf("%w: %d in a row", ErrMismatchedResponse, maxMismatchedResponses)
 }
 
 // Finish ends an exchange whose body was read to its end and keeps the
 // connection where it can serve another request.
 func (e *Exchange) Finish() {
-	if !e.end() {
+	if !e.markEnded() {
 		return
 	}
 	response := e.Response
@@ -130,7 +130,7 @@
 		discard(e.conn)
 		return
 	}
-	if limit, ok := keepAliveLimit(response.Header.Get("Keep-Alive")); ok {
+	if limit, ok := parseKeepAlive(response.Header.Get("Keep-Alive")); ok {
 		e.conn.idleLimit = limit
 	}
 	e.pool.Put(e.conn)
@@ -138,25 +138,25 @@
 
 // Abort ends the exchange and resets its connection.
 func (e *Exchange) Abort() {
-	e.end()
+	e.markEnded()
 	reset(e.conn)
 }
 
-// end reports whether the exchange was still open and its context lives.
-func (e *Exchange) end() bool {
+// markEnded reports whether the exchange was still open and its context lives.
+func (e *Exchange) markEnded() bool {
 	if e.ended {
 		return false
 	}
 	e.ended = true
-	return e.stop()
+	return e.stopWatch()
 }
 
 func (e *Exchange) bodyWritten() bool {
-	if e.written == nil {
+	if e.bodyWrite == nil {
 		return true
 	}
 	select {
-	case err := <-e.written:
+	case err := <-e.bodyWrite:
 		return err == nil
 	default:
 		return false
--- a/server/upstream/pool.go
+++ b/server/upstream/pool.go
@@ -22,14 +22,14 @@
 	// defaultIdleLimit is how long a connection is kept where the server names
 	// no time.
 	defaultIdleLimit = 10 * time.Second
-	// idleLimitShare of the time that the server names is used, since the
+	// keepAliveShare of the time that the server names is used, since the
 	// server counts from an earlier moment.
-	idleLimitShare = 0.7
-	// freshIdleLimit is the idle time up to which a kept connection is used for
+	keepAliveShare = 0.7
+	// nonRepeatableIdleLimit is the idle time up to which a kept connection is used for
 	// requests that can't be sent again.
-	freshIdleLimit = time.Second
+	nonRepeatableIdleLimit = time.Second
 
-	bufferBytes = 8 << 10
+	readBufferBytes = 8 << 10
 )
 
 // ErrUnreachable means that no byte of the request has left: the backend server
@@ -80,7 +80,7 @@
 			break
 		}
 		idle := time.Since(conn.idleSince)
-		if idle < conn.idleLimit && (!target.NonRepeatable || idle < freshIdleLimit) && conn.quiet() {
+		if idle < conn.idleLimit && (!target.NonRepeatable || idle < nonRepeatableIdleLimit) && conn.reusable() {
 			conn.Reused = true
 			return conn, nil
 		}
@@ -91,7 +91,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	return &Conn{
-		Conn: raw, reader: bufio.NewReaderSize(raw, bufferBytes), address: target.Address,
+		Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), address: target.Address,
 		maxIdle: min(max(1, target.MaxIdle), maxIdlePerServer), idleLimit: defaultIdleLimit,
 	}, nil
 }
@@ -101,21 +101,21 @@
 	conn.idleSince = time.Now()
 	p.mu.Lock()
 	list := append(p.idle[conn.address], conn)
-	var surplus *Conn
+	var evicted *Conn
 	if len(list) > conn.maxIdle {
-		surplus, list = list[0], list[1:]
+		evicted, list = list[0], list[1:]
 	}
 	p.idle[conn.address] = list
 	p.mu.Unlock()
-	if surplus != nil {
-		discard(surplus)
+	if evicted != nil {
+		discard(evicted)
 	}
 }
 
 // CloseIdle closes connections to addresses that are not in use any more and
 // those that have been idle for too long.
 func (p *Pool) CloseIdle(inUse func(address string) bool) {
-	var surplus []*Conn
+	var expired []*Conn
 	p.mu.Lock()
 	for address, list := range p.idle {
 		kept := list[:0]
@@ -123,7 +123,7 @@
 			if inUse(address) && time.Since(conn.idleSince) < conn.idleLimit {
 				kept = append(kept, conn)
 			} else {
-				surplus = append(surplus, conn)
+				expired = append(expired, conn)
 			}
 		}
 		p.idle[address] = kept
@@ -132,7 +132,7 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, conn := range surplus {
+	for _, conn := range expired {
 		discard(conn)
 	}
 }
@@ -149,38 +149,38 @@
 	return conn
 }
 
-// quiet reports whether an idle connection is open and has sent nothing.
-func (c *Conn) quiet() bool {
+// reusable reports whether an idle connection is open and has sent nothing.
+func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	source, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := source.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, recvErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(recvErr, unix.EAGAIN)
+		var buffer [1]byte
+		_, _, recvErr := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		reusable = errors.Is(recvErr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
-// keepAliveLimit reads the time that the server keeps an idle connection.
-func keepAliveLimit(header string) (time.Duration, bool) {
+// parseKeepAlive reads the time that the server keeps an idle connection.
+func parseKeepAlive(header string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
-		if whole, err := strconv.Atoi(strings.TrimSpace(value)); err == nil {
-			return time.Duration(idleLimitShare * float64(whole) * float64(time.Second)), true
+		if timeoutSeconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil {
+			return time.Duration(keepAliveShare * float64(timeoutSeconds) * float64(time.Second)), true
 		}
 	}
 	return 0, false
--- a/server/upstream/upstream_test.go
+++ b/server/upstream/upstream_test.go
@@ -16,18 +16,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// standIn is a backend server that answers each connection by a script.
-type standIn struct {
+// fakeServer is a backend server that answers each connection by a script.
+type fakeServer struct {
 	listener net.Listener
 	accepted atomic.Int32
 }
 
-func newStandIn(serve func(n int, conn net.Conn, reader *bufio.Reader)) *standIn {
+func newFakeServer(serve func(n int, conn net.Conn, reader *bufio.Reader)) *fakeServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	s := &standIn{listener: listener}
+	s := &fakeServer{listener: listener}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -41,7 +41,7 @@
 	return s
 }
 
-func (s *standIn) address() string { return s.listener.Addr().String() }
+func (s *fakeServer) address() string { return s.listener.Addr().String() }
 
 func request(id string) Request {
 	return Request{
@@ -66,7 +66,7 @@
 	}
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -94,11 +94,11 @@
 func TestExchange(t *testing.T) {
 	Convey("The target is sent byte for byte, and nothing is added", t, func() {
 		heads := make(chan []string, 1)
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			head, err := readHead(reader)
 			if err == nil {
 				heads <- head
-				_, _ = io.WriteString(conn, answer("1", "ok"))
+				_, _ = io.WriteString(conn, response("1", "ok"))
 			}
 		})
 		defer s.listener.Close()
@@ -109,12 +109,12 @@
 	})
 
 	Convey("A connection is kept for the next request", t, func() {
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for {
 				if _, err := readHead(reader); err != nil {
 					return
 				}
-				_, _ = io.WriteString(conn, answer("1", "ok"))
+				_, _ = io.WriteString(conn, response("1", "ok"))
 			}
 		})
 		defer s.listener.Close()
@@ -127,7 +127,7 @@
 	})
 
 	Convey("No more connections are kept than the server has room for", t, func() {
-		s := newStandIn(func(int, net.Conn, *bufio.Reader) {})
+		s := newFakeServer(func(int, net.Conn, *bufio.Reader) {})
 		defer s.listener.Close()
 		pool := NewPool(Dial)
 		var conns []*Conn
@@ -143,15 +143,15 @@
 	})
 
 	Convey("A late second answer is not taken for the next request's", t, func() {
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for n := 1; ; n++ {
 				if _, err := readHead(reader); err != nil {
 					return
 				}
 				if n == 2 {
-					_, _ = io.WriteString(conn, answer("1", "late"))
+					_, _ = io.WriteString(conn, response("1", "late"))
 				}
-				_, _ = io.WriteString(conn, answer(fmt.Sprint(n), "right"))
+				_, _ = io.WriteString(conn, response(fmt.Sprint(n), "right"))
 			}
 		})
 		defer s.listener.Close()
@@ -165,9 +165,9 @@
 
 	Convey("A connection with stray bytes, or a closed one, is not used again", t, func() {
 		for _, stray := range []string{"HTTP/1.1 200 OK\r\n", ""} {
-			s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+			s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 				if _, err := readHead(reader); err == nil {
-					_, _ = io.WriteString(conn, answer("1", "ok"))
+					_, _ = io.WriteString(conn, response("1", "ok"))
 					time.Sleep(20 * time.Millisecond)
 					if stray == "" {
 						_ = conn.Close()
@@ -189,7 +189,7 @@
 
 	Convey("A request on a kept connection that breaks is not sent again", t, func() {
 		var requests atomic.Int32
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for {
 				if _, err := readHead(reader); err != nil {
 					return
@@ -198,7 +198,7 @@
 					_ = conn.Close()
 					return
 				}
-				_, _ = io.WriteString(conn, answer("1", "ok"))
+				_, _ = io.WriteString(conn, response("1", "ok"))
 			}
 		})
 		defer s.listener.Close()
@@ -212,7 +212,7 @@
 	})
 
 	Convey("A body that ends early is an error; one that ends with its connection is whole", t, func() {
-		s := newStandIn(func(n int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(n int, conn net.Conn, reader *bufio.Reader) {
 			if _, err := readHead(reader); err != nil {
 				return
 			}
@@ -234,7 +234,7 @@
 
 	Convey("The end of the context resets the connection", t, func() {
 		broken := make(chan error, 1)
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			_, _ = readHead(reader)
 			_, err := reader.ReadByte()
 			broken <- err
@@ -260,10 +260,10 @@
 	})
 
 	Convey("Idle connections end by the time that the server names", t, func() {
-		limit, ok := keepAliveLimit("timeout=10, max=100")
+		limit, ok := parseKeepAlive("timeout=10, max=100")
 		So(ok, ShouldBeTrue)
 		So(limit, ShouldEqual, 7*time.Second)
-		_, ok = keepAliveLimit("max=100")
+		_, ok = parseKeepAlive("max=100")
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/server/watch/watch.go
+++ b/server/watch/watch.go
@@ -23,8 +23,8 @@
 	// a disturbance within which a process must be up to date again.
 	pollWait = 1800 * time.Millisecond
 	// The pause after a failed call doubles: refused calls are priced too.
-	firstPause = 100 * time.Millisecond
-	maxPause   = time.Second
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
 // Store is what a watch needs of the platform's store.
@@ -43,8 +43,8 @@
 	// together into one poll.
 	BatchDelay time.Duration
 
-	pause time.Duration
-	lost  bool // StoreLost was posted and not taken back.
+	backoff   time.Duration
+	storeLost bool // StoreLost was posted and not taken back.
 }
 
 // Run follows the table until ctx ends.
@@ -61,12 +61,12 @@
 func (w *Watch) list(ctx context.Context) (version uint64, ok bool) {
 	rows, err := w.Store.List(ctx, w.Table)
 	if err != nil {
-		w.failed(ctx, err)
+		w.storeFailed(ctx, err)
 		return 0, false
 	}
-	w.answered()
+	w.storeAnswered()
 	events, err := platform.ListEvents(w.Table, rows.Rows)
-	w.unreadable(err)
+	w.logUnreadable(err)
 	for _, event := range events {
 		w.Post(event)
 	}
@@ -82,13 +82,13 @@
 		return 0, false
 	}
 	if err != nil {
-		w.failed(ctx, err)
+		w.storeFailed(ctx, err)
 		return after, true
 	}
-	w.answered()
+	w.storeAnswered()
 	for _, row := range rows.Rows {
 		event, err := platform.ChangeEvent(w.Table, row)
-		w.unreadable(err)
+		w.logUnreadable(err)
 		if event != nil {
 			w.Post(event)
 		}
@@ -99,27 +99,27 @@
 	return max(after, rows.Version), true
 }
 
-func (w *Watch) answered() {
-	w.pause = 0
-	if w.lost {
-		w.lost = false
+func (w *Watch) storeAnswered() {
+	w.backoff = 0
+	if w.storeLost {
+		w.storeLost = false
 		w.Post(topology.StoreRegained{Watch: w.Table})
 	}
 }
 
-func (w *Watch) failed(ctx context.Context, err error) {
+func (w *Watch) storeFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !w.lost {
-		w.lost = true
+	if !w.storeLost {
+		w.storeLost = true
 		w.Post(topology.StoreLost{Watch: w.Table, Reason: err.Error()})
 	}
-	w.pause = min(max(firstPause, 2*w.pause), maxPause)
-	wait.For(ctx, w.pause)
+	w.backoff = min(max(initialBackoff, 2*w.backoff), maxBackoff)
+	wait.For(ctx, w.backoff)
 }
 
-func (w *Watch) unreadable(err error) {
+func (w *Watch) logUnreadable(err error) {
 	if err != nil {
 		logevent.Write(w.Log, logevent.RowUnreadable, logrus.Fields{"table": w.Table, "error": err.Error()})
 	}
--- a/server/watch/watch_test.go
+++ b/server/watch/watch_test.go
@@ -45,17 +45,17 @@
 	return f.next(ctx, "feed")
 }
 
-func rows(version uint64, values ...platform.Row) func() (platform.Rows, error) {
+func returnsRows(version uint64, values ...platform.Row) func() (platform.Rows, error) {
 	return func() (platform.Rows, error) { return platform.Rows{Version: version, Rows: values}, nil }
 }
 
-func fails(err error) func() (platform.Rows, error) {
+func returnsError(err error) func() (platform.Rows, error) {
 	return func() (platform.Rows, error) { return platform.Rows{}, err }
 }
 
-// follow runs a watch through the script and returns its calls and the names
+// runScript runs a watch through the script and returns its calls and the names
 // of its events.
-func follow(script ...func() (platform.Rows, error)) (calls, events []string) {
+func runScript(script ...func() (platform.Rows, error)) (calls, events []string) {
 	store := &fakeStore{script: script}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -82,39 +82,39 @@
 	return store.calls, events
 }
 
-var server = platform.Row{Key: "x", Value: []byte(`{"backend":"s","address":"a:1","zone":"z","slots":1,"state":"ready"}`)}
+var serverRow = platform.Row{Key: "x", Value: []byte(`{"backend":"s","address":"a:1","zone":"z","slots":1,"state":"ready"}`)}
 
 func TestWatch(t *testing.T) {
 	listed, read, gone := topology.ServersListed{}.EventName(), topology.ServerRead{}.EventName(), topology.ServerGone{}.EventName()
 	lost, regained := topology.StoreLost{}.EventName(), topology.StoreRegained{}.EventName()
 
 	Convey("A table is listed once and then followed", t, func() {
-		calls, events := follow(rows(5, server), rows(6, server), rows(7, platform.Row{Key: "x", Deleted: true}))
+		calls, events := runScript(returnsRows(5, serverRow), returnsRows(6, serverRow), returnsRows(7, platform.Row{Key: "x", Deleted: true}))
 		So(calls, ShouldResemble, []string{"list", "feed", "feed", "feed"})
 		So(events, ShouldResemble, []string{listed, read, gone})
 	})
 	Convey("It is listed again when its history is gone", t, func() {
-		calls, events := follow(rows(5), fails(platform.ErrHistoryGone), rows(9, server))
+		calls, events := runScript(returnsRows(5), returnsError(platform.ErrHistoryGone), returnsRows(9, serverRow))
 		So(calls, ShouldResemble, []string{"list", "feed", "list", "feed"})
 		So(events, ShouldResemble, []string{listed, listed})
 	})
 	Convey("An outage is told once, its end before what has changed meanwhile", t, func() {
-		_, events := follow(rows(5), fails(errors.New("down")), fails(errors.New("down")), rows(6, server))
+		_, events := runScript(returnsRows(5), returnsError(errors.New("down")), returnsError(errors.New("down")), returnsRows(6, serverRow))
 		So(events, ShouldResemble, []string{listed, lost, regained, read})
 	})
 	Convey("A row that can't be read counts as gone; the others hold", t, func() {
-		_, events := follow(rows(5), rows(6, platform.Row{Key: "y", Value: []byte("{")}, server))
+		_, events := runScript(returnsRows(5), returnsRows(6, platform.Row{Key: "y", Value: []byte("{")}, serverRow))
 		So(events, ShouldResemble, []string{listed, gone, read})
 	})
 }
 
-// hangingStore loses the answer of the first poll: it ends with its own wait.
-type hangingStore struct {
+// lostAnswerStore loses the answer of the first poll: it ends with its own wait.
+type lostAnswerStore struct {
 	fakeStore
 	polls int
 }
 
-func (h *hangingStore) Feed(ctx context.Context, table string, after uint64, wait time.Duration) (platform.Rows, error) {
+func (h *lostAnswerStore) Feed(ctx context.Context, table string, after uint64, wait time.Duration) (platform.Rows, error) {
 	h.polls++
 	if h.polls == 1 {
 		time.Sleep(wait)
@@ -125,8 +125,8 @@
 
 func TestLostAnswer(t *testing.T) {
 	Convey("A change whose answer was lost is known within 3 s", t, func() {
-		store := &hangingStore{fakeStore: fakeStore{script: []func() (platform.Rows, error){
-			rows(5, server), rows(6, platform.Row{Key: "x", Deleted: true}),
+		store := &lostAnswerStore{fakeStore: fakeStore{script: []func() (platform.Rows, error){
+			returnsRows(5, serverRow), returnsRows(6, platform.Row{Key: "x", Deleted: true}),
 		}}}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
