--- a/server/group/decision.go
+++ b/server/group/decision.go
@@ -12,7 +12,8 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// decisionInterval is the least time between two writes of the same decision.
+// decisionInterval is the minimum time between a recorded decision and the next
+// recorded one without moves.
 const decisionInterval = time.Minute
 
 // Decision is the planner's last decision about a group's map, kept for
@@ -20,19 +21,19 @@
 type Decision struct {
 	At         time.Time `json:"at"`
 	Group      string    `json:"group"`
-	Map        string    `json:"map"` // In force when it was made.
+	Map        string    `json:"map"` // In force at the time of the decision.
 	Reason     string    `json:"reason"`
 	Moves      int       `json:"moves"`
 	SkewBefore float64   `json:"skew_before"` // Forecast.
 	SkewAfter  float64   `json:"skew_after"`  // Forecast.
 }
 
-// DecisionKey is the key of the row of the table service that holds a group's
-// last Decision.
+// DecisionKey returns the key of the row in the table service that holds a
+// group's last Decision.
 func DecisionKey(group string) string { return "groups/" + group + "/decision" }
 
-// recordDecision keeps the decision: at once when it moves something, else now and
-// then.
+// recordDecision stores the decision in the table service: at once if it moves
+// experts, otherwise at most once per decisionInterval.
 func (g *Group) recordDecision(ctx context.Context, inForce string, plan planner.Plan) {
 	now := time.Now()
 	if len(plan.Moves) == 0 && now.Sub(g.decisionRecordedAt) < decisionInterval {
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -1,6 +1,7 @@
-// Package group carries out what the agents of a group of ranks decide about
-// the expert map: the lease and the record in the table service, orders between
-// agents and to the engine, maps in the object store, weights.
+// Package group carries out the decisions of a group's agents about the expert
+// map: it reads and writes the lease and the record in the table service, sends
+// orders between agents and to the engine, keeps maps in the object store and
+// loads weights.
 package group
 
 import (
@@ -26,25 +27,26 @@
 	weightTimeout = 9 * time.Minute
 )
 
-// Group is an agent's part in its group.
+// Group carries out the expert map decisions of one agent in its group.
 type Group struct {
 	node   *node.Node
 	engine ports.RankEngine
 
-	orders chan expertmap.Forward // To the engine, in sequence.
+	orders chan expertmap.Forward // Orders for the engine, processed one at a time.
 
 	mu         sync.Mutex
 	lastTicket uint64
 	pending    map[uint64]chan answer
-	plannedMap planner.Placement // To be stored when the change begins.
+	plannedMap planner.Placement // Written to the object store when the change begins.
 	loaded     loadedMap
 	loadingID  expertmap.ID
 
-	plannerState       planner.State // Of the planning goroutine, as decidedAt.
+	plannerState       planner.State // Used by the planning goroutine only, like decisionRecordedAt.
 	decisionRecordedAt time.Time
 }
 
-// New registers the executors and the RPC receiver at the agent's node.
+// New returns a Group and registers its executor and its RPC receiver at the
+// agent's node.
 func New(n *node.Node, engine ports.RankEngine) *Group {
 	g := &Group{
 		node: n, engine: engine,
@@ -56,7 +58,7 @@
 	return g
 }
 
-// Run passes orders to the engine and plans until ctx ends.
+// Run passes orders to the engine and runs the planner until ctx ends.
 func (g *Group) Run(ctx context.Context) error {
 	go g.runPlanner(ctx)
 	for {
@@ -96,7 +98,7 @@
 		event = logevent.MapWaiting
 	}
 	if n.Phase == expertmap.Querying {
-		return // Comes every few seconds.
+		return // Occurs every few seconds.
 	}
 	g.log(event, logrus.Fields{"phase": n.Phase, "map": n.Change.ID.String(), "first_step": n.Change.FirstStep, "ranks": n.Ranks})
 }
@@ -110,8 +112,8 @@
 	return fmt.Sprintf("expert-maps/%s/%s", g.name(), id)
 }
 
-// storeMap keeps the planned map under the change's ID. Ranks ask until it is
-// there.
+// storeMap writes the planned map to the object store under the change's ID.
+// Ranks retry until it is there.
 func (g *Group) storeMap(ctx context.Context, id expertmap.ID) {
 	g.mu.Lock()
 	placement := g.plannedMap
@@ -127,7 +129,8 @@
 	}
 }
 
-// readMap reads a map.
+// readMap reads a map from the object store. It returns the map decoded and as
+// stored.
 func (g *Group) readMap(ctx context.Context, id expertmap.ID) (planner.Placement, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -13,20 +13,20 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// orderQueueLength is how many orders wait for the engine before more are dropped;
-// the coordinator gives them again.
+// orderQueueLength is the number of orders that may wait for the engine; more
+// are dropped, and the coordinator sends them again.
 const orderQueueLength = 64
 
 // expertBytes is the size of one expert's weights.
 const expertBytes = 44 << 20
 
-// loadedMap is a map whose weights are present.
+// loadedMap is a map whose weights have been loaded.
 type loadedMap struct {
 	id   expertmap.ID
 	body []byte
 }
 
-// answer is what became of an order.
+// answer is the outcome of an order.
 type answer struct {
 	state   expertmap.EngineState
 	refused bool
@@ -34,10 +34,10 @@
 	err     error
 }
 
-// receiver answers the coordinator's orders.
+// receiver is the RPC receiver for the coordinator's orders.
 type receiver struct{ group *Group }
 
-// Order passes the order to the control loop and waits for the engine.
+// Order passes the order to the control loop and waits for its outcome.
 func (r *receiver) Order(request wire.MapOrder, reply *wire.MapReply) error {
 	r.group.node.Hear(request.Stamp)
 	ticket, done := r.group.registerOrder()
@@ -70,12 +70,12 @@
 	select {
 	case g.orders <- forward:
 	default:
-		g.answer(forward.Ticket, answer{err: fmt.Errorf("%d orders wait for the engine", orderQueueLength)})
+		g.answer(forward.Ticket, answer{err: fmt.Errorf("order queue is full: %d orders wait for the engine", orderQueueLength)})
 	}
 }
 
-// forward gives the order to the engine, with its map and weights where it
-// needs them.
+// forward sends the order to the engine and answers the order's ticket. An order
+// that needs a map fails until the weights of that map are loaded.
 func (g *Group) forward(ctx context.Context, forward expertmap.Forward) {
 	state, err := g.applyOrder(ctx, forward.Order)
 	if errors.Is(err, ports.ErrFenced) || errors.Is(err, ports.ErrUnavailable) {
@@ -98,7 +98,8 @@
 	return g.engine.OrderMap(ctx, request)
 }
 
-// mapNeeded returns the map that the engine needs for the order.
+// mapNeeded returns the ID of the map that the engine needs for the order, if
+// it needs one.
 func mapNeeded(order expertmap.Order) (expertmap.ID, bool) {
 	switch order.Kind {
 	case expertmap.Prepare:
@@ -109,8 +110,9 @@
 	return expertmap.ID{}, false
 }
 
-// mapWithWeights returns the map once the rank's weights are present. Until then it
-// fails, while they load beside the other orders; the coordinator asks again.
+// mapWithWeights returns the map once the rank's weights are loaded. Until then
+// it returns an error and loads them in the background, while other orders go
+// on; the coordinator retries.
 func (g *Group) mapWithWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,7 +162,7 @@
 	return body, nil
 }
 
-// send gives the order to the rank's agent.
+// send sends the order to the rank's agent and posts its reply.
 func (g *Group) send(ctx context.Context, send expertmap.Send) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -176,15 +178,15 @@
 	})
 }
 
-// callRank calls the rank's agent; the own rank's is this process, whatever the
-// instance list says.
+// callRank calls the rank's agent. For its own rank it calls this process
+// directly, whatever the instance list says.
 func (g *Group) callRank(ctx context.Context, rank int, request wire.MapOrder, reply *wire.MapReply) error {
 	if rank == g.node.State().Member.Rank {
 		return (&receiver{group: g}).Order(request, reply)
 	}
 	agentAddress, ok := g.agentAddress(rank)
 	if !ok {
-		return fmt.Errorf("no agent of rank %d is listed", rank)
+		return fmt.Errorf("no agent is listed for rank %d", rank)
 	}
 	return g.node.Pool.Call(ctx, agentAddress, "Group.Order", request, reply)
 }
--- a/server/group/plan.go
+++ b/server/group/plan.go
@@ -15,14 +15,15 @@
 const (
 	planInterval    = time.Second
 	secondsPerStep  = 0.027
-	expertTimeShare = 0.6 // Part of a step that experts take.
+	expertTimeShare = 0.6 // Share of a step's time that the experts take.
 	moveSeconds     = 0.44e-3
 	switchSeconds   = 1e-3
 	horizonSteps    = 66000
 	maxMoves        = 13500
 )
 
-// runPlanner looks at the engine, and plans while this agent coordinates.
+// runPlanner reads the engine's report periodically, and plans while this agent
+// is the coordinator.
 func (g *Group) runPlanner(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
--- a/server/group/table.go
+++ b/server/group/table.go
@@ -13,7 +13,7 @@
 func (g *Group) leaseKey() string  { return "groups/" + g.name() + "/lease" }
 func (g *Group) recordKey() string { return "groups/" + g.name() + "/record" }
 
-// executeTable carries out the reads and writes of the table service; each
+// executeTable carries out reads and writes of rows in the table service; each
 // posts exactly one event.
 func (g *Group) executeTable(ctx context.Context, effect reduce.Effect) bool {
 	switch effect := effect.(type) {
@@ -97,8 +97,8 @@
 	}
 }
 
-// write writes the value if the row has the version and returns the row's new
-// version.
+// write writes the value if the row still has the version and returns the row's
+// new version.
 func (g *Group) write(ctx context.Context, key string, value any, version uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/server/loadreport/loadreport.go
+++ b/server/loadreport/loadreport.go
@@ -1,7 +1,7 @@
-// Package loadreport carries the load of backend servers from the agents beside
-// them to the entries, in small datagrams: an entry subscribes at an agent, and
-// the agent reports until the subscription lapses. A lost datagram is made up
-// by the next.
+// Package loadreport sends the load of backend servers from the agents on their
+// machines to the entries, in small datagrams: an entry subscribes at an agent,
+// and the agent sends reports until the subscription expires. The next datagram
+// makes up for a lost one.
 package loadreport
 
 import (
@@ -18,13 +18,13 @@
 )
 
 const (
-	// reportInterval is how often an agent reports: about once a pass.
+	// reportInterval is how often an agent sends a report: about once per pass.
 	reportInterval = 100 * time.Millisecond
 	// subscribeInterval is how often an entry renews its subscriptions.
 	subscribeInterval = time.Second
-	// agentScanInterval is how often an entry looks whether agents have been added.
+	// agentScanInterval is how often an entry checks for new agents.
 	agentScanInterval = 100 * time.Millisecond
-	// subscriptionTTL outlasts two lost renewals.
+	// subscriptionTTL is long enough to survive two lost renewals.
 	subscriptionTTL = 3500 * time.Millisecond
 	// maxDatagramBytes fits one Ethernet frame.
 	maxDatagramBytes = 1400
@@ -33,13 +33,13 @@
 // Report is the load of one backend server.
 type Report struct {
 	Server string // host:port.
-	Open   bool   // Its group takes work.
+	Open   bool   // Its group accepts work.
 	Queued int
 	Active int
-	Pace   float64 // Over 1 for a slow server.
+	Pace   float64 // Above 1 for a slow server.
 }
 
-// Publisher is an agent's side.
+// Publisher sends an agent's reports to its subscribers.
 type Publisher struct {
 	conn net.PacketConn
 
@@ -52,7 +52,7 @@
 	return &Publisher{conn: conn, subscribers: map[netip.AddrPort]time.Time{}}
 }
 
-// Serve takes subscriptions until the socket is closed.
+// Serve receives subscriptions until the socket is closed.
 func (p *Publisher) Serve() error {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -61,7 +61,7 @@
 			return nil
 		}
 		if err != nil {
-			continue // An ICMP error of an earlier datagram; the socket goes on.
+			continue // An ICMP error for an earlier datagram; the socket stays usable.
 		}
 		if address, err := netip.ParseAddrPort(from.String()); err == nil {
 			p.mu.Lock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Run publishes what read returns until ctx ends.
+// Run sends the state that read returns to the subscribers until ctx ends.
 func (p *Publisher) Run(ctx context.Context, server string, read func() (topology.RankState, bool)) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -96,7 +96,7 @@
 func (p *Publisher) send(report Report, subscribers []netip.AddrPort) {
 	data, err := json.Marshal(report)
 	if err != nil {
-		panic(fmt.Sprintf("a report can always be encoded: %v", err))
+		panic(fmt.Sprintf("encode load report: %v", err))
 	}
 	for _, address := range subscribers {
 		// The next report makes up for one that can't be sent.
@@ -118,7 +118,7 @@
 	return active
 }
 
-// Subscriber is an entry's side.
+// Subscriber receives reports at an entry.
 type Subscriber struct {
 	conn net.PacketConn
 }
@@ -126,7 +126,7 @@
 // NewSubscriber returns a subscriber on the socket.
 func NewSubscriber(conn net.PacketConn) *Subscriber { return &Subscriber{conn: conn} }
 
-// Serve passes reports on until the socket is closed.
+// Serve passes received reports to handle until the socket is closed.
 func (s *Subscriber) Serve(handle func(Report)) error {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -135,7 +135,7 @@
 			return nil
 		}
 		if err != nil {
-			continue // An ICMP error of an earlier datagram; the socket goes on.
+			continue // An ICMP error for an earlier datagram; the socket stays usable.
 		}
 		var report Report
 		if json.Unmarshal(buffer[:n], &report) == nil && report.Server != "" {
@@ -144,7 +144,8 @@
 	}
 }
 
-// Run subscribes at the agents' addresses until ctx ends; at new ones at once.
+// Run subscribes at the agents' addresses and renews the subscriptions until ctx
+// ends. It subscribes at a new address within agentScanInterval.
 func (s *Subscriber) Run(ctx context.Context, agents func() []string) {
 	ticker := time.NewTicker(agentScanInterval)
 	defer ticker.Stop()
@@ -167,7 +168,7 @@
 func (s *Subscriber) subscribe(agent string) {
 	address, err := netip.ParseAddrPort(agent)
 	if err != nil {
-		return // Not an address to send to; the list's reader has logged the row.
+		return // Not a valid address; the reader of the list has logged the row.
 	}
 	// The next subscription makes up for one that can't be sent.
 	_, _ = s.conn.WriteTo([]byte{1}, net.UDPAddrFromAddrPort(address))
--- a/server/loadreport/loadreport_test.go
+++ b/server/loadreport/loadreport_test.go
@@ -32,7 +32,7 @@
 			return topology.RankState{Open: true, Queued: 1, Active: 2, Pace: 3}, true
 		})
 		time.Sleep(3 * reportInterval)
-		So(reads.Load(), ShouldEqual, 0) // Nobody wants to know.
+		So(reads.Load(), ShouldEqual, 0) // Without subscribers the load is not read.
 
 		reports := make(chan Report, 100)
 		go func() { _ = subscriber.Serve(func(r Report) { reports <- r }) }()
@@ -46,7 +46,7 @@
 			}
 		})
 	})
-	Convey("A subscription that is not renewed lapses", t, func() {
+	Convey("A subscription that is not renewed expires", t, func() {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = conn.Close() }()
--- a/server/stream/codec.go
+++ b/server/stream/codec.go
@@ -7,9 +7,9 @@
 	"unicode/utf8"
 )
 
-// Most pieces hold only text. Their lines are written with the fields in this
-// order, and a line of exactly this form is read without a general decoder;
-// any other line goes through encoding/json.
+// Most pieces hold only text. They are encoded with the fields in this order,
+// and a line of exactly this form is decoded without encoding/json, which
+// handles all other lines.
 const (
 	openID     = `{"id":"`
 	openSeq    = `","seq":`
@@ -28,7 +28,7 @@
 	}
 	quoted, err := json.Marshal(text)
 	if err != nil {
-		panic(err) // A string always has a JSON form.
+		panic(err) // Marshalling a string never fails.
 	}
 	return append(line, quoted...)
 }
@@ -43,7 +43,7 @@
 	return true
 }
 
-// appendPiece appends the piece's line without its end.
+// appendPiece appends the encoded piece without a newline.
 func appendPiece(line []byte, piece Piece) ([]byte, error) {
 	if !textOnly(piece) {
 		encoded, err := json.Marshal(piece)
@@ -68,8 +68,8 @@
 	return rest == Piece{} && piece.Text != "" && needsNoEscape(piece.ID) && needsNoEscape(piece.Text)
 }
 
-// parsePiece reads one line. lastID is the id of the piece before, shared where
-// it is the same.
+// parsePiece decodes one line. lastID is the ID of the previous piece; the
+// piece shares that string if its ID is the same.
 func parsePiece(line []byte, lastID string) (Piece, error) {
 	if piece, ok := parseTextOnly(line, lastID); ok {
 		return piece, nil
@@ -101,7 +101,7 @@
 // maxDigits keeps a number within an int.
 const maxDigits = 18
 
-// cutNumber reads a decimal number up to the separator.
+// cutNumber parses a decimal number up to the separator.
 func cutNumber(line []byte, separator string) (number int, rest []byte, ok bool) {
 	digits, rest, found := bytes.Cut(line, []byte(separator))
 	if !found || len(digits) == 0 || len(digits) > maxDigits || (digits[0] == '0' && len(digits) > 1) {
--- a/server/stream/codec_test.go
+++ b/server/stream/codec_test.go
@@ -22,7 +22,7 @@
 		{ID: "a", Text: "last ", Tokens: 1, End: true, Finish: "stop"},
 		{ID: "a", End: true, Code: result.CutAnswer, Detail: "broken"},
 	}
-	Convey("Each piece reads back as encoding/json reads it, whichever of the two wrote it", t, func() {
+	Convey("A piece from either encoder decodes to the same value as with encoding/json", t, func() {
 		for _, piece := range pieces {
 			standard, err := json.Marshal(piece)
 			So(err, ShouldBeNil)
@@ -40,8 +40,8 @@
 	})
 }
 
-// FuzzParsePiece checks that every line read without the general decoder means
-// the same to it.
+// FuzzParsePiece checks that every line that is parsed without encoding/json
+// decodes to the same piece with it.
 func FuzzParsePiece(f *testing.F) {
 	f.Add([]byte(`{"id":"a","seq":1,"from":2,"tokens":3,"text":"t"}`))
 	f.Add([]byte(`{"id":"a","seq":01,"from":2,"tokens":3,"text":"t"}`))
@@ -55,7 +55,7 @@
 		}
 		var want Piece
 		if err := json.Unmarshal(line, &want); err != nil {
-			t.Fatalf("%q: encoding/json says %v", line, err)
+			t.Fatalf("%q: encoding/json fails: %v", line, err)
 		}
 		if piece != want {
 			t.Fatalf("%q: got %+v, want %+v", line, piece, want)
--- a/server/stream/stream.go
+++ b/server/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream frames an answer as a sequence of pieces, one JSON value a
+// Package stream frames an answer as a sequence of pieces, one JSON value per
 // line. Every piece names its request, and only a piece marked End completes
-// the answer: a stream without it was cut.
+// the answer: a stream without one is truncated.
 package stream
 
 import (
@@ -15,14 +15,14 @@
 )
 
 const (
-	maxPieceBytes   = 4 << 20 // Of one line.
+	maxPieceBytes   = 4 << 20 // Maximum length of one line.
 	readBufferBytes = 4 << 10
 )
 
-var errLineTooLong = errors.New("piece is longer than a line may be")
+var errLineTooLong = errors.New("piece exceeds the maximum line length")
 
-// ErrTruncated means that the stream ended without its end piece.
-var ErrTruncated = errors.New("answer cut before its end")
+// ErrTruncated means that the stream ended without an end piece.
+var ErrTruncated = errors.New("answer truncated before its end")
 
 // Usage counts the tokens of one answer.
 type Usage struct {
@@ -42,11 +42,11 @@
 	End    bool        `json:"end,omitempty"`
 	Finish string      `json:"finish,omitempty"`
 	Usage  *Usage      `json:"usage,omitempty"`
-	Code   result.Code `json:"code,omitempty"` // Set on an end that is a failure.
+	Code   result.Code `json:"code,omitempty"` // Set on an end piece that reports a failure.
 	Detail string      `json:"detail,omitempty"`
 
-	// More tells that the next piece is at hand, so that a writer may send both
-	// together. It is not part of the stream.
+	// More means that the next piece is already available, so that a writer may
+	// send both together. It is not encoded in the stream.
 	More bool `json:"-"`
 }
 
@@ -60,13 +60,13 @@
 // Writer writes pieces.
 type Writer struct {
 	w         io.Writer
-	line      []byte // Reused by each piece.
+	line      []byte // Buffer that every piece reuses.
 	flush     func()
 	unflushed bool // Something was written since the last flush.
 }
 
 // NewWriter returns a Writer that calls flush, if not nil, after each piece
-// unless another one is at hand.
+// that is not marked More.
 func NewWriter(w io.Writer, flush func()) *Writer {
 	return &Writer{w: w, flush: flush}
 }
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// Flush sends what pieces marked More have left waiting.
+// Flush flushes pieces marked More that have not been flushed yet.
 func (w *Writer) Flush() {
 	if w.flush != nil && w.unflushed {
 		w.flush()
@@ -110,7 +110,7 @@
 }
 
 // Next returns the next piece. After the last one it returns io.EOF if an end
-// piece was among them, otherwise ErrCut.
+// piece was among them, otherwise ErrTruncated.
 func (r *Reader) Next() (Piece, error) {
 	line, err := r.readLine()
 	if err != nil {
@@ -126,8 +126,8 @@
 	return piece, nil
 }
 
-// readLine returns the next line without its end, valid until the next call.
-// A last line without an end counts.
+// readLine returns the next line without its newline, valid until the next
+// call. A last line without a newline counts.
 func (r *Reader) readLine() ([]byte, error) {
 	var accumulated []byte // A line longer than the buffer.
 	for {
@@ -165,9 +165,9 @@
 	return io.EOF
 }
 
-// Close releases the stream; a sender that has not ended sees that its reader
-// is gone. After an end piece it reads the stream out, so that its connection
-// can be used again.
+// Close closes the stream; a sender that has not finished sees that its reader
+// is gone. After an end piece it first reads to the end of the stream, so that
+// the connection can be reused.
 func (r *Reader) Close() error {
 	if r.sawEnd {
 		_, _ = r.lines.Peek(1)
--- a/server/stream/stream_test.go
+++ b/server/stream/stream_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// FuzzReader checks that a stream ends with io.EOF only if its end piece came.
+// FuzzReader checks that a stream ends with io.EOF only after an end piece.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte(`{"id":"a","tokens":1,"text":"x"}` + "\n" + `{"id":"a","from":1,"end":true}` + "\n"))
 	f.Add([]byte(`{"id":"a"`))
--- a/server/upstream/dial.go
+++ b/server/upstream/dial.go
@@ -1,10 +1,9 @@
-// Package upstream holds the connections to backend servers: it dials them,
-// keeps idle ones, writes a request as it came and reads the answer that
-// belongs to it.
+// Package upstream manages the connections to backend servers: it dials them,
+// pools idle ones, writes requests unmodified and reads the matching responses.
 //
-// net/http's own client is not used here: it sends a request again by itself
-// on a kept connection that broke, rewrites paths that begin with two slashes,
-// and takes a late second answer for the next request's.
+// It does not use net/http's client, which resends a request on its own when a
+// reused connection breaks, rewrites paths that begin with two slashes, and takes
+// a late second response for the response to the next request.
 package upstream
 
 import (
@@ -19,7 +18,7 @@
 const (
 	dialTimeout = 500 * time.Millisecond // A hundred round trips between data centres.
 
-	// A peer that neither answers nor resets is found within about 2.5 s, less
+	// A peer that neither answers nor resets is detected within about 2.5 s, less
 	// than the 3 s after which a machine counts as reachable again.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
@@ -27,7 +26,7 @@
 	unackedTimeout    = 2500 * time.Millisecond
 )
 
-// Dial connects over TCP and finds silent peers by probes.
+// Dial connects over TCP and enables the probes that detect unresponsive peers.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -12,47 +12,48 @@
 
 const (
 	// maxInlineBodyBytes is the size up to which a body is written before the
-	// answer is read; it fits the socket's buffer, so the write doesn't block.
+	// response is read; it fits the socket's buffer, so the write doesn't block.
 	maxInlineBodyBytes = 16 << 10
-	// maxMismatchedResponses bounds answers to other requests that are skipped.
+	// maxMismatchedResponses bounds the skipped responses to other requests.
 	maxMismatchedResponses = 4
-	// maxMismatchedBodyBytes bounds the body of such an answer.
+	// maxMismatchedBodyBytes bounds the body of a skipped response.
 	maxMismatchedBodyBytes = 1 << 20
 )
 
 var (
-	// ErrInterrupted means that the exchange broke off after bytes of the request
+	// ErrInterrupted means that the exchange failed after bytes of the request
 	// may have reached the server.
-	ErrInterrupted = errors.New("exchange with backend server broke off")
+	ErrInterrupted = errors.New("exchange with backend server was interrupted")
 	// ErrMismatchedResponse means that the server's bytes are no answer to this
 	// request.
-	ErrMismatchedResponse = errors.New("backend server's bytes don't answer this request")
+	ErrMismatchedResponse = errors.New("response of backend server does not belong to this request")
 )
 
-// Request is what is sent.
+// Request is a request to a backend server.
 type Request struct {
 	Method string
 	Target string // The request target, byte for byte as the caller sent it.
 	Host   string
 	Header http.Header // End-to-end headers only.
 	Body   []byte
-	// Matches reports whether the headers belong to an answer to this request.
+	// Matches reports whether the headers belong to a response to this request.
 	Matches func(header http.Header) bool
 }
 
-// Exchange is a request that was sent and the head of its answer.
+// Exchange is a request that was sent and the head of its response.
 type Exchange struct {
 	Response *http.Response
 
 	conn      *Conn
 	pool      *Pool
-	bodyWrite chan error // Nil where the body was written at once.
+	bodyWrite chan error // Result of the asynchronous body write; nil if the body was written inline.
 	stopWatch func() bool
 	ended     bool
 }
 
-// Do sends the request on the connection and reads the head of its answer. The
-// end of ctx closes the connection. It fails with ErrBroken or ErrForeignAnswer.
+// Do sends the request on the connection and reads the head of its response.
+// The end of ctx resets the connection. On failure it returns ErrInterrupted or
+// ErrMismatchedResponse.
 func (p *Pool) Do(ctx context.Context, conn *Conn, request Request) (*Exchange, error) {
 	exchange := &Exchange{conn: conn, pool: p}
 	exchange.stopWatch = context.AfterFunc(ctx, func() { reset(conn) })
@@ -85,7 +86,7 @@
 	if _, err := e.conn.Write(head.Bytes()); err != nil {
 		return err
 	}
-	// A server may answer before it has read a long body.
+	// A server may respond before it has read a long body.
 	e.bodyWrite = make(chan error, 1)
 	go func() {
 		_, err := e.conn.Write(request.Body)
@@ -109,17 +110,17 @@
 			return nil
 		}
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return fmt.Errorf("%w: it has no length", ErrMismatchedResponse)
+			return fmt.Errorf("%w and has no length", ErrMismatchedResponse)
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBodyBytes)); err != nil {
-			return fmt.Errorf("%w: receive another request's answer: %w", ErrInterrupted, err)
+			return fmt.Errorf("%w: receive another request's response: %w", ErrInterrupted, err)
 		}
 	}
 	return fmt.Errorf("%w: %d in a row", ErrMismatchedResponse, maxMismatchedResponses)
 }
 
-// Finish ends an exchange whose body was read to its end and keeps the
-// connection where it can serve another request.
+// Finish ends an exchange whose body was read to its end and returns the
+// connection to the pool if it can serve another request.
 func (e *Exchange) Finish() {
 	if !e.markEnded() {
 		return
@@ -142,7 +143,8 @@
 	reset(e.conn)
 }
 
-// markEnded reports whether the exchange was still open and its context lives.
+// markEnded ends the exchange. It reports whether the exchange was still open
+// and its context not done.
 func (e *Exchange) markEnded() bool {
 	if e.ended {
 		return false
--- a/server/upstream/pool.go
+++ b/server/upstream/pool.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	// maxIdlePerServer is the greatest number of kept connections to one server;
-	// an entry has a few requests at a server at a time.
+	// maxIdlePerServer is the maximum number of idle connections to one server;
+	// an entry has only a few requests in flight at a server.
 	maxIdlePerServer = 8
-	// defaultIdleLimit is how long a connection is kept where the server names
-	// no time.
+	// defaultIdleLimit is how long an idle connection is kept if the server sends
+	// no keep-alive timeout.
 	defaultIdleLimit = 10 * time.Second
-	// keepAliveShare of the time that the server names is used, since the
-	// server counts from an earlier moment.
+	// keepAliveShare is the part of the server's keep-alive timeout that is used,
+	// since the server starts counting earlier.
 	keepAliveShare = 0.7
-	// nonRepeatableIdleLimit is the idle time up to which a kept connection is used for
-	// requests that can't be sent again.
+	// nonRepeatableIdleLimit is the idle time up to which a pooled connection is
+	// used for requests that can't be repeated.
 	nonRepeatableIdleLimit = time.Second
 
 	readBufferBytes = 8 << 10
 )
 
-// ErrUnreachable means that no byte of the request has left: the backend server
-// could not be connected to.
+// ErrUnreachable means that no connection to the backend server could be made
+// and no byte of the request was sent.
 var ErrUnreachable = errors.New("backend server can't be reached")
 
-// Target is where a request goes.
+// Target describes the server that a request is sent to.
 type Target struct {
 	Address string
-	// NonRepeatable says that the request can't be sent again, so a connection that was
-	// idle for long isn't used.
+	// NonRepeatable means that the request can't be repeated, so that no
+	// connection with a long idle time is used.
 	NonRepeatable bool
-	// MaxIdle is how many connections to the server may be kept; all entries
-	// together must leave room under what the server accepts.
+	// MaxIdle is the number of idle connections to the server that may be kept;
+	// those of all entries together must stay below the server's connection limit.
 	MaxIdle int
 }
 
@@ -63,7 +63,7 @@
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[string][]*Conn // The most recently used last.
+	idle map[string][]*Conn // Most recently used last.
 }
 
 // NewPool returns an empty pool.
@@ -71,8 +71,8 @@
 	return &Pool{dial: dial, idle: map[string][]*Conn{}}
 }
 
-// Get returns a kept connection that looks sound, or a new one. It fails with
-// ErrNotSent.
+// Get returns a reusable idle connection, or a new one. It returns
+// ErrUnreachable if it can't connect.
 func (p *Pool) Get(ctx context.Context, target Target) (*Conn, error) {
 	for {
 		conn := p.takeIdle(target.Address)
@@ -96,7 +96,7 @@
 	}, nil
 }
 
-// Put keeps the connection for a later request.
+// Put returns the connection to the pool for a later request.
 func (p *Pool) Put(conn *Conn) {
 	conn.idleSince = time.Now()
 	p.mu.Lock()
@@ -112,8 +112,8 @@
 	}
 }
 
-// CloseIdle closes connections to addresses that are not in use any more and
-// those that have been idle for too long.
+// CloseIdle closes idle connections to addresses that are no longer in use and
+// those that have exceeded their idle limit.
 func (p *Pool) CloseIdle(inUse func(address string) bool) {
 	var expired []*Conn
 	p.mu.Lock()
@@ -149,7 +149,8 @@
 	return conn
 }
 
-// reusable reports whether an idle connection is open and has sent nothing.
+// reusable reports whether an idle connection is open and has received nothing
+// from the server.
 func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -172,7 +173,7 @@
 	return err == nil && reusable
 }
 
-// parseKeepAlive reads the time that the server keeps an idle connection.
+// parseKeepAlive returns the idle limit for the timeout of a Keep-Alive header.
 func parseKeepAlive(header string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -186,16 +187,16 @@
 	return 0, false
 }
 
-// reset closes a connection so that bytes which its peer has not had yet are
-// dropped: a request that was given up on must not arrive later.
+// reset closes a connection and drops the bytes that its peer has not received
+// yet: an abandoned request must not arrive later.
 func reset(conn *Conn) {
 	if tcp, ok := conn.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // Without it the bytes merely arrive late.
+		_ = tcp.SetLinger(0) // Otherwise the kernel would still deliver the bytes.
 	}
 	discard(conn)
 }
 
 // discard closes a connection that is no longer needed.
 func discard(conn *Conn) {
-	_ = conn.Close() // Nothing waits for its outcome.
+	_ = conn.Close() // Nothing depends on the result.
 }
--- a/server/upstream/upstream_test.go
+++ b/server/upstream/upstream_test.go
@@ -16,7 +16,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakeServer is a backend server that answers each connection by a script.
+// fakeServer is a backend server that serves each connection with a function.
 type fakeServer struct {
 	listener net.Listener
 	accepted atomic.Int32
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// do sends one request and returns the body of its answer.
+// do sends one request and returns the body of its response.
 func do(pool *Pool, address, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -108,7 +108,7 @@
 		So(<-heads, ShouldResemble, []string{"GET /a//b%2f?x=%20 HTTP/1.1", "Host: h.example", "X-Id: 1"})
 	})
 
-	Convey("A connection is kept for the next request", t, func() {
+	Convey("A connection is reused for the next request", t, func() {
 		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for {
 				if _, err := readHead(reader); err != nil {
@@ -126,7 +126,7 @@
 		So(s.accepted.Load(), ShouldEqual, 1)
 	})
 
-	Convey("No more connections are kept than the server has room for", t, func() {
+	Convey("No more idle connections are kept than MaxIdle", t, func() {
 		s := newFakeServer(func(int, net.Conn, *bufio.Reader) {})
 		defer s.listener.Close()
 		pool := NewPool(Dial)
@@ -142,7 +142,7 @@
 		So(pool.idle[s.address()], ShouldHaveLength, 2)
 	})
 
-	Convey("A late second answer is not taken for the next request's", t, func() {
+	Convey("A late second response is not taken for the next request's", t, func() {
 		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for n := 1; ; n++ {
 				if _, err := readHead(reader); err != nil {
@@ -187,7 +187,7 @@
 		}
 	})
 
-	Convey("A request on a kept connection that breaks is not sent again", t, func() {
+	Convey("A request on a reused connection that breaks is not resent", t, func() {
 		var requests atomic.Int32
 		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for {
@@ -211,7 +211,7 @@
 		So(requests.Load(), ShouldEqual, 2)
 	})
 
-	Convey("A body that ends early is an error; one that ends with its connection is whole", t, func() {
+	Convey("A truncated body is an error; a body without a length ends with its connection", t, func() {
 		s := newFakeServer(func(n int, conn net.Conn, reader *bufio.Reader) {
 			if _, err := readHead(reader); err != nil {
 				return
@@ -250,7 +250,7 @@
 		So((<-broken).Error(), ShouldContainSubstring, "reset")
 	})
 
-	Convey("A server that can't be connected to has had nothing", t, func() {
+	Convey("A refused connection is reported as ErrUnreachable", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
@@ -259,7 +259,7 @@
 		So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 	})
 
-	Convey("Idle connections end by the time that the server names", t, func() {
+	Convey("The idle limit follows the server's keep-alive timeout", t, func() {
 		limit, ok := parseKeepAlive("timeout=10, max=100")
 		So(ok, ShouldBeTrue)
 		So(limit, ShouldEqual, 7*time.Second)
--- a/server/watch/watch.go
+++ b/server/watch/watch.go
@@ -1,5 +1,5 @@
 // Package watch follows tables of the platform's store by long polls and posts
-// what they say as events.
+// their contents and changes as events.
 package watch
 
 import (
@@ -17,17 +17,17 @@
 )
 
 const (
-	// pollWait is how long a poll waits for a change. An answer that is lost leaves
-	// a connection that lives and delivers nothing, which only the end of the wait
-	// shows; with the slack for a slow store that is 2.5 s, less than the 3 s after
-	// a disturbance within which a process must be up to date again.
+	// pollWait is how long a poll waits for a change. After a lost response the
+	// connection stays open and delivers nothing, which only the end of the wait
+	// reveals; with the slack for a slow store that takes 2.5 s, less than the 3 s
+	// within which a process must be up to date again after a disturbance.
 	pollWait = 1800 * time.Millisecond
-	// The pause after a failed call doubles: refused calls are priced too.
+	// The backoff after a failed call doubles: refused calls are charged as well.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// Store is what a watch needs of the platform's store.
+// Store is the part of the platform's store that a Watch uses.
 type Store interface {
 	List(ctx context.Context, table string) (platform.Rows, error)
 	Feed(ctx context.Context, table string, after uint64, wait time.Duration) (platform.Rows, error)
@@ -39,12 +39,12 @@
 	Table string
 	Post  func(reduce.Event)
 	Log   *logrus.Entry
-	// BatchDelay is the pause after a change, which gathers those that come close
-	// together into one poll.
+	// BatchDelay is the pause after a change, so that one poll returns changes
+	// that follow each other closely.
 	BatchDelay time.Duration
 
 	backoff   time.Duration
-	storeLost bool // StoreLost was posted and not taken back.
+	storeLost bool // StoreLost was posted and StoreRegained not yet.
 }
 
 // Run follows the table until ctx ends.
@@ -57,7 +57,7 @@
 	}
 }
 
-// list reads the whole table.
+// list reads the whole table and posts its rows.
 func (w *Watch) list(ctx context.Context) (version uint64, ok bool) {
 	rows, err := w.Store.List(ctx, w.Table)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return rows.Version, true
 }
 
-// feed waits for changes after the version. Not ok means that the table must
-// be listed again.
+// feed waits for changes after the version and posts them. If ok is false, the
+// table must be listed again.
 func (w *Watch) feed(ctx context.Context, after uint64) (version uint64, ok bool) {
 	rows, err := w.Store.Feed(ctx, w.Table, after, pollWait)
 	if errors.Is(err, platform.ErrHistoryGone) {
--- a/server/watch/watch_test.go
+++ b/server/watch/watch_test.go
@@ -16,7 +16,7 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// fakeStore answers calls from a script, then waits for the end of the context.
+// fakeStore answers calls from a script, then blocks until the context ends.
 type fakeStore struct {
 	mu     sync.Mutex
 	script []func() (platform.Rows, error)
@@ -93,22 +93,22 @@
 		So(calls, ShouldResemble, []string{"list", "feed", "feed", "feed"})
 		So(events, ShouldResemble, []string{listed, read, gone})
 	})
-	Convey("It is listed again when its history is gone", t, func() {
+	Convey("A table is listed again when its history is gone", t, func() {
 		calls, events := runScript(returnsRows(5), returnsError(platform.ErrHistoryGone), returnsRows(9, serverRow))
 		So(calls, ShouldResemble, []string{"list", "feed", "list", "feed"})
 		So(events, ShouldResemble, []string{listed, listed})
 	})
-	Convey("An outage is told once, its end before what has changed meanwhile", t, func() {
+	Convey("An outage is posted once, and its end before the changes made meanwhile", t, func() {
 		_, events := runScript(returnsRows(5), returnsError(errors.New("down")), returnsError(errors.New("down")), returnsRows(6, serverRow))
 		So(events, ShouldResemble, []string{listed, lost, regained, read})
 	})
-	Convey("A row that can't be read counts as gone; the others hold", t, func() {
+	Convey("A row that can't be decoded counts as gone and the other rows are kept", t, func() {
 		_, events := runScript(returnsRows(5), returnsRows(6, platform.Row{Key: "y", Value: []byte("{")}, serverRow))
 		So(events, ShouldResemble, []string{listed, gone, read})
 	})
 }
 
-// lostAnswerStore loses the answer of the first poll: it ends with its own wait.
+// lostAnswerStore loses the response of the first poll, which ends after its wait.
 type lostAnswerStore struct {
 	fakeStore
 	polls int
@@ -124,7 +124,7 @@
 }
 
 func TestLostAnswer(t *testing.T) {
-	Convey("A change whose answer was lost is known within 3 s", t, func() {
+	Convey("A change whose response was lost is posted within 3 s", t, func() {
 		store := &lostAnswerStore{fakeStore: fakeStore{script: []func() (platform.Rows, error){
 			returnsRows(5, serverRow), returnsRows(6, platform.Row{Key: "x", Deleted: true}),
 		}}}
@@ -144,7 +144,7 @@
 					return
 				}
 			case <-time.After(5 * time.Second):
-				t.Error("the change is not known")
+				t.Error("the change was not posted")
 				return
 			}
 		}
