--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -77,16 +77,16 @@
 // forward sends the order to the engine and answers the order's ticket. An order
 // that needs a map fails until the weights of that map are loaded.
 func (g *Group) forward(ctx context.Context, forward expertmap.Forward) {
-	state, err := g.applyOrder(ctx, forward.Order)
+	state, err := g.sendToEngine(ctx, forward.Order)
 	if errors.Is(err, ports.ErrFenced) || errors.Is(err, ports.ErrUnavailable) {
 		g.log(logevent.MapOrderFailed, logrus.Fields{"order": forward.Order.Kind, "error": err.Error()})
 	}
 	g.answer(forward.Ticket, answer{state: state, err: err})
 }
 
-func (g *Group) applyOrder(ctx context.Context, order expertmap.Order) (expertmap.EngineState, error) {
+func (g *Group) sendToEngine(ctx context.Context, order expertmap.Order) (expertmap.EngineState, error) {
 	request := ports.RankOrder{Fence: order.Number.EngineFence(), Order: order}
-	if id, needs := mapNeeded(order); needs {
+	if id, needs := requiredMap(order); needs {
 		body, err := g.mapWithWeights(ctx, id)
 		if err != nil {
 			return expertmap.EngineState{}, err
@@ -98,9 +98,9 @@
 	return g.engine.OrderMap(ctx, request)
 }
 
-// mapNeeded returns the ID of the map that the engine needs for the order, if
+// requiredMap returns the ID of the map that the engine needs for the order, if
 // it needs one.
-func mapNeeded(order expertmap.Order) (expertmap.ID, bool) {
+func requiredMap(order expertmap.Order) (expertmap.ID, bool) {
 	switch order.Kind {
 	case expertmap.Prepare:
 		return order.Change.ID, true
@@ -127,7 +127,7 @@
 }
 
 func (g *Group) loadWeights(ctx context.Context, id expertmap.ID) {
-	body, err := g.readMapAndWeights(ctx, id)
+	body, err := g.loadMapAndWeights(ctx, id)
 	if err != nil {
 		g.log(logevent.MapOrderFailed, logrus.Fields{"map": id.String(), "error": err.Error()})
 	}
@@ -142,9 +142,9 @@
 	}
 }
 
-// readMapAndWeights reads the map and loads the rank's weights from the weight
-// store.
-func (g *Group) readMapAndWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
+// loadMapAndWeights reads the map and loads the rank's weights for it from the
+// weight store.
+func (g *Group) loadMapAndWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
 	placement, body, err := g.readMap(ctx, id)
 	if err != nil {
 		return nil, err
--- a/server/group/plan.go
+++ b/server/group/plan.go
@@ -42,9 +42,9 @@
 	if member.Group == "" {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	report, err := g.engine.Report(call)
+	report, err := g.engine.Report(callCtx)
 	if err != nil {
 		return
 	}
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -24,8 +24,8 @@
 	// ErrInterrupted means that the exchange failed after bytes of the request
 	// may have reached the server.
 	ErrInterrupted = errors.New("exchange with backend server was interrupted")
-	// ErrMismatchedResponse means that the server's bytes are no answer to this
-	// request.
+	// ErrMismatchedResponse means that what the server sent is not a response to
+	// this request.
 	ErrMismatchedResponse = errors.New("response of backend server does not belong to this request")
 )
 
--- a/server/watch/watch_test.go
+++ b/server/watch/watch_test.go
@@ -123,7 +123,7 @@
 	return h.fakeStore.Feed(ctx, table, after, wait)
 }
 
-func TestLostAnswer(t *testing.T) {
+func TestLostPollResponse(t *testing.T) {
 	Convey("A change whose response was lost is posted within 3 s", t, func() {
 		store := &lostAnswerStore{fakeStore: fakeStore{script: []func() (platform.Rows, error){
 			returnsRows(5, serverRow), returnsRows(6, platform.Row{Key: "x", Deleted: true}),
