--- a/server/gateway/deliver.go
+++ b/server/gateway/deliver.go
@@ -40,7 +40,7 @@
 		// can continue.
 		return dispatch.Failed, result.Errorf(result.CutAnswer, "stream could not be resumed: server answered status %d", exchange.Response.StatusCode)
 	}
-	complete := &answer{status: exchange.Response.StatusCode, header: platform.EndToEnd(exchange.Response.Header), body: body}
+	complete := &answer{status: exchange.Response.StatusCode, header: platform.EndToEndHeader(exchange.Response.Header), body: body}
 	if complete.status >= http.StatusInternalServerError && c.route.Repeatable() {
 		c.fallbackAnswer = complete
 		return dispatch.Failed, result.Errorf(result.BackendFailed, "server answered status %d", complete.status)
@@ -107,7 +107,7 @@
 func (c *call) respondError(failure *result.Error) {
 	description := result.Describe(failure.Code)
 	header := c.writer.Header()
-	platform.Answered(header, c.request.AttemptID, failure.RetryAfter)
+	platform.SetResponseHeader(header, c.request.AttemptID, failure.RetryAfter)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	c.writer.WriteHeader(description.HTTPStatus)
 	c.write([]byte(failure.Error() + "\n"))
--- a/server/gateway/stream.go
+++ b/server/gateway/stream.go
@@ -86,7 +86,7 @@
 	}
 	c.responseStarted = true
 	c.firstByteAt = time.Now()
-	copyHeader(c.writer.Header(), platform.EndToEnd(response.Header))
+	copyHeader(c.writer.Header(), platform.EndToEndHeader(response.Header))
 	c.writer.WriteHeader(response.StatusCode)
 }
 
--- a/server/loadreport/loadreport_test.go
+++ b/server/loadreport/loadreport_test.go
@@ -32,7 +32,7 @@
 			return topology.RankState{Open: true, Queued: 1, Active: 2, Pace: 3}, true
 		})
 		time.Sleep(3 * reportInterval)
-		So(reads.Load(), ShouldEqual, 0) // Nobody wants to know.
+		So(reads.Load(), ShouldEqual, 0) // Without subscribers the load is not read.
 
 		reports := make(chan Report, 100)
 		go func() { _ = subscriber.Serve(func(r Report) { reports <- r }) }()
@@ -46,14 +46,14 @@
 			}
 		})
 	})
-	Convey("A subscription that is not renewed lapses", t, func() {
+	Convey("A subscription that is not renewed expires", t, func() {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = conn.Close() }()
 		publisher := NewPublisher(conn)
 		address := conn.LocalAddr().(*net.UDPAddr).AddrPort()
-		publisher.subscribers[address] = time.Now().Add(-subscriptionLife - time.Second)
-		So(publisher.live(), ShouldBeEmpty)
+		publisher.subscribers[address] = time.Now().Add(-subscriptionTTL - time.Second)
+		So(publisher.active(), ShouldBeEmpty)
 		So(publisher.subscribers, ShouldBeEmpty)
 	})
 }
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -205,7 +205,7 @@
 // unknown, the reply's Problem is set and no error is returned.
 func giveOrder(ctx context.Context, engine Engine, order topology.Order, reply *GiveReply) error {
 	err := engine.Give(ctx, order)
-	if err != nil && !errors.Is(err, platform.ErrUnfit) && !errors.Is(err, platform.ErrUnknownOutcome) {
+	if err != nil && !errors.Is(err, platform.ErrOrderRejected) && !errors.Is(err, platform.ErrUnknownOutcome) {
 		return err
 	}
 	if err != nil {
--- a/server/stream/codec.go
+++ b/server/stream/codec.go
@@ -7,9 +7,9 @@
 	"unicode/utf8"
 )
 
-// Most pieces hold only text. Their lines are written with the fields in this
-// order, and a line of exactly this form is read without a general decoder;
-// any other line goes through encoding/json.
+// Most pieces hold only text. They are encoded with the fields in this order,
+// and a line of exactly this form is decoded without encoding/json, which
+// handles all other lines.
 const (
 	openID     = `{"id":"`
 	openSeq    = `","seq":`
@@ -21,20 +21,20 @@
 
 // AppendString appends the text as a JSON string.
 func AppendString(line []byte, text string) []byte {
-	if plain(text) {
+	if needsNoEscape(text) {
 		line = append(line, '"')
 		line = append(line, text...)
 		return append(line, '"')
 	}
 	quoted, err := json.Marshal(text)
 	if err != nil {
-		panic(err) // A string always has a JSON form.
+		panic(err) // Marshalling a string never fails.
 	}
 	return append(line, quoted...)
 }
 
-// plain reports whether the text needs no escapes inside a JSON string.
-func plain[T string | []byte](text T) bool {
+// needsNoEscape reports whether the text needs no escapes inside a JSON string.
+func needsNoEscape[T string | []byte](text T) bool {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c >= utf8.RuneSelf || c == '"' || c == '\\' {
 			return false
@@ -43,7 +43,7 @@
 	return true
 }
 
-// appendPiece appends the piece's line without its end.
+// appendPiece appends the encoded piece without a newline.
 func appendPiece(line []byte, piece Piece) ([]byte, error) {
 	if !textOnly(piece) {
 		encoded, err := json.Marshal(piece)
@@ -65,11 +65,11 @@
 func textOnly(piece Piece) bool {
 	rest := piece
 	rest.ID, rest.Seq, rest.From, rest.Tokens, rest.Text = "", 0, 0, 0, ""
-	return rest == Piece{} && piece.Text != "" && plain(piece.ID) && plain(piece.Text)
+	return rest == Piece{} && piece.Text != "" && needsNoEscape(piece.ID) && needsNoEscape(piece.Text)
 }
 
-// parsePiece reads one line. lastID is the id of the piece before, shared where
-// it is the same.
+// parsePiece decodes one line. lastID is the ID of the previous piece; the
+// piece shares that string if its ID is the same.
 func parsePiece(line []byte, lastID string) (Piece, error) {
 	if piece, ok := parseTextOnly(line, lastID); ok {
 		return piece, nil
@@ -89,7 +89,7 @@
 	from, rest, fromOK := cutNumber(rest, openTokens)
 	tokens, rest, tokensOK := cutNumber(rest, openText)
 	text, textOK := bytes.CutSuffix(rest, []byte(closeText))
-	if !idOK || !seqOK || !fromOK || !tokensOK || !textOK || !plain(id) || !plain(text) {
+	if !idOK || !seqOK || !fromOK || !tokensOK || !textOK || !needsNoEscape(id) || !needsNoEscape(text) {
 		return Piece{}, false
 	}
 	if string(id) != lastID {
@@ -101,7 +101,7 @@
 // maxDigits keeps a number within an int.
 const maxDigits = 18
 
-// cutNumber reads a decimal number up to the separator.
+// cutNumber parses a decimal number up to the separator.
 func cutNumber(line []byte, separator string) (number int, rest []byte, ok bool) {
 	digits, rest, found := bytes.Cut(line, []byte(separator))
 	if !found || len(digits) == 0 || len(digits) > maxDigits || (digits[0] == '0' && len(digits) > 1) {
--- a/server/stream/stream.go
+++ b/server/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream frames an answer as a sequence of pieces, one JSON value a
+// Package stream frames an answer as a sequence of pieces, one JSON value per
 // line. Every piece names its request, and only a piece marked End completes
-// the answer: a stream without it was cut.
+// the answer: a stream without one is truncated.
 package stream
 
 import (
@@ -15,14 +15,14 @@
 )
 
 const (
-	maxPieceBytes   = 4 << 20 // Of one line.
+	maxPieceBytes   = 4 << 20 // Maximum length of one line.
 	readBufferBytes = 4 << 10
 )
 
-var errTooLong = errors.New("piece is longer than a line may be")
+var errLineTooLong = errors.New("piece exceeds the maximum line length")
 
-// ErrCut means that the stream ended without its end piece.
-var ErrCut = errors.New("answer cut before its end")
+// ErrTruncated means that the stream ended without an end piece.
+var ErrTruncated = errors.New("answer truncated before its end")
 
 // Usage counts the tokens of one answer.
 type Usage struct {
@@ -42,11 +42,11 @@
 	End    bool        `json:"end,omitempty"`
 	Finish string      `json:"finish,omitempty"`
 	Usage  *Usage      `json:"usage,omitempty"`
-	Code   result.Code `json:"code,omitempty"` // Set on an end that is a failure.
+	Code   result.Code `json:"code,omitempty"` // Set on an end piece that reports a failure.
 	Detail string      `json:"detail,omitempty"`
 
-	// More tells that the next piece is at hand, so that a writer may send both
-	// together. It is not part of the stream.
+	// More means that the next piece is already available, so that a writer may
+	// send both together. It is not encoded in the stream.
 	More bool `json:"-"`
 }
 
@@ -59,14 +59,14 @@
 
 // Writer writes pieces.
 type Writer struct {
-	w     io.Writer
-	line  []byte // Reused by each piece.
-	flush func()
-	held  bool // Something was written since the last flush.
+	w         io.Writer
+	line      []byte // Buffer that every piece reuses.
+	flush     func()
+	unflushed bool // Something was written since the last flush.
 }
 
 // NewWriter returns a Writer that calls flush, if not nil, after each piece
-// unless another one is at hand.
+// that is not marked More.
 func NewWriter(w io.Writer, flush func()) *Writer {
 	return &Writer{w: w, flush: flush}
 }
@@ -81,26 +81,26 @@
 	if _, err := w.w.Write(w.line); err != nil {
 		return fmt.Errorf("write piece %d of %q: %w", piece.Seq, piece.ID, err)
 	}
-	w.held = true
+	w.unflushed = true
 	if !piece.More {
 		w.Flush()
 	}
 	return nil
 }
 
-// Flush sends what pieces marked More have left waiting.
+// Flush flushes pieces marked More that have not been flushed yet.
 func (w *Writer) Flush() {
-	if w.flush != nil && w.held {
+	if w.flush != nil && w.unflushed {
 		w.flush()
 	}
-	w.held = false
+	w.unflushed = false
 }
 
 // Reader reads pieces. Close must be called.
 type Reader struct {
 	lines  *bufio.Reader
 	body   io.Closer
-	ended  bool
+	sawEnd bool
 	lastID string
 }
 
@@ -110,37 +110,37 @@
 }
 
 // Next returns the next piece. After the last one it returns io.EOF if an end
-// piece was among them, otherwise ErrCut.
+// piece was among them, otherwise ErrTruncated.
 func (r *Reader) Next() (Piece, error) {
 	line, err := r.readLine()
 	if err != nil {
-		return Piece{}, r.endError(err)
+		return Piece{}, r.readError(err)
 	}
 	piece, err := parsePiece(line, r.lastID)
 	if err != nil {
-		return Piece{}, fmt.Errorf("%w: malformed piece: %v", ErrCut, err)
+		return Piece{}, fmt.Errorf("%w: malformed piece: %v", ErrTruncated, err)
 	}
 	r.lastID = piece.ID
-	r.ended = r.ended || piece.End
+	r.sawEnd = r.sawEnd || piece.End
 	piece.More = r.lineBuffered()
 	return piece, nil
 }
 
-// readLine returns the next line without its end, valid until the next call.
-// A last line without an end counts.
+// readLine returns the next line without its newline, valid until the next
+// call. A last line without a newline counts.
 func (r *Reader) readLine() ([]byte, error) {
-	var long []byte // A line longer than the buffer.
+	var accumulated []byte // A line longer than the buffer.
 	for {
 		part, err := r.lines.ReadSlice('\n')
-		if len(long)+len(part) > maxPieceBytes {
-			return nil, errTooLong
+		if len(accumulated)+len(part) > maxPieceBytes {
+			return nil, errLineTooLong
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, part...)
+			accumulated = append(accumulated, part...)
 			continue
 		}
-		if long != nil {
-			part = append(long, part...)
+		if accumulated != nil {
+			part = append(accumulated, part...)
 		}
 		if err != nil && (!errors.Is(err, io.EOF) || len(part) == 0) {
 			return nil, err
@@ -151,25 +151,25 @@
 
 // lineBuffered reports whether the next line can be read without waiting.
 func (r *Reader) lineBuffered() bool {
-	waiting, _ := r.lines.Peek(r.lines.Buffered())
-	return bytes.IndexByte(waiting, '\n') >= 0
+	buffered, _ := r.lines.Peek(r.lines.Buffered())
+	return bytes.IndexByte(buffered, '\n') >= 0
 }
 
-func (r *Reader) endError(err error) error {
+func (r *Reader) readError(err error) error {
 	if !errors.Is(err, io.EOF) {
-		return fmt.Errorf("%w: %v", ErrCut, err)
+		return fmt.Errorf("%w: %v", ErrTruncated, err)
 	}
-	if !r.ended {
-		return ErrCut
+	if !r.sawEnd {
+		return ErrTruncated
 	}
 	return io.EOF
 }
 
-// Close releases the stream; a sender that has not ended sees that its reader
-// is gone. After an end piece it reads the stream out, so that its connection
-// can be used again.
+// Close closes the stream; a sender that has not finished sees that its reader
+// is gone. After an end piece it first reads to the end of the stream, so that
+// the connection can be reused.
 func (r *Reader) Close() error {
-	if r.ended {
+	if r.sawEnd {
 		_, _ = r.lines.Peek(1)
 	}
 	return r.body.Close()
--- a/server/stream/stream_test.go
+++ b/server/stream/stream_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// FuzzReader checks that a stream ends with io.EOF only if its end piece came.
+// FuzzReader checks that a stream ends with io.EOF only after an end piece.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte(`{"id":"a","tokens":1,"text":"x"}` + "\n" + `{"id":"a","from":1,"end":true}` + "\n"))
 	f.Add([]byte(`{"id":"a"`))
@@ -22,7 +22,7 @@
 				ended = ended || piece.End
 				continue
 			}
-			if errors.Is(err, io.EOF) != (ended && !errors.Is(err, ErrCut)) {
+			if errors.Is(err, io.EOF) != (ended && !errors.Is(err, ErrTruncated)) {
 				t.Fatalf("ended %v, error %v", ended, err)
 			}
 			return
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -11,54 +11,55 @@
 )
 
 const (
-	// inlineBodyBytes is the size up to which a body is written before the
-	// answer is read; it fits the socket's buffer, so the write doesn't block.
-	inlineBodyBytes = 16 << 10
-	// maxForeignAnswers bounds answers to other requests that are skipped.
-	maxForeignAnswers = 4
-	// maxForeignBytes bounds the body of such an answer.
-	maxForeignBytes = 1 << 20
+	// maxInlineBodyBytes is the size up to which a body is written before the
+	// response is read; it fits the socket's buffer, so the write doesn't block.
+	maxInlineBodyBytes = 16 << 10
+	// maxMismatchedResponses bounds the skipped responses to other requests.
+	maxMismatchedResponses = 4
+	// maxMismatchedBodyBytes bounds the body of a skipped response.
+	maxMismatchedBodyBytes = 1 << 20
 )
 
 var (
-	// ErrBroken means that the exchange broke off after bytes of the request
+	// ErrInterrupted means that the exchange failed after bytes of the request
 	// may have reached the server.
-	ErrBroken = errors.New("exchange with backend server broke off")
-	// ErrForeignAnswer means that the server's bytes are no answer to this
-	// request.
-	ErrForeignAnswer = errors.New("backend server's bytes don't answer this request")
+	ErrInterrupted = errors.New("exchange with backend server was interrupted")
+	// ErrMismatchedResponse means that what the server sent is not a response to
+	// this request.
+	ErrMismatchedResponse = errors.New("response of backend server does not belong to this request")
 )
 
-// Request is what is sent.
+// Request is a request to a backend server.
 type Request struct {
 	Method string
 	Target string // The request target, byte for byte as the caller sent it.
 	Host   string
 	Header http.Header // End-to-end headers only.
 	Body   []byte
-	// Answers reports whether the headers belong to an answer to this request.
-	Answers func(header http.Header) bool
+	// Matches reports whether the headers belong to a response to this request.
+	Matches func(header http.Header) bool
 }
 
-// Exchange is a request that was sent and the head of its answer.
+// Exchange is a request that was sent and the head of its response.
 type Exchange struct {
 	Response *http.Response
 
-	conn    *Conn
-	pool    *Pool
-	written chan error // Nil where the body was written at once.
-	stop    func() bool
-	ended   bool
+	conn      *Conn
+	pool      *Pool
+	bodyWrite chan error // Result of the asynchronous body write; nil if the body was written inline.
+	stopWatch func() bool
+	ended     bool
 }
 
-// Do sends the request on the connection and reads the head of its answer. The
-// end of ctx closes the connection. It fails with ErrBroken or ErrForeignAnswer.
+// Do sends the request on the connection and reads the head of its response.
+// The end of ctx resets the connection. On failure it returns ErrInterrupted or
+// ErrMismatchedResponse.
 func (p *Pool) Do(ctx context.Context, conn *Conn, request Request) (*Exchange, error) {
 	exchange := &Exchange{conn: conn, pool: p}
-	exchange.stop = context.AfterFunc(ctx, func() { reset(conn) })
+	exchange.stopWatch = context.AfterFunc(ctx, func() { reset(conn) })
 	if err := exchange.send(request); err != nil {
 		exchange.Abort()
-		return nil, fmt.Errorf("%w: send: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: send: %w", ErrInterrupted, err)
 	}
 	if err := exchange.receiveHead(request); err != nil {
 		exchange.Abort()
@@ -77,7 +78,7 @@
 		return err
 	}
 	head.WriteString("\r\n")
-	if len(request.Body) <= inlineBodyBytes {
+	if len(request.Body) <= maxInlineBodyBytes {
 		head.Write(request.Body)
 		_, err := e.conn.Write(head.Bytes())
 		return err
@@ -85,43 +86,43 @@
 	if _, err := e.conn.Write(head.Bytes()); err != nil {
 		return err
 	}
-	// A server may answer before it has read a long body.
-	e.written = make(chan error, 1)
+	// A server may respond before it has read a long body.
+	e.bodyWrite = make(chan error, 1)
 	go func() {
 		_, err := e.conn.Write(request.Body)
-		e.written <- err
+		e.bodyWrite <- err
 	}()
 	return nil
 }
 
 func (e *Exchange) receiveHead(request Request) error {
-	shape := &http.Request{Method: request.Method}
-	for range maxForeignAnswers {
-		response, err := http.ReadResponse(e.conn.reader, shape)
+	methodOnly := &http.Request{Method: request.Method}
+	for range maxMismatchedResponses {
+		response, err := http.ReadResponse(e.conn.reader, methodOnly)
 		if err != nil {
-			return fmt.Errorf("%w: receive: %w", ErrBroken, err)
+			return fmt.Errorf("%w: receive: %w", ErrInterrupted, err)
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Answers(response.Header) {
+		if request.Matches(response.Header) {
 			e.Response = response
 			return nil
 		}
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return fmt.Errorf("%w: it has no length", ErrForeignAnswer)
+			return fmt.Errorf("%w and has no length", ErrMismatchedResponse)
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes)); err != nil {
-			return fmt.Errorf("%w: receive another request's answer: %w", ErrBroken, err)
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBodyBytes)); err != nil {
+			return fmt.Errorf("%w: receive another request's response: %w", ErrInterrupted, err)
 		}
 	}
-	return fmt.Errorf("%w: %d in a row", ErrForeignAnswer, maxForeignAnswers)
+	return fmt.Errorf("%w: %d in a row", ErrMismatchedResponse, maxMismatchedResponses)
 }
 
-// Finish ends an exchange whose body was read to its end and keeps the
-// connection where it can serve another request.
+// Finish ends an exchange whose body was read to its end and returns the
+// connection to the pool if it can serve another request.
 func (e *Exchange) Finish() {
-	if !e.end() {
+	if !e.markEnded() {
 		return
 	}
 	response := e.Response
@@ -130,7 +131,7 @@
 		discard(e.conn)
 		return
 	}
-	if limit, ok := keepAliveLimit(response.Header.Get("Keep-Alive")); ok {
+	if limit, ok := parseKeepAlive(response.Header.Get("Keep-Alive")); ok {
 		e.conn.idleLimit = limit
 	}
 	e.pool.Put(e.conn)
@@ -138,25 +139,26 @@
 
 // Abort ends the exchange and resets its connection.
 func (e *Exchange) Abort() {
-	e.end()
+	e.markEnded()
 	reset(e.conn)
 }
 
-// end reports whether the exchange was still open and its context lives.
-func (e *Exchange) end() bool {
+// markEnded ends the exchange. It reports whether the exchange was still open
+// and its context not done.
+func (e *Exchange) markEnded() bool {
 	if e.ended {
 		return false
 	}
 	e.ended = true
-	return e.stop()
+	return e.stopWatch()
 }
 
 func (e *Exchange) bodyWritten() bool {
-	if e.written == nil {
+	if e.bodyWrite == nil {
 		return true
 	}
 	select {
-	case err := <-e.written:
+	case err := <-e.bodyWrite:
 		return err == nil
 	default:
 		return false
--- a/server/upstream/pool.go
+++ b/server/upstream/pool.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	// maxIdlePerServer is the greatest number of kept connections to one server;
-	// an entry has a few requests at a server at a time.
+	// maxIdlePerServer is the maximum number of idle connections to one server;
+	// an entry has only a few requests in flight at a server.
 	maxIdlePerServer = 8
-	// defaultIdleLimit is how long a connection is kept where the server names
-	// no time.
+	// defaultIdleLimit is how long an idle connection is kept if the server sends
+	// no keep-alive timeout.
 	defaultIdleLimit = 10 * time.Second
-	// idleLimitShare of the time that the server names is used, since the
-	// server counts from an earlier moment.
-	idleLimitShare = 0.7
-	// freshIdleLimit is the idle time up to which a kept connection is used for
-	// requests that can't be sent again.
-	freshIdleLimit = time.Second
-
-	bufferBytes = 8 << 10
+	// keepAliveShare is the part of the server's keep-alive timeout that is used,
+	// since the server starts counting earlier.
+	keepAliveShare = 0.7
+	// nonRepeatableIdleLimit is the idle time up to which a pooled connection is
+	// used for requests that can't be repeated.
+	nonRepeatableIdleLimit = time.Second
+
+	readBufferBytes = 8 << 10
 )
 
-// ErrNotSent means that no byte of the request has left: the backend server
-// could not be connected to.
-var ErrNotSent = errors.New("backend server can't be reached")
+// ErrUnreachable means that no connection to the backend server could be made
+// and no byte of the request was sent.
+var ErrUnreachable = errors.New("backend server can't be reached")
 
-// Target is where a request goes.
+// Target describes the server that a request is sent to.
 type Target struct {
 	Address string
-	// Once says that the request can't be sent again, so a connection that was
-	// idle for long isn't used.
-	Once bool
-	// MaxIdle is how many connections to the server may be kept; all entries
-	// together must leave room under what the server accepts.
+	// NonRepeatable means that the request can't be repeated, so that no
+	// connection with a long idle time is used.
+	NonRepeatable bool
+	// MaxIdle is the number of idle connections to the server that may be kept;
+	// those of all entries together must stay below the server's connection limit.
 	MaxIdle int
 }
 
@@ -63,7 +63,7 @@
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[string][]*Conn // The most recently used last.
+	idle map[string][]*Conn // Most recently used last.
 }
 
 // NewPool returns an empty pool.
@@ -71,8 +71,8 @@
 	return &Pool{dial: dial, idle: map[string][]*Conn{}}
 }
 
-// Get returns a kept connection that looks sound, or a new one. It fails with
-// ErrNotSent.
+// Get returns a reusable idle connection, or a new one. It returns
+// ErrUnreachable if it can't connect.
 func (p *Pool) Get(ctx context.Context, target Target) (*Conn, error) {
 	for {
 		conn := p.takeIdle(target.Address)
@@ -80,7 +80,7 @@
 			break
 		}
 		idle := time.Since(conn.idleSince)
-		if idle < conn.idleLimit && (!target.Once || idle < freshIdleLimit) && conn.quiet() {
+		if idle < conn.idleLimit && (!target.NonRepeatable || idle < nonRepeatableIdleLimit) && conn.reusable() {
 			conn.Reused = true
 			return conn, nil
 		}
@@ -88,34 +88,34 @@
 	}
 	raw, err := p.dial(ctx, "tcp", target.Address)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	return &Conn{
-		Conn: raw, reader: bufio.NewReaderSize(raw, bufferBytes), address: target.Address,
+		Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), address: target.Address,
 		maxIdle: min(max(1, target.MaxIdle), maxIdlePerServer), idleLimit: defaultIdleLimit,
 	}, nil
 }
 
-// Put keeps the connection for a later request.
+// Put returns the connection to the pool for a later request.
 func (p *Pool) Put(conn *Conn) {
 	conn.idleSince = time.Now()
 	p.mu.Lock()
 	list := append(p.idle[conn.address], conn)
-	var surplus *Conn
+	var evicted *Conn
 	if len(list) > conn.maxIdle {
-		surplus, list = list[0], list[1:]
+		evicted, list = list[0], list[1:]
 	}
 	p.idle[conn.address] = list
 	p.mu.Unlock()
-	if surplus != nil {
-		discard(surplus)
+	if evicted != nil {
+		discard(evicted)
 	}
 }
 
-// CloseIdle closes connections to addresses that are not in use any more and
-// those that have been idle for too long.
+// CloseIdle closes idle connections to addresses that are no longer in use and
+// those that have exceeded their idle limit.
 func (p *Pool) CloseIdle(inUse func(address string) bool) {
-	var surplus []*Conn
+	var expired []*Conn
 	p.mu.Lock()
 	for address, list := range p.idle {
 		kept := list[:0]
@@ -123,7 +123,7 @@
 			if inUse(address) && time.Since(conn.idleSince) < conn.idleLimit {
 				kept = append(kept, conn)
 			} else {
-				surplus = append(surplus, conn)
+				expired = append(expired, conn)
 			}
 		}
 		p.idle[address] = kept
@@ -132,7 +132,7 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, conn := range surplus {
+	for _, conn := range expired {
 		discard(conn)
 	}
 }
@@ -149,53 +149,54 @@
 	return conn
 }
 
-// quiet reports whether an idle connection is open and has sent nothing.
-func (c *Conn) quiet() bool {
+// reusable reports whether an idle connection is open and has received nothing
+// from the server.
+func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	source, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := source.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, recvErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(recvErr, unix.EAGAIN)
+		var buffer [1]byte
+		_, _, recvErr := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		reusable = errors.Is(recvErr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
-// keepAliveLimit reads the time that the server keeps an idle connection.
-func keepAliveLimit(header string) (time.Duration, bool) {
+// parseKeepAlive returns the idle limit for the timeout of a Keep-Alive header.
+func parseKeepAlive(header string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
-		if whole, err := strconv.Atoi(strings.TrimSpace(value)); err == nil {
-			return time.Duration(idleLimitShare * float64(whole) * float64(time.Second)), true
+		if timeoutSeconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil {
+			return time.Duration(keepAliveShare * float64(timeoutSeconds) * float64(time.Second)), true
 		}
 	}
 	return 0, false
 }
 
-// reset closes a connection so that bytes which its peer has not had yet are
-// dropped: a request that was given up on must not arrive later.
+// reset closes a connection and drops the bytes that its peer has not received
+// yet: an abandoned request must not arrive later.
 func reset(conn *Conn) {
 	if tcp, ok := conn.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // Without it the bytes merely arrive late.
+		_ = tcp.SetLinger(0) // Otherwise the kernel would still deliver the bytes.
 	}
 	discard(conn)
 }
 
 // discard closes a connection that is no longer needed.
 func discard(conn *Conn) {
-	_ = conn.Close() // Nothing waits for its outcome.
+	_ = conn.Close() // Nothing depends on the result.
 }
--- a/server/upstream/upstream_test.go
+++ b/server/upstream/upstream_test.go
@@ -16,18 +16,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// standIn is a backend server that answers each connection by a script.
-type standIn struct {
+// fakeServer is a backend server that serves each connection with a function.
+type fakeServer struct {
 	listener net.Listener
 	accepted atomic.Int32
 }
 
-func newStandIn(serve func(n int, conn net.Conn, reader *bufio.Reader)) *standIn {
+func newFakeServer(serve func(n int, conn net.Conn, reader *bufio.Reader)) *fakeServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	s := &standIn{listener: listener}
+	s := &fakeServer{listener: listener}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -41,12 +41,12 @@
 	return s
 }
 
-func (s *standIn) address() string { return s.listener.Addr().String() }
+func (s *fakeServer) address() string { return s.listener.Addr().String() }
 
 func request(id string) Request {
 	return Request{
 		Method: http.MethodGet, Target: "/a//b%2f?x=%20", Host: "h.example", Header: http.Header{"X-Id": {id}},
-		Answers: func(header http.Header) bool { return header.Get("X-Id") == id },
+		Matches: func(header http.Header) bool { return header.Get("X-Id") == id },
 	}
 }
 
@@ -66,11 +66,11 @@
 	}
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// do sends one request and returns the body of its answer.
+// do sends one request and returns the body of its response.
 func do(pool *Pool, address, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -94,11 +94,11 @@
 func TestExchange(t *testing.T) {
 	Convey("The target is sent byte for byte, and nothing is added", t, func() {
 		heads := make(chan []string, 1)
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			head, err := readHead(reader)
 			if err == nil {
 				heads <- head
-				_, _ = io.WriteString(conn, answer("1", "ok"))
+				_, _ = io.WriteString(conn, response("1", "ok"))
 			}
 		})
 		defer s.listener.Close()
@@ -108,13 +108,13 @@
 		So(<-heads, ShouldResemble, []string{"GET /a//b%2f?x=%20 HTTP/1.1", "Host: h.example", "X-Id: 1"})
 	})
 
-	Convey("A connection is kept for the next request", t, func() {
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+	Convey("A connection is reused for the next request", t, func() {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for {
 				if _, err := readHead(reader); err != nil {
 					return
 				}
-				_, _ = io.WriteString(conn, answer("1", "ok"))
+				_, _ = io.WriteString(conn, response("1", "ok"))
 			}
 		})
 		defer s.listener.Close()
@@ -126,8 +126,8 @@
 		So(s.accepted.Load(), ShouldEqual, 1)
 	})
 
-	Convey("No more connections are kept than the server has room for", t, func() {
-		s := newStandIn(func(int, net.Conn, *bufio.Reader) {})
+	Convey("No more idle connections are kept than MaxIdle", t, func() {
+		s := newFakeServer(func(int, net.Conn, *bufio.Reader) {})
 		defer s.listener.Close()
 		pool := NewPool(Dial)
 		var conns []*Conn
@@ -142,16 +142,16 @@
 		So(pool.idle[s.address()], ShouldHaveLength, 2)
 	})
 
-	Convey("A late second answer is not taken for the next request's", t, func() {
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+	Convey("A late second response is not taken for the next request's", t, func() {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for n := 1; ; n++ {
 				if _, err := readHead(reader); err != nil {
 					return
 				}
 				if n == 2 {
-					_, _ = io.WriteString(conn, answer("1", "late"))
+					_, _ = io.WriteString(conn, response("1", "late"))
 				}
-				_, _ = io.WriteString(conn, answer(fmt.Sprint(n), "right"))
+				_, _ = io.WriteString(conn, response(fmt.Sprint(n), "right"))
 			}
 		})
 		defer s.listener.Close()
@@ -165,9 +165,9 @@
 
 	Convey("A connection with stray bytes, or a closed one, is not used again", t, func() {
 		for _, stray := range []string{"HTTP/1.1 200 OK\r\n", ""} {
-			s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+			s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 				if _, err := readHead(reader); err == nil {
-					_, _ = io.WriteString(conn, answer("1", "ok"))
+					_, _ = io.WriteString(conn, response("1", "ok"))
 					time.Sleep(20 * time.Millisecond)
 					if stray == "" {
 						_ = conn.Close()
@@ -187,9 +187,9 @@
 		}
 	})
 
-	Convey("A request on a kept connection that breaks is not sent again", t, func() {
+	Convey("A request on a reused connection that breaks is not resent", t, func() {
 		var requests atomic.Int32
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for {
 				if _, err := readHead(reader); err != nil {
 					return
@@ -198,7 +198,7 @@
 					_ = conn.Close()
 					return
 				}
-				_, _ = io.WriteString(conn, answer("1", "ok"))
+				_, _ = io.WriteString(conn, response("1", "ok"))
 			}
 		})
 		defer s.listener.Close()
@@ -206,13 +206,13 @@
 		_, err := do(pool, s.address(), "1")
 		So(err, ShouldBeNil)
 		_, err = do(pool, s.address(), "1")
-		So(errors.Is(err, ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, ErrInterrupted), ShouldBeTrue)
 		time.Sleep(20 * time.Millisecond)
 		So(requests.Load(), ShouldEqual, 2)
 	})
 
-	Convey("A body that ends early is an error; one that ends with its connection is whole", t, func() {
-		s := newStandIn(func(n int, conn net.Conn, reader *bufio.Reader) {
+	Convey("A truncated body is an error; a body without a length ends with its connection", t, func() {
+		s := newFakeServer(func(n int, conn net.Conn, reader *bufio.Reader) {
 			if _, err := readHead(reader); err != nil {
 				return
 			}
@@ -234,7 +234,7 @@
 
 	Convey("The end of the context resets the connection", t, func() {
 		broken := make(chan error, 1)
-		s := newStandIn(func(_ int, conn net.Conn, reader *bufio.Reader) {
+		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			_, _ = readHead(reader)
 			_, err := reader.ReadByte()
 			broken <- err
@@ -246,24 +246,24 @@
 		conn, err := pool.Get(ctx, Target{Address: s.address()})
 		So(err, ShouldBeNil)
 		_, err = pool.Do(ctx, conn, request("1"))
-		So(errors.Is(err, ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, ErrInterrupted), ShouldBeTrue)
 		So((<-broken).Error(), ShouldContainSubstring, "reset")
 	})
 
-	Convey("A server that can't be connected to has had nothing", t, func() {
+	Convey("A refused connection is reported as ErrUnreachable", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
 		_ = listener.Close()
 		_, err = do(NewPool(Dial), address, "1")
-		So(errors.Is(err, ErrNotSent), ShouldBeTrue)
+		So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 	})
 
-	Convey("Idle connections end by the time that the server names", t, func() {
-		limit, ok := keepAliveLimit("timeout=10, max=100")
+	Convey("The idle limit follows the server's keep-alive timeout", t, func() {
+		limit, ok := parseKeepAlive("timeout=10, max=100")
 		So(ok, ShouldBeTrue)
 		So(limit, ShouldEqual, 7*time.Second)
-		_, ok = keepAliveLimit("max=100")
+		_, ok = parseKeepAlive("max=100")
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/server/watch/watch.go
+++ b/server/watch/watch.go
@@ -1,5 +1,5 @@
 // Package watch follows tables of the platform's store by long polls and posts
-// what they say as events.
+// their contents and changes as events.
 package watch
 
 import (
@@ -17,17 +17,17 @@
 )
 
 const (
-	// pollWait is how long a poll waits for a change. An answer that is lost leaves
-	// a connection that lives and delivers nothing, which only the end of the wait
-	// shows; with the slack for a slow store that is 2.5 s, less than the 3 s after
-	// a disturbance within which a process must be up to date again.
+	// pollWait is how long a poll waits for a change. After a lost response the
+	// connection stays open and delivers nothing, which only the end of the wait
+	// reveals; with the slack for a slow store that takes 2.5 s, less than the 3 s
+	// within which a process must be up to date again after a disturbance.
 	pollWait = 1800 * time.Millisecond
-	// The pause after a failed call doubles: refused calls are priced too.
-	firstPause = 100 * time.Millisecond
-	maxPause   = time.Second
+	// The backoff after a failed call doubles: refused calls are charged as well.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// Store is what a watch needs of the platform's store.
+// Store is the part of the platform's store that a Watch uses.
 type Store interface {
 	List(ctx context.Context, table string) (platform.Rows, error)
 	Feed(ctx context.Context, table string, after uint64, wait time.Duration) (platform.Rows, error)
@@ -39,12 +39,12 @@
 	Table string
 	Post  func(reduce.Event)
 	Log   *logrus.Entry
-	// Settle is the pause after a change, which gathers those that come close
-	// together into one poll.
-	Settle time.Duration
+	// BatchDelay is the pause after a change, so that one poll returns changes
+	// that follow each other closely.
+	BatchDelay time.Duration
 
-	pause time.Duration
-	lost  bool // StoreLost was posted and not taken back.
+	backoff   time.Duration
+	storeLost bool // StoreLost was posted and StoreRegained not yet.
 }
 
 // Run follows the table until ctx ends.
@@ -57,24 +57,24 @@
 	}
 }
 
-// list reads the whole table.
+// list reads the whole table and posts its rows.
 func (w *Watch) list(ctx context.Context) (version uint64, ok bool) {
 	rows, err := w.Store.List(ctx, w.Table)
 	if err != nil {
-		w.failed(ctx, err)
+		w.storeFailed(ctx, err)
 		return 0, false
 	}
-	w.answered()
+	w.storeAnswered()
 	events, err := platform.ListEvents(w.Table, rows.Rows)
-	w.unreadable(err)
+	w.logUnreadable(err)
 	for _, event := range events {
 		w.Post(event)
 	}
 	return rows.Version, true
 }
 
-// feed waits for changes after the version. Not ok means that the table must
-// be listed again.
+// feed waits for changes after the version and posts them. If ok is false, the
+// table must be listed again.
 func (w *Watch) feed(ctx context.Context, after uint64) (version uint64, ok bool) {
 	rows, err := w.Store.Feed(ctx, w.Table, after, pollWait)
 	if errors.Is(err, platform.ErrHistoryGone) {
@@ -82,44 +82,44 @@
 		return 0, false
 	}
 	if err != nil {
-		w.failed(ctx, err)
+		w.storeFailed(ctx, err)
 		return after, true
 	}
-	w.answered()
+	w.storeAnswered()
 	for _, row := range rows.Rows {
 		event, err := platform.ChangeEvent(w.Table, row)
-		w.unreadable(err)
+		w.logUnreadable(err)
 		if event != nil {
 			w.Post(event)
 		}
 	}
 	if len(rows.Rows) > 0 {
-		wait.For(ctx, w.Settle)
+		wait.For(ctx, w.BatchDelay)
 	}
 	return max(after, rows.Version), true
 }
 
-func (w *Watch) answered() {
-	w.pause = 0
-	if w.lost {
-		w.lost = false
+func (w *Watch) storeAnswered() {
+	w.backoff = 0
+	if w.storeLost {
+		w.storeLost = false
 		w.Post(topology.StoreRegained{Watch: w.Table})
 	}
 }
 
-func (w *Watch) failed(ctx context.Context, err error) {
+func (w *Watch) storeFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !w.lost {
-		w.lost = true
+	if !w.storeLost {
+		w.storeLost = true
 		w.Post(topology.StoreLost{Watch: w.Table, Reason: err.Error()})
 	}
-	w.pause = min(max(firstPause, 2*w.pause), maxPause)
-	wait.For(ctx, w.pause)
+	w.backoff = min(max(initialBackoff, 2*w.backoff), maxBackoff)
+	wait.For(ctx, w.backoff)
 }
 
-func (w *Watch) unreadable(err error) {
+func (w *Watch) logUnreadable(err error) {
 	if err != nil {
 		logevent.Write(w.Log, logevent.RowUnreadable, logrus.Fields{"table": w.Table, "error": err.Error()})
 	}
