--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -65,7 +65,7 @@
 	}
 	a.gate = newGate(a.node)
 	a.metrics = metrics.New(a.node.State)
-	a.metrics.InFlight(a.inFlight.Count)
+	a.metrics.RegisterInFlight(a.inFlight.Count)
 	if config.Kind == settings.KindEngine {
 		engine := httpapi.NewEngine(config.Backend, a.node.Transport)
 		a.engine = engine
@@ -106,7 +106,7 @@
 // in flight. Refusals are answered for the leave delay, since entries may not
 // have noticed yet.
 func (a *Agent) drainAfter(ctx, life context.Context) error {
-	if !leave.Told(ctx, life) {
+	if !leave.AwaitShutdown(ctx, life) {
 		return nil
 	}
 	a.node.Leave()
--- a/server/agent/traffic.go
+++ b/server/agent/traffic.go
@@ -81,7 +81,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(wire.HeaderRefusal, strconv.Itoa(int(err.Code)))
 	w.WriteHeader(result.Describe(err.Code).HTTPStatus)
-	_ = json.NewEncoder(w).Encode(wire.RefusalOf(err))
+	_ = json.NewEncoder(w).Encode(wire.NewRefusal(err))
 }
 
 func (a *Agent) call(ctx context.Context, w http.ResponseWriter, slot *slot, work wire.Work, body []byte) bool {
--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -50,7 +50,7 @@
 func (s *System) standIn(server config.BackendServer) (http.Handler, string) {
 	if server.Service != "" {
 		stand := service.New(serviceTime)
-		s.Service[server.Name] = stand
+		s.Services[server.Name] = stand
 		return stand.Handler(), settings.KindService
 	}
 	options := engine.DefaultOptions()
--- a/server/doccheck/doccheck_test.go
+++ b/server/doccheck/doccheck_test.go
@@ -97,9 +97,9 @@
 	page.WriteString("Entries serve `/metrics` beside the callers' and the operators' interfaces, agents beside their health checks. ")
 	page.WriteString("The Go runtime's and the process's usual metrics are there too.\n\n| metric | type | meaning |\n|---|---|---|\n")
 	m := metrics.New(func() control.State { return control.State{} })
-	m.InFlight(func() int { return 0 })
-	m.Answered("route", result.OK, 0)
-	m.FirstByte("route", 0)
+	m.RegisterInFlight(func() int { return 0 })
+	m.ObserveRequest("route", result.OK, 0)
+	m.ObserveFirstByte("route", 0)
 	families, err := m.Registry().Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/server/entry/entry.go
+++ b/server/entry/entry.go
@@ -53,7 +53,7 @@
 	n := node.New(node.Options{Self: self, Control: listeners.Control, StoreURL: config.Store, Traffic: listeners.Callers.Addr().String(), Peers: config.Peers, Keys: listeners.Keys, Log: log})
 	e := &Entry{settings: config, node: n, runner: attempt.NewRunner(n), limiter: limit.New(n, config.ID), listeners: listeners}
 	e.metrics = metrics.New(n.State)
-	e.metrics.InFlight(e.inFlight.Count)
+	e.metrics.RegisterInFlight(e.inFlight.Count)
 	e.callers = newServer(e.inFlight.Wrap(e.callersHandler()))
 	e.admin = newServer(e.adminHandler())
 	return e
@@ -90,7 +90,7 @@
 // but goes on serving for the leave delay, until the platform's balancer has
 // noticed; then it waits for what is in flight.
 func (e *Entry) drainAfter(ctx, life context.Context) error {
-	if !leave.Told(ctx, life) {
+	if !leave.AwaitShutdown(ctx, life) {
 		return nil
 	}
 	e.node.Leave()
--- a/server/entry/middleware.go
+++ b/server/entry/middleware.go
@@ -58,9 +58,9 @@
 			writeError(writer, err)
 		}
 		if !writer.begun.IsZero() {
-			e.metrics.FirstByte(r.Pattern, writer.begun.Sub(start))
+			e.metrics.ObserveFirstByte(r.Pattern, writer.begun.Sub(start))
 		}
-		e.metrics.Answered(r.Pattern, code, time.Since(start))
+		e.metrics.ObserveRequest(r.Pattern, code, time.Since(start))
 	}
 }
 
--- a/server/leave/drain.go
+++ b/server/leave/drain.go
@@ -9,9 +9,9 @@
 // caller's time for a request.
 const MaxDrain = 10*time.Minute + 15*time.Second
 
-// Told waits until ctx has ended, which tells the process to leave. It returns
+// AwaitShutdown waits until ctx has ended, which tells the process to leave. It returns
 // false where life ended before.
-func Told(ctx, life context.Context) bool {
+func AwaitShutdown(ctx, life context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return life.Err() == nil
--- a/server/metrics/metrics.go
+++ b/server/metrics/metrics.go
@@ -82,8 +82,8 @@
 	return 0
 }
 
-// InFlight adds the gauge of requests in flight.
-func (m *Metrics) InFlight(count func() int) {
+// RegisterInFlight adds the gauge of requests in flight.
+func (m *Metrics) RegisterInFlight(count func() int) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Namespace: namespace, Name: "in_flight_requests", Help: "Requests that the process is working on."},
 		func() float64 { return float64(count()) },
@@ -93,13 +93,13 @@
 // Registry returns the registry, for further metrics.
 func (m *Metrics) Registry() *prometheus.Registry { return m.registry }
 
-// FirstByte records the time to the first byte of an answer.
-func (m *Metrics) FirstByte(route string, elapsed time.Duration) {
+// ObserveFirstByte records the time to the first byte of an answer.
+func (m *Metrics) ObserveFirstByte(route string, elapsed time.Duration) {
 	m.first.WithLabelValues(route).Observe(elapsed.Seconds())
 }
 
-// Answered records one answered request.
-func (m *Metrics) Answered(route string, code result.Code, elapsed time.Duration) {
+// ObserveRequest records one answered request.
+func (m *Metrics) ObserveRequest(route string, code result.Code, elapsed time.Duration) {
 	m.requests.WithLabelValues(route, strconv.Itoa(int(code))).Inc()
 	m.duration.WithLabelValues(route).Observe(elapsed.Seconds())
 }
--- a/server/ports/httpapi/client.go
+++ b/server/ports/httpapi/client.go
@@ -15,8 +15,8 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// StatusConflict is the answer to a transaction whose condition does not hold.
-const StatusConflict = http.StatusPreconditionFailed
+// StatusConditionFailed is the answer to a transaction whose condition does not hold.
+const StatusConditionFailed = http.StatusPreconditionFailed
 
 const (
 	dialTimeout       = 2 * time.Second
@@ -89,7 +89,7 @@
 func statusError(response *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorTextBytes))
 	switch response.StatusCode {
-	case StatusConflict:
+	case StatusConditionFailed:
 		return ports.ErrConflict
 	case http.StatusNotFound:
 		return ports.ErrNotFound
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -126,8 +126,8 @@
 	g.oracle.Steps++
 }
 
-// Lose lets the rank's engine start anew, without a map.
-func (g *Group) Lose(i int) {
+// RestartRank lets the rank's engine start anew, without a map.
+func (g *Group) RestartRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ranks[i].state = expertmap.EngineState{Boot: uuid.NewString()}
@@ -185,7 +185,7 @@
 		prefix := "/rank/" + strconv.Itoa(i)
 		mux.HandleFunc("GET "+prefix+"/expert-map", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, g.report(i)) })
 		mux.HandleFunc("POST "+prefix+"/expert-map/orders", func(w http.ResponseWriter, r *http.Request) { g.serveOrder(w, r, i) })
-		mux.HandleFunc("POST /test"+prefix+"/lose", func(http.ResponseWriter, *http.Request) { g.Lose(i) })
+		mux.HandleFunc("POST /test"+prefix+"/lose", func(http.ResponseWriter, *http.Request) { g.RestartRank(i) })
 		mux.HandleFunc("POST /test"+prefix+"/stall", func(http.ResponseWriter, *http.Request) { g.Stall(i, true) })
 		mux.HandleFunc("DELETE /test"+prefix+"/stall", func(http.ResponseWriter, *http.Request) { g.Stall(i, false) })
 		mux.Handle(prefix+"/", http.StripPrefix(prefix, g.ranks[i].engine.Handler()))
--- a/server/standin/store/http.go
+++ b/server/standin/store/http.go
@@ -58,7 +58,7 @@
 	}
 	err := s.Commit(r.Context(), tx)
 	if errors.Is(err, ports.ErrConflict) {
-		http.Error(w, err.Error(), httpapi.StatusConflict)
+		http.Error(w, err.Error(), httpapi.StatusConditionFailed)
 		return
 	}
 	writeJSON(w, struct{}{})
--- a/server/wire/wire.go
+++ b/server/wire/wire.go
@@ -90,8 +90,8 @@
 	RetryAfterMS int64       `json:"retry_after_ms"`
 }
 
-// RefusalOf returns the refusal that carries the error.
-func RefusalOf(err *result.Error) Refusal {
+// NewRefusal returns the refusal that carries the error.
+func NewRefusal(err *result.Error) Refusal {
 	return Refusal{Code: err.Code, Detail: err.Detail, RetryAfterMS: err.RetryAfter.Milliseconds()}
 }
 
