--- a/server/boundedlog/boundedlog.go
+++ b/server/boundedlog/boundedlog.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// queueLines is about ten seconds of lines at an entry's peak.
-	queueLines = 4096
+	// queueCapacity is about ten seconds of lines at an entry's peak.
+	queueCapacity = 4096
 	// flushBytes gathers lines into one write, for fewer system calls.
 	flushBytes = 16 << 10
 	// flushInterval is the longest time that a line waits to be gathered.
@@ -29,7 +29,7 @@
 
 // New starts a writer to out.
 func New(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
--- a/server/boundedlog/boundedlog_test.go
+++ b/server/boundedlog/boundedlog_test.go
@@ -10,14 +10,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// blocked is an output that takes nothing until it is released.
-type blocked struct {
+// blockedWriter is an output that takes nothing until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	buffer  bytes.Buffer
 }
 
-func (b *blocked) Write(data []byte) (int, error) {
+func (b *blockedWriter) Write(data []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,12 +36,12 @@
 		So(out.String(), ShouldEqual, "a\nb\nc\n")
 	})
 	Convey("An output that takes nothing never blocks who logs, and what is dropped is counted", t, func() {
-		out := &blocked{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		w := New(out)
 		line := []byte(strings.Repeat("x", 100) + "\n")
 		done := make(chan struct{})
 		go func() {
-			for range 3 * queueLines {
+			for range 3 * queueCapacity {
 				_, _ = w.Write(line)
 			}
 			close(done)
--- a/server/cmd/persimmonwind/deployed.go
+++ b/server/cmd/persimmonwind/deployed.go
@@ -21,16 +21,16 @@
 const (
 	// defaultMetricsPort is the port of deploy/system.toml.
 	defaultMetricsPort = 9464
-	// memoryLimitShare of the memory at which the process is killed is the
+	// memoryLimitFraction of the memory at which the process is killed is the
 	// garbage collector's soft limit.
-	memoryLimitShare = 0.7
+	memoryLimitFraction = 0.7
 	// gcPercent lets the heap grow to four times what is in use before it is
 	// collected: that is a few MB, and at the usual 100% a fifth of a coordinator's
 	// processor time went into collections.
 	gcPercent = 300
-	// settingsInterval is how often the settings file is looked at: it may
+	// settingsPollInterval is how often the settings file is looked at: it may
 	// change without a signal.
-	settingsInterval = 2 * time.Second
+	settingsPollInterval = 2 * time.Second
 )
 
 // process is what both roles on the users' platform have in common.
@@ -44,15 +44,15 @@
 		Short: "Run a process on the users' platform",
 	}
 	command.AddCommand(
-		newDeployed("entry", "Run an entry instance on the users' platform",
+		newPlatformProcess("entry", "Run an entry instance on the users' platform",
 			func(s platform.Settings, log *logrus.Entry) process { return deployed.NewEntry(s, log) }),
-		newDeployed("agent", "Run the agent beside a rank of a model group on the users' platform",
+		newPlatformProcess("agent", "Run the agent beside a rank of a model group on the users' platform",
 			func(s platform.Settings, log *logrus.Entry) process { return deployed.NewAgent(s, log) }),
 	)
 	return command
 }
 
-func newDeployed(use, short string, build func(platform.Settings, *logrus.Entry) process) *cobra.Command {
+func newPlatformProcess(use, short string, build func(platform.Settings, *logrus.Entry) process) *cobra.Command {
 	var metricsPort int
 	var level string
 	command := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
@@ -69,23 +69,23 @@
 		}
 		out := boundedlog.New(os.Stdout)
 		defer out.Close()
-		log, err := deployedLog(out, level)
+		log, err := newPlatformLog(out, level)
 		if err != nil {
 			return err
 		}
 		log = log.WithField("process", settings.Instance)
-		limitRuntime(settings)
+		tuneRuntime(settings)
 		logevent.Write(log, logevent.ProcessStarted, logrus.Fields{
 			"role": use, "data_centre": settings.DataCentre, "store": settings.StoreAddress,
 			"memory_mb": settings.MemoryMB, "cpu_share": settings.CPUShare,
 		})
 		go watchSettings(command.Context(), path, settings, log)
-		return logged(log, build(settings, log).Run(command.Context(), metricsPort))
+		return logExit(log, build(settings, log).Run(command.Context(), metricsPort))
 	}
 	return command
 }
 
-func deployedLog(out *boundedlog.Writer, level string) (*logrus.Entry, error) {
+func newPlatformLog(out *boundedlog.Writer, level string) (*logrus.Entry, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
 		return nil, err
@@ -97,12 +97,12 @@
 	return logrus.NewEntry(logger), nil
 }
 
-// limitRuntime fits the runtime to a fraction of one core and a small memory.
-func limitRuntime(settings platform.Settings) {
+// tuneRuntime fits the runtime to a fraction of one core and a small memory.
+func tuneRuntime(settings platform.Settings) {
 	const bytesPerMB = 1 << 20
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMB) * bytesPerMB))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryMB) * bytesPerMB))
 }
 
 // watchSettings reads the settings again when the file changes, with or without
@@ -111,7 +111,7 @@
 func watchSettings(ctx context.Context, path string, current platform.Settings, log *logrus.Entry) {
 	hangUps := make(chan os.Signal, 1)
 	signal.Notify(hangUps, syscall.SIGHUP)
-	ticker := time.NewTicker(settingsInterval)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
--- a/server/cmd/persimmonwind/dev.go
+++ b/server/cmd/persimmonwind/dev.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	readyPoll    = 20 * time.Millisecond
-	readyTimeout = 10 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	readyTimeout      = 10 * time.Second
 )
 
 func newDev() *cobra.Command {
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			go announce(command.Context(), command.OutOrStdout(), system)
+			go printUsageWhenReady(command.Context(), command.OutOrStdout(), system)
 			return system.Run(command.Context())
 		},
 	}
@@ -44,8 +44,8 @@
 	return command
 }
 
-// announce prints how to use the system once each entry is ready.
-func announce(ctx context.Context, out io.Writer, system *dev.System) {
+// printUsageWhenReady prints how to use the system once each entry is ready.
+func printUsageWhenReady(ctx context.Context, out io.Writer, system *dev.System) {
 	for _, entry := range system.Entries {
 		if !awaitReady(ctx, "http://"+entry.Callers+"/readyz") {
 			return
@@ -65,7 +65,7 @@
 				return true
 			}
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 	return false
 }
--- a/server/cmd/persimmonwind/processes.go
+++ b/server/cmd/persimmonwind/processes.go
@@ -33,7 +33,7 @@
 			return err
 		}
 		log := newLog().WithField("process", config.ID)
-		return logged(log, entry.New(config, listeners, log).Run(command.Context()))
+		return logExit(log, entry.New(config, listeners, log).Run(command.Context()))
 	}
 	return command
 }
@@ -69,7 +69,7 @@
 			return err
 		}
 		log := newLog().WithField("process", config.ID)
-		return logged(log, agent.New(config, listeners, log).Run(command.Context()))
+		return logExit(log, agent.New(config, listeners, log).Run(command.Context()))
 	}
 	return command
 }
@@ -96,8 +96,8 @@
 	return keys.NewReloader(files)
 }
 
-// logged logs how a process has ended.
-func logged(log *logrus.Entry, err error) error {
+// logExit logs how a process has ended.
+func logExit(log *logrus.Entry, err error) error {
 	if err != nil {
 		logevent.Write(log, logevent.ProcessFailed, logrus.Fields{"error": err.Error()})
 		return err
--- a/server/dev/dev.go
+++ b/server/dev/dev.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	loopback    = "127.0.0.1:0"
-	serviceTime = 20 * time.Millisecond
+	loopbackAnyPort = "127.0.0.1:0"
+	serviceWorkTime = 20 * time.Millisecond
 )
 
 // Options configure the development system.
@@ -38,9 +38,9 @@
 
 // System is a whole system that is not running yet.
 type System struct {
-	Store   *store.Store
-	Entries []Entry
-	Engines map[string]*engine.Engine
+	Store    *store.Store
+	Entries  []Entry
+	Engines  map[string]*engine.Engine
 	Services map[string]*service.Service
 
 	snapshot *config.Snapshot
@@ -63,7 +63,7 @@
 	if s.snapshot, err = config.Build(1, files); err != nil {
 		return nil, err
 	}
-	if s.keys, err = generateKeys(); err != nil {
+	if s.keys, err = newKeySource(); err != nil {
 		return nil, err
 	}
 	if s.storeURL, err = s.serveHTTP(s.Store.Handler()); err != nil {
@@ -80,7 +80,7 @@
 	return s, s.addEntries()
 }
 
-func generateKeys() (keys.Source, error) {
+func newKeySource() (keys.Source, error) {
 	generated, err := keys.Generate()
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 
 // serveHTTP serves the handler on a free loopback port and returns its URL.
 func (s *System) serveHTTP(handler http.Handler) (string, error) {
-	listener, err := net.Listen("tcp", loopback)
+	listener, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return "", fmt.Errorf("listen on loopback: %w", err)
 	}
--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -15,16 +15,16 @@
 )
 
 func (s *System) addBackend(server config.BackendServer) error {
-	handler, kind := s.standIn(server)
+	handler, kind := s.newStandIn(server)
 	url, err := s.serveHTTP(handler)
 	if err != nil {
 		return err
 	}
-	control, err := net.Listen("tcp", loopback)
+	control, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return fmt.Errorf("listen for agent of %q: %w", server.Name, err)
 	}
-	traffic, err := net.Listen("tcp", loopback)
+	traffic, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return fmt.Errorf("listen for agent of %q: %w", server.Name, err)
 	}
@@ -33,7 +33,7 @@
 		ID: id, Role: ports.RoleAgent, DataCentre: server.DataCentre, BackendServer: server.Name,
 		Control: control.Addr().String(), Traffic: traffic.Addr().String(),
 	})
-	health, err := net.Listen("tcp", loopback)
+	health, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return fmt.Errorf("listen for agent of %q: %w", server.Name, err)
 	}
@@ -47,9 +47,9 @@
 	return nil
 }
 
-func (s *System) standIn(server config.BackendServer) (http.Handler, string) {
+func (s *System) newStandIn(server config.BackendServer) (http.Handler, string) {
 	if server.Service != "" {
-		stand := service.New(serviceTime)
+		stand := service.New(serviceWorkTime)
 		s.Services[server.Name] = stand
 		return stand.Handler(), settings.KindService
 	}
@@ -79,7 +79,7 @@
 		if err := s.addEntry(fmt.Sprintf("entry-%d", index+1), dataCentre, listen, admin); err != nil {
 			return err
 		}
-		listen, admin = loopback, loopback
+		listen, admin = loopbackAnyPort, loopbackAnyPort
 	}
 	return nil
 }
@@ -107,7 +107,7 @@
 }
 
 func listenEntry(listen, adminAddress string) (entry.Listeners, error) {
-	control, err := net.Listen("tcp", loopback)
+	control, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return entry.Listeners{}, fmt.Errorf("listen for peers: %w", err)
 	}
--- a/server/dev/usage.go
+++ b/server/dev/usage.go
@@ -19,23 +19,23 @@
 		fmt.Fprintf(&text, "ready: entry in data centre %s: callers on http://%s, operators on http://%s\n", entry.DataCentre, entry.Callers, entry.Admin)
 	}
 	first := s.Entries[0]
-	s.writeCallers(&text, first.Callers)
-	writeOperators(&text, first.Admin, s.Entries[len(s.Entries)-1].DataCentre)
+	s.writeCallerExamples(&text, first.Callers)
+	writeOperatorExamples(&text, first.Admin, s.Entries[len(s.Entries)-1].DataCentre)
 	return text.String()
 }
 
-func (s *System) writeCallers(text *strings.Builder, address string) {
+func (s *System) writeCallerExamples(text *strings.Builder, address string) {
 	for _, model := range slices.Sorted(maps.Keys(s.snapshot.Models)) {
 		fmt.Fprintf(text, "A streamed chat:\n  curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":%q,\"stream\":true,\"max_tokens\":32,\"messages\":[{\"role\":\"user\",\"content\":\"Check this tallow recipe.\"}]}'\n", address, organisationKey, model)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.snapshot.Services)) {
 		for _, operation := range s.snapshot.Services[name].Operations {
-			writeCall(text, address, name, operation)
+			writeCallExample(text, address, name, operation)
 		}
 	}
 }
 
-func writeCall(text *strings.Builder, address, service string, operation config.Operation) {
+func writeCallExample(text *strings.Builder, address, service string, operation config.Operation) {
 	kind, key := "An idempotent call", ""
 	if !operation.Idempotent {
 		kind, key = "A call that runs at most once", " -H 'Idempotency-Key: "+service+"-1'"
@@ -44,7 +44,7 @@
 		kind, address, service, operation.Name, organisationKey, key)
 }
 
-func writeOperators(text *strings.Builder, address, dataCentre string) {
+func writeOperatorExamples(text *strings.Builder, address, dataCentre string) {
 	fmt.Fprintf(text, "The configuration in force in every process:\n  curl http://%s/admin/v1/status -H 'Authorization: Bearer %s'\n", address, OperatorToken)
 	for _, order := range []string{"take-out", "return"} {
 		fmt.Fprintf(text, "An operator's order:\n  curl -X POST http://%s/admin/v1/data-centres/%s/%s -H 'Authorization: Bearer %s'\n",
--- a/server/doccheck/doccheck_test.go
+++ b/server/doccheck/doccheck_test.go
@@ -23,7 +23,7 @@
 
 var update = flag.Bool("update", false, "write the tables instead of checking them")
 
-func check(t *testing.T, path, want string) {
+func checkPage(t *testing.T, path, want string) {
 	t.Helper()
 	if *update {
 		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
@@ -48,9 +48,9 @@
 	slices.Sort(codes)
 	for _, code := range codes {
 		info := result.Describe(code)
-		fmt.Fprintf(&page, "| %d | `%s` | %d | %s | %s | %s |\n", int(code), info.Name, info.HTTPStatus, yes(info.NotRun), yes(info.Retryable), info.Meaning)
+		fmt.Fprintf(&page, "| %d | `%s` | %d | %s | %s | %s |\n", int(code), info.Name, info.HTTPStatus, yesOrEmpty(info.NotRun), yesOrEmpty(info.Retryable), info.Meaning)
 	}
-	check(t, "../../docs/RESULT_CODES.md", page.String())
+	checkPage(t, "../../docs/RESULT_CODES.md", page.String())
 }
 
 func TestLogEvents(t *testing.T) {
@@ -66,7 +66,7 @@
 		}
 		fmt.Fprintf(&page, "| %d | `%s` | %s | %s |\n", event.ID, event.Name, event.Level, event.Meaning)
 	}
-	check(t, "../../docs/LOG_EVENTS.md", page.String())
+	checkPage(t, "../../docs/LOG_EVENTS.md", page.String())
 }
 
 func TestSettings(t *testing.T) {
@@ -77,7 +77,7 @@
 	entry, agent := settings.DefaultEntry(), settings.DefaultAgent()
 	writeSettings(&page, "persimmonwind entry", settings.Fields(&entry))
 	writeSettings(&page, "persimmonwind agent", settings.Fields(&agent))
-	check(t, "../../docs/SETTINGS.md", page.String())
+	checkPage(t, "../../docs/SETTINGS.md", page.String())
 }
 
 func writeSettings(page *strings.Builder, command string, fields []settings.Field) {
@@ -111,7 +111,7 @@
 	}
 	page.WriteString("\nThe processes on the users' platform serve `/metrics` at the port of `--metrics-port`:\n\n| metric | type | meaning |\n|---|---|---|\n")
 	writeDeployedMetrics(t, &page)
-	check(t, "../../docs/METRICS.md", page.String())
+	checkPage(t, "../../docs/METRICS.md", page.String())
 }
 
 // writeDeployedMetrics describes the metrics of entries and agents on the users'
@@ -132,7 +132,7 @@
 	}
 }
 
-func yes(value bool) string {
+func yesOrEmpty(value bool) string {
 	if value {
 		return "yes"
 	}
--- a/server/leave/drain.go
+++ b/server/leave/drain.go
@@ -11,11 +11,11 @@
 
 // AwaitShutdown waits until ctx has ended, which tells the process to leave. It returns
 // false where life ended before.
-func AwaitShutdown(ctx, life context.Context) bool {
+func AwaitShutdown(ctx, lifetime context.Context) bool {
 	select {
 	case <-ctx.Done():
-		return life.Err() == nil
-	case <-life.Done():
+		return lifetime.Err() == nil
+	case <-lifetime.Done():
 		return false
 	}
 }
--- a/server/leave/serve.go
+++ b/server/leave/serve.go
@@ -10,11 +10,11 @@
 
 // Serve serves until life ends. A graceful shutdown of the server ends the
 // accepting at once but not Serve: requests may still be in flight.
-func Serve(life context.Context, server *http.Server, listener net.Listener) error {
+func Serve(lifetime context.Context, server *http.Server, listener net.Listener) error {
 	err := server.Serve(listener)
 	if !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve %s: %w", listener.Addr(), err)
 	}
-	<-life.Done()
+	<-lifetime.Done()
 	return nil
 }
--- a/server/loop/loop.go
+++ b/server/loop/loop.go
@@ -12,21 +12,21 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
-// queueLength is the number of events that can wait before Post blocks.
-const queueLength = 4096
+// queueCapacity is the number of events that can wait before Post blocks.
+const queueCapacity = 4096
 
 // Step is a reducer. The state passed in must not be used again.
 type Step[S any] func(state S, input reduce.Input) (S, []reduce.Effect)
 
 // Loop owns the control state S and publishes the view V of it.
 type Loop[S, V any] struct {
-	step    Step[S]
-	view    func(S) V
-	execute func(reduce.Effect)
-	record  func(reduce.Input)
-	queue   chan reduce.Event
-	done    chan struct{}
-	current atomic.Pointer[V]
+	step      Step[S]
+	view      func(S) V
+	execute   func(reduce.Effect)
+	record    func(reduce.Input)
+	queue     chan reduce.Event
+	done      chan struct{}
+	published atomic.Pointer[V]
 }
 
 // New returns a loop with its first state. The executor is called in the
@@ -35,7 +35,7 @@
 func New[S, V any](step Step[S], view func(S) V, execute func(reduce.Effect), record func(reduce.Input)) *Loop[S, V] {
 	return &Loop[S, V]{
 		step: step, view: view, execute: execute, record: record,
-		queue: make(chan reduce.Event, queueLength),
+		queue: make(chan reduce.Event, queueCapacity),
 		done:  make(chan struct{}),
 	}
 }
@@ -49,7 +49,7 @@
 }
 
 // View returns the latest published view, or nil before Run.
-func (l *Loop[S, V]) View() *V { return l.current.Load() }
+func (l *Loop[S, V]) View() *V { return l.published.Load() }
 
 // Done is closed when the loop has ended.
 func (l *Loop[S, V]) Done() <-chan struct{} { return l.done }
@@ -88,5 +88,5 @@
 
 func (l *Loop[S, V]) publish(state S) {
 	view := l.view(state)
-	l.current.Store(&view)
+	l.published.Store(&view)
 }
--- a/server/metrics/metrics.go
+++ b/server/metrics/metrics.go
@@ -22,10 +22,10 @@
 
 // Metrics is one process's registry.
 type Metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	duration *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
+	registry  *prometheus.Registry
+	requests  *prometheus.CounterVec
+	duration  *prometheus.HistogramVec
+	firstByte *prometheus.HistogramVec
 }
 
 // New returns the metrics of a process whose control state is read from state.
@@ -40,19 +40,19 @@
 			Namespace: namespace, Name: "request_seconds", Buckets: latencyBuckets,
 			Help: "Time from a request to the end of its answer, in seconds.",
 		}, []string{"route"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "first_byte_seconds", Buckets: latencyBuckets,
 			Help: "Time from a request to the first byte of its answer, in seconds.",
 		}, []string{"route"}),
 	}
-	m.registry.MustRegister(m.requests, m.duration, m.first)
+	m.registry.MustRegister(m.requests, m.duration, m.firstByte)
 	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.registerState(state)
+	m.registerStateGauges(state)
 	return m
 }
 
-// registerState adds the gauges that are read from the control state.
-func (m *Metrics) registerState(state func() control.State) {
+// registerStateGauges adds the gauges that are read from the control state.
+func (m *Metrics) registerStateGauges(state func() control.State) {
 	gauge := func(name, help string, value func(control.State) float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(
 			prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help},
@@ -62,7 +62,7 @@
 	gauge("revision", "Configuration revision in force at this process.",
 		func(s control.State) float64 { return float64(s.View.Revision()) })
 	gauge("leaving", "1 while the process is stopping.",
-		func(s control.State) float64 { return boolean(s.Leaving) })
+		func(s control.State) float64 { return boolToFloat(s.Leaving) })
 	gauge("admission_limit", "Requests at a time that the agent admits.",
 		func(s control.State) float64 { return float64(s.Admission.Limit) })
 	gauge("admission_running", "Requests that the agent has admitted and that have not ended.",
@@ -70,12 +70,12 @@
 	gauge("admission_queued", "Requests that wait at the agent.",
 		func(s control.State) float64 { return float64(s.Admission.Queued) })
 	gauge("backend_cold", "1 while the agent takes its backend server to be in cold start.",
-		func(s control.State) float64 { return boolean(s.Admission.Cold) })
+		func(s control.State) float64 { return boolToFloat(s.Admission.Cold) })
 	gauge("backend_down", "1 while the agent can't reach its backend server.",
-		func(s control.State) float64 { return boolean(s.Admission.Down) })
+		func(s control.State) float64 { return boolToFloat(s.Admission.Down) })
 }
 
-func boolean(value bool) float64 {
+func boolToFloat(value bool) float64 {
 	if value {
 		return 1
 	}
@@ -95,7 +95,7 @@
 
 // ObserveFirstByte records the time to the first byte of an answer.
 func (m *Metrics) ObserveFirstByte(route string, elapsed time.Duration) {
-	m.first.WithLabelValues(route).Observe(elapsed.Seconds())
+	m.firstByte.WithLabelValues(route).Observe(elapsed.Seconds())
 }
 
 // ObserveRequest records one answered request.
--- a/server/ports/httpapi/instances_test.go
+++ b/server/ports/httpapi/instances_test.go
@@ -13,7 +13,7 @@
 	"persimmonwind.dev/server/standin/store"
 )
 
-func TestInstances(t *testing.T) {
+func TestInstanceListUsesETag(t *testing.T) {
 	Convey("An unchanged list is not sent again, a changed one is seen", t, func() {
 		standIn := store.New()
 		statuses := map[int]int{}
--- a/server/ports/httpapi/outcome_test.go
+++ b/server/ports/httpapi/outcome_test.go
@@ -16,10 +16,10 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// cuttingServer takes in POST requests after the first and closes their
+// disconnectingServer takes in POST requests after the first and closes their
 // connection without an answer. The first one leaves an idle connection, since
 // a transport resends only what it sent on a connection that it used before.
-func cuttingServer() (*httptest.Server, *atomic.Int64) {
+func disconnectingServer() (*httptest.Server, *atomic.Int64) {
 	var taken atomic.Int64
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
@@ -32,9 +32,9 @@
 	return server, &taken
 }
 
-func TestNothingIsSentTwice(t *testing.T) {
+func TestRequestIsNotResentOnLostConnection(t *testing.T) {
 	Convey("Given a server that takes a request in and cuts the connection", t, func() {
-		server, taken := cuttingServer()
+		server, taken := disconnectingServer()
 		defer server.Close()
 		transport := NewTransport()
 		defer transport.CloseIdleConnections()
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestRedirectIsNotFollowed(t *testing.T) {
+func TestRedirectNotFollowed(t *testing.T) {
 	Convey("Given a service that takes a call in and redirects to a closed address", t, func() {
 		closed, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestUnavailableMeansNoEffect(t *testing.T) {
+func TestErrUnavailableOnlyWithoutEffect(t *testing.T) {
 	Convey("Given a table service", t, func() {
 		var status atomic.Int64
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/server/rpc/rpc.go
+++ b/server/rpc/rpc.go
@@ -23,10 +23,10 @@
 var ErrUnreachable = errors.New("peer unreachable")
 
 const (
-	// acceptPause is the time after a failed accept; it doubles with each further one
+	// acceptBackoff is the time after a failed accept; it doubles with each further one
 	// up to maxAcceptPause. Those of net/http's server.
-	acceptPause    = 5 * time.Millisecond
-	maxAcceptPause = time.Second
+	acceptBackoff    = 5 * time.Millisecond
+	maxAcceptBackoff = time.Second
 )
 
 // Serve answers calls on the listener until it is closed. Each receiver's
@@ -40,7 +40,7 @@
 			return fmt.Errorf("register RPC receiver %q: %w", name, err)
 		}
 	}
-	pause := acceptPause
+	backoff := acceptBackoff
 	for {
 		connection, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -48,11 +48,11 @@
 		}
 		if err != nil {
 			logevent.Write(log, logevent.AcceptFailed, logrus.Fields{"error": err.Error()})
-			time.Sleep(pause)
-			pause = min(2*pause, maxAcceptPause)
+			time.Sleep(backoff)
+			backoff = min(2*backoff, maxAcceptBackoff)
 			continue
 		}
-		pause = acceptPause
+		backoff = acceptBackoff
 		go server.ServeConn(connection)
 	}
 }
@@ -79,18 +79,18 @@
 	call := client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		return p.finish(address, client, call.Error)
+		return p.checkReply(address, client, call.Error)
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %s: %w", ErrUnreachable, address, ctx.Err())
 	}
 }
 
-func (p *Pool) finish(address string, client *rpc.Client, err error) error {
+func (p *Pool) checkReply(address string, client *rpc.Client, err error) error {
 	var remote rpc.ServerError
 	if err == nil || errors.As(err, &remote) {
 		return err
 	}
-	p.forget(address, client)
+	p.removeClient(address, client)
 	return fmt.Errorf("%w: %s: %v", ErrUnreachable, address, err)
 }
 
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return p.keep(address, rpc.NewClient(connection)), nil
+	return p.storeClient(address, rpc.NewClient(connection)), nil
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -117,8 +117,8 @@
 	return secure.DialContext(ctx, "tcp", address)
 }
 
-// keep stores the client unless another call has stored one meanwhile.
-func (p *Pool) keep(address string, client *rpc.Client) *rpc.Client {
+// storeClient stores the client unless another call has stored one meanwhile.
+func (p *Pool) storeClient(address string, client *rpc.Client) *rpc.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if existing := p.clients[address]; existing != nil {
@@ -129,7 +129,7 @@
 	return client
 }
 
-func (p *Pool) forget(address string, client *rpc.Client) {
+func (p *Pool) removeClient(address string, client *rpc.Client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.clients[address] == client {
@@ -145,7 +145,7 @@
 	client := p.clients[address]
 	p.mu.Unlock()
 	if client != nil {
-		p.forget(address, client)
+		p.removeClient(address, client)
 	}
 }
 
--- a/server/rpc/rpc_test.go
+++ b/server/rpc/rpc_test.go
@@ -10,13 +10,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// starvedListener fails to accept a few times, as where a process has no files left.
-type starvedListener struct {
+// failingListener fails to accept a few times, as where a process has no files left.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *starvedListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -40,7 +40,7 @@
 		logger, logged := test.NewNullLogger()
 		ended := make(chan error, 1)
 		go func() {
-			starved := &starvedListener{Listener: listener, failures: 3}
+			starved := &failingListener{Listener: listener, failures: 3}
 			ended <- Serve(starved, map[string]any{"echo": Echo{}}, logrus.NewEntry(logger))
 		}()
 		pool := NewPool(nil)
--- a/server/settings/field.go
+++ b/server/settings/field.go
@@ -74,19 +74,19 @@
 
 // Fields lists the fields of a pointer to a settings struct.
 func Fields(target any) []Field {
-	return fieldsOf(reflect.ValueOf(target).Elem(), "")
+	return collectFields(reflect.ValueOf(target).Elem(), "")
 }
 
-func fieldsOf(value reflect.Value, prefix string) []Field {
+func collectFields(value reflect.Value, prefix string) []Field {
 	var fields []Field
 	for index := range value.NumField() {
 		declared := value.Type().Field(index)
 		name := prefix + declared.Tag.Get("json")
 		switch {
 		case declared.Anonymous:
-			fields = append(fields, fieldsOf(value.Field(index), prefix)...)
+			fields = append(fields, collectFields(value.Field(index), prefix)...)
 		case declared.Type.Kind() == reflect.Struct:
-			fields = append(fields, fieldsOf(value.Field(index), name+".")...)
+			fields = append(fields, collectFields(value.Field(index), name+".")...)
 		default:
 			fields = append(fields, newField(name, declared, value.Field(index)))
 		}
--- a/server/settings/settings_test.go
+++ b/server/settings/settings_test.go
@@ -29,7 +29,7 @@
 	return config, err
 }
 
-func TestSources(t *testing.T) {
+func TestLoaderPrecedence(t *testing.T) {
 	const file = `{"id": "from-file", "tls": {"key": "file.pem"}, "leave_delay_ms": 7} // comment`
 	variables := map[string]string{"PERSIMMONWIND_ID": "from-variable", "PERSIMMONWIND_TLS_KEY": "variable.pem"}
 	Convey("A flag goes before a variable, a variable before the file", t, func() {
--- a/server/standin/engine/engine.go
+++ b/server/standin/engine/engine.go
@@ -16,8 +16,8 @@
 	"persimmonwind.dev/server/standin/fault"
 )
 
-// errFallen is the end of every generation of an engine that fell over.
-var errFallen = errors.New("engine fell over")
+// errCrashed is the end of every generation of an engine that fell over.
+var errCrashed = errors.New("engine fell over")
 
 // Options shape an engine's behaviour.
 type Options struct {
@@ -56,13 +56,13 @@
 	mu          sync.Mutex
 	bootID      string
 	cold        bool
-	coldTurns   int
+	coldEpoch   int
 	completed   int
 	started     int // Generations submitted.
 	overloads   int // Times the engine fell over while cold.
 	running     int
 	coldRunning int // Those of running that were started in cold start.
-	slots       *sync.Cond
+	slotFreed   *sync.Cond
 	waiting     int
 	stalled     bool
 	generations map[string]*generation
@@ -78,7 +78,7 @@
 // New returns a cold engine.
 func New(options Options) *Engine {
 	e := &Engine{options: options, generations: map[string]*generation{}}
-	e.slots = sync.NewCond(&e.mu)
+	e.slotFreed = sync.NewCond(&e.mu)
 	e.boot()
 	return e
 }
@@ -96,7 +96,7 @@
 	defer e.mu.Unlock()
 	e.cold = true
 	e.completed = 0
-	e.coldTurns++
+	e.coldEpoch++
 	e.coldRunning = 0
 	e.cache.clear()
 }
@@ -112,16 +112,16 @@
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fall()
+	e.crash()
 }
 
-func (e *Engine) fall() {
+func (e *Engine) crash() {
 	for _, g := range e.generations {
-		g.fail(errFallen)
+		g.fail(errCrashed)
 	}
 	e.generations = map[string]*generation{}
 	e.running, e.coldRunning = 0, 0
-	e.slots.Broadcast()
+	e.slotFreed.Broadcast()
 	e.boot()
 }
 
@@ -183,12 +183,12 @@
 	defer e.mu.Unlock()
 	if e.cold && e.coldRunning >= e.options.ColdLimit {
 		e.overloads++
-		e.fall()
-		return errFallen
+		e.crash()
+		return errCrashed
 	}
 	e.waiting++
 	for e.running >= e.options.FullLimit && g.failure() == nil {
-		e.slots.Wait()
+		e.slotFreed.Wait()
 	}
 	e.waiting--
 	if err := g.failure(); err != nil {
@@ -196,7 +196,7 @@
 	}
 	e.running++
 	g.bootID = e.bootID
-	g.coldTurn = e.coldTurns
+	g.coldEpoch = e.coldEpoch
 	if e.cold {
 		g.cold = true
 		e.coldRunning++
@@ -212,10 +212,10 @@
 		return
 	}
 	e.running--
-	if g.cold && g.coldTurn == e.coldTurns {
+	if g.cold && g.coldEpoch == e.coldEpoch {
 		e.coldRunning--
 	}
-	e.slots.Signal()
+	e.slotFreed.Signal()
 	if !completed {
 		return
 	}
--- a/server/standin/engine/generation.go
+++ b/server/standin/engine/generation.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	stallPoll         = 5 * time.Millisecond
+	stallPollInterval = 5 * time.Millisecond
 	defaultMaxTokens  = 16
 	digestBase        = 36
 	finishedRetention = 30 * time.Second // How long a finished generation can be resumed.
@@ -30,9 +30,9 @@
 	request ports.Generation
 
 	// Guarded by Engine.mu:
-	bootID   string // Boot of the engine that holds its slot.
-	coldTurn int    // Cold turns of the engine before its start.
-	cold     bool   // Started in cold start.
+	bootID    string // Boot of the engine that holds its slot.
+	coldEpoch int    // Cold turns of the engine before its start.
+	cold      bool   // Started in cold start.
 
 	mu      sync.Mutex
 	changed chan struct{} // Closed and replaced at every change.
@@ -76,9 +76,9 @@
 	return g.err
 }
 
-// after returns the pieces from index on, or a channel that closes at the next
+// piecesFrom returns the pieces from index on, or a channel that closes at the next
 // change.
-func (g *generation) after(index int) ([]stream.Piece, <-chan struct{}, error) {
+func (g *generation) piecesFrom(index int) ([]stream.Piece, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if index < len(g.pieces) {
@@ -90,7 +90,7 @@
 // follow sends the pieces with tokens after from to write until the end.
 func (g *generation) follow(ctx context.Context, from int, write func(stream.Piece) error) error {
 	for index := 0; ; {
-		pieces, changed, err := g.after(index)
+		pieces, changed, err := g.piecesFrom(index)
 		if err != nil {
 			return err
 		}
@@ -117,7 +117,7 @@
 
 // run generates the whole answer.
 func (e *Engine) run(g *generation) {
-	defer e.forgetLater(g)
+	defer e.removeAfterRetention(g)
 	if err := e.acquire(g); err != nil {
 		g.fail(err)
 		return
@@ -157,7 +157,7 @@
 		time.Sleep(wait)
 	}
 	for e.isStalled() {
-		time.Sleep(stallPoll)
+		time.Sleep(stallPollInterval)
 	}
 }
 
@@ -173,7 +173,7 @@
 	return text.String()
 }
 
-func (e *Engine) forgetLater(g *generation) {
+func (e *Engine) removeAfterRetention(g *generation) {
 	time.AfterFunc(finishedRetention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
--- a/server/standin/engine/http.go
+++ b/server/standin/engine/http.go
@@ -58,7 +58,7 @@
 	e.started++
 	e.mu.Unlock()
 	go e.run(g)
-	e.send(r.Context(), w, g, request.From)
+	e.streamGeneration(r.Context(), w, g, request.From)
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
@@ -72,7 +72,7 @@
 		http.Error(w, "no such generation", http.StatusNotFound)
 		return
 	}
-	e.send(r.Context(), w, g, from)
+	e.streamGeneration(r.Context(), w, g, from)
 }
 
 func (e *Engine) lookup(id string) *generation {
@@ -81,12 +81,12 @@
 	return e.generations[id]
 }
 
-// send streams the generation; a failure cuts the connection.
-func (e *Engine) send(ctx context.Context, w http.ResponseWriter, g *generation, from int) {
+// streamGeneration streams the generation; a failure cuts the connection.
+func (e *Engine) streamGeneration(ctx context.Context, w http.ResponseWriter, g *generation, from int) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	flusher, _ := w.(http.Flusher)
 	writer := stream.NewWriter(w, flusher.Flush)
-	if err := g.follow(ctx, from, e.faultyWrite(writer.Write)); err != nil {
+	if err := g.follow(ctx, from, e.withStreamFaults(writer.Write)); err != nil {
 		writer.Flush()
 		panic(http.ErrAbortHandler)
 	}
@@ -101,7 +101,7 @@
 	g.fail(errCancelled)
 	e.mu.Lock()
 	delete(e.generations, g.request.ID)
-	e.slots.Broadcast()
+	e.slotFreed.Broadcast()
 	e.mu.Unlock()
 	writeJSON(w, struct{}{})
 }
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -42,56 +42,56 @@
 	e.SetStreamFaults(faults)
 }
 
-func due(count, every int) bool { return every > 0 && count%every == 0 }
+func isNth(count, every int) bool { return every > 0 && count%every == 0 }
 
-// faultyWrite returns write with the faults in force applied.
-func (e *Engine) faultyWrite(write func(stream.Piece) error) func(stream.Piece) error {
+// withStreamFaults returns write with the faults in force applied.
+func (e *Engine) withStreamFaults(write func(stream.Piece) error) func(stream.Piece) error {
 	e.mu.Lock()
 	faults := e.streamFaults
 	e.mu.Unlock()
 	if faults == (StreamFaults{}) {
 		return write
 	}
-	sender := &faultySender{engine: e, faults: faults, write: write}
-	return sender.send
+	sender := &faultyWriter{engine: e, faults: faults, write: write}
+	return sender.writePiece
 }
 
-// faultySender applies faults to one stream.
-type faultySender struct {
-	engine *Engine
-	faults StreamFaults
-	write  func(stream.Piece) error
-	late   *stream.Piece // Waits for its successor.
+// faultyWriter applies faults to one stream.
+type faultyWriter struct {
+	engine  *Engine
+	faults  StreamFaults
+	write   func(stream.Piece) error
+	delayed *stream.Piece // Waits for its successor.
 }
 
-func (s *faultySender) send(piece stream.Piece) error {
+func (s *faultyWriter) writePiece(piece stream.Piece) error {
 	count := int(s.engine.sentPieces.Add(1))
-	if due(count, s.faults.CutEvery) {
+	if isNth(count, s.faults.CutEvery) {
 		return errCutByFault
 	}
-	if due(count, s.faults.ForeignEvery) {
+	if isNth(count, s.faults.ForeignEvery) {
 		return s.write(stream.Piece{ID: "foreign", From: piece.From, Tokens: piece.Tokens, Text: "foreign "})
 	}
-	if due(count, s.faults.SwapEvery) && s.late == nil && !piece.End {
-		s.late = &piece
+	if isNth(count, s.faults.SwapEvery) && s.delayed == nil && !piece.End {
+		s.delayed = &piece
 		return nil
 	}
 	if err := s.write(piece); err != nil {
 		return err
 	}
-	if due(count, s.faults.DuplicateEvery) {
+	if isNth(count, s.faults.DuplicateEvery) {
 		if err := s.write(piece); err != nil {
 			return err
 		}
 	}
-	return s.sendLate()
+	return s.writeDelayed()
 }
 
-func (s *faultySender) sendLate() error {
-	if s.late == nil {
+func (s *faultyWriter) writeDelayed() error {
+	if s.delayed == nil {
 		return nil
 	}
-	late := *s.late
-	s.late = nil
+	late := *s.delayed
+	s.delayed = nil
 	return s.write(late)
 }
--- a/server/standin/fault/fault.go
+++ b/server/standin/fault/fault.go
@@ -36,7 +36,7 @@
 	return i.faults
 }
 
-func (i *Injector) takeLostAnswer() bool {
+func (i *Injector) consumeLostAnswer() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.faults.LoseAnswers == 0 {
@@ -70,7 +70,7 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		if r.Method != http.MethodGet && i.takeLostAnswer() {
+		if r.Method != http.MethodGet && i.consumeLostAnswer() {
 			next.ServeHTTP(discard{}, r)
 			panic(http.ErrAbortHandler)
 		}
--- a/server/standin/program/program.go
+++ b/server/standin/program/program.go
@@ -33,9 +33,9 @@
 	return nil
 }
 
-// endOnInterrupt ends all started processes and the tests when the tests are
+// killOnInterrupt ends all started processes and the tests when the tests are
 // interrupted.
-func endOnInterrupt() {
+func killOnInterrupt() {
 	interrupts := make(chan os.Signal, 1)
 	signal.Notify(interrupts, os.Interrupt, syscall.SIGTERM)
 	go func() {
@@ -64,6 +64,6 @@
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, output)
 		return 1
 	}
-	endOnInterrupt()
+	killOnInterrupt()
 	return m.Run()
 }
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -48,7 +48,7 @@
 	popularity [][]float64
 	generation int // Times that every rank was without a map.
 	oracle     Oracle
-	seen       map[uint64]expertmap.Change // By step of this generation.
+	mapByStep  map[uint64]expertmap.Change // By step of this generation.
 }
 
 // Oracle is what the group's steps have shown.
@@ -61,7 +61,7 @@
 
 // New returns a group whose engines have no map.
 func New(options Options) *Group {
-	g := &Group{options: options, ranks: make([]rank, options.Shape.Ranks), seen: map[uint64]expertmap.Change{}}
+	g := &Group{options: options, ranks: make([]rank, options.Shape.Ranks), mapByStep: map[uint64]expertmap.Change{}}
 	for i := range g.ranks {
 		g.ranks[i].state.Boot = uuid.NewString()
 		g.ranks[i].engine = engine.New(engine.DefaultOptions())
@@ -95,13 +95,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i := range g.ranks {
-		if g.mayRun(i) {
-			g.run(i)
+		if g.canRunStep(i) {
+			g.runStep(i)
 		}
 	}
 }
 
-func (g *Group) mayRun(i int) bool {
+func (g *Group) canRunStep(i int) bool {
 	state := g.ranks[i].state
 	for _, other := range g.ranks {
 		if other.state.Next < state.Next {
@@ -111,17 +111,17 @@
 	return !g.ranks[i].stalled && state.CanRunNext()
 }
 
-func (g *Group) run(i int) {
+func (g *Group) runStep(i int) {
 	state := g.ranks[i].state
 	used := state.MapAt(state.Next)
-	before, ok := g.seen[state.Next]
+	before, ok := g.mapByStep[state.Next]
 	if ok && before != used {
 		g.oracle.Violations = append(g.oracle.Violations, fmt.Sprintf("step %d: rank %d used map %s, another %s", state.Next, i, used.ID, before.ID))
 	}
 	if count := len(g.oracle.Maps); count == 0 || g.oracle.Maps[count-1] != used.ID.String() {
 		g.oracle.Maps = append(g.oracle.Maps, used.ID.String())
 	}
-	g.seen[state.Next] = used
+	g.mapByStep[state.Next] = used
 	g.ranks[i].state = state.AfterNextStep()
 	g.oracle.Steps++
 }
@@ -138,7 +138,7 @@
 		}
 	}
 	g.generation++
-	g.seen = map[uint64]expertmap.Change{}
+	g.mapByStep = map[uint64]expertmap.Change{}
 }
 
 // Stall stops or resumes the rank's steps.
@@ -157,9 +157,9 @@
 	return oracle
 }
 
-// order applies the order to the rank; false where the engine refuses its
+// applyOrder applies the applyOrder to the rank; false where the engine refuses its
 // fencing number.
-func (g *Group) order(i int, order ports.RankOrder) (expertmap.EngineState, bool) {
+func (g *Group) applyOrder(i int, order ports.RankOrder) (expertmap.EngineState, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := &g.ranks[i]
@@ -201,7 +201,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	state, ok := g.order(i, order)
+	state, ok := g.applyOrder(i, order)
 	if !ok {
 		http.Error(w, ports.ErrFenced.Error(), http.StatusConflict)
 		return
--- a/server/standin/store/http.go
+++ b/server/standin/store/http.go
@@ -16,12 +16,12 @@
 // Handler serves the store's HTTP interface; see package httpapi.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /table/row", s.serveGet)
-	mux.HandleFunc("GET /table/list", s.serveList)
+	mux.HandleFunc("GET /table/row", s.serveGetRow)
+	mux.HandleFunc("GET /table/list", s.serveListRows)
 	mux.HandleFunc("POST /table/commit", s.serveCommit)
-	mux.HandleFunc("PUT /objects/{name...}", s.servePut)
-	mux.HandleFunc("GET /objects/{name...}", s.serveObject)
-	mux.HandleFunc("DELETE /objects/{name...}", s.serveDelete)
+	mux.HandleFunc("PUT /objects/{name...}", s.servePutObject)
+	mux.HandleFunc("GET /objects/{name...}", s.serveGetObject)
+	mux.HandleFunc("DELETE /objects/{name...}", s.serveDeleteObject)
 	mux.HandleFunc("POST /weights", s.serveWeights)
 	mux.HandleFunc("GET /instances", s.serveInstances)
 	mux.HandleFunc("PUT /instances/{id}", s.serveSetInstance)
@@ -38,12 +38,12 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveGetRow(w http.ResponseWriter, r *http.Request) {
 	row, _ := s.Get(r.Context(), r.URL.Query().Get("key"))
 	writeJSON(w, row)
 }
 
-func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveListRows(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
 	rows, _ := s.List(r.Context(), query.Get("prefix"), query.Get("after"), limit)
@@ -64,7 +64,7 @@
 	writeJSON(w, struct{}{})
 }
 
-func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
+func (s *Store) servePutObject(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -73,13 +73,13 @@
 	_ = s.ObjectStore().Put(r.Context(), r.PathValue("name"), body)
 }
 
-func (s *Store) serveDelete(_ http.ResponseWriter, r *http.Request) {
+func (s *Store) serveDeleteObject(_ http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.objects, r.PathValue("name"))
 }
 
-func (s *Store) serveObject(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveGetObject(w http.ResponseWriter, r *http.Request) {
 	body, err := s.ObjectStore().Get(r.Context(), r.PathValue("name"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusNotFound)
--- a/server/standin/store/store.go
+++ b/server/standin/store/store.go
@@ -15,7 +15,7 @@
 // Store implements the platform's ports in memory.
 type Store struct {
 	Faults  fault.Injector
-	weights weightRate
+	weights weightLimiter
 
 	mu        sync.Mutex
 	rows      map[string]ports.Row
--- a/server/standin/store/weights.go
+++ b/server/standin/store/weights.go
@@ -10,21 +10,21 @@
 // weightsBytesPerSecond is the rate at which the weight store delivers.
 const weightsBytesPerSecond = 8e9
 
-// weightRate hands out the weight store's rate to one caller after another.
-type weightRate struct {
-	mu   sync.Mutex
-	free time.Time // When everything promised so far is delivered.
+// weightLimiter hands out the weight store's rate to one caller after another.
+type weightLimiter struct {
+	mu        sync.Mutex
+	busyUntil time.Time // When everything promised so far is delivered.
 }
 
 // reserve returns when the bytes will have been delivered.
-func (w *weightRate) reserve(bytes int64) time.Time {
+func (w *weightLimiter) reserve(bytes int64) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now := time.Now(); w.free.Before(now) {
-		w.free = now
+	if now := time.Now(); w.busyUntil.Before(now) {
+		w.busyUntil = now
 	}
-	w.free = w.free.Add(time.Duration(float64(bytes) / weightsBytesPerSecond * float64(time.Second)))
-	return w.free
+	w.busyUntil = w.busyUntil.Add(time.Duration(float64(bytes) / weightsBytesPerSecond * float64(time.Second)))
+	return w.busyUntil
 }
 
 func (s *Store) serveWeights(w http.ResponseWriter, r *http.Request) {
