--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -50,7 +50,7 @@
 func (s *System) newStandIn(server config.BackendServer) (http.Handler, string) {
 	if server.Service != "" {
 		stand := service.New(serviceWorkTime)
-		s.Services[server.Name] = stand
+		s.Service[server.Name] = stand
 		return stand.Handler(), settings.KindService
 	}
 	options := engine.DefaultOptions()
--- a/server/standin/engine/engine.go
+++ b/server/standin/engine/engine.go
@@ -196,7 +196,7 @@
 	}
 	e.running++
 	g.bootID = e.bootID
-	g.coldEpoch = e.coldEpoch
+	g.epochAtStart = e.coldEpoch
 	if e.cold {
 		g.cold = true
 		e.coldRunning++
@@ -212,7 +212,7 @@
 		return
 	}
 	e.running--
-	if g.cold && g.coldEpoch == e.coldEpoch {
+	if g.cold && g.epochAtStart == e.coldEpoch {
 		e.coldRunning--
 	}
 	e.slotFreed.Signal()
--- a/server/standin/engine/generation.go
+++ b/server/standin/engine/generation.go
@@ -30,9 +30,9 @@
 	request ports.Generation
 
 	// Guarded by Engine.mu:
-	bootID    string // Boot of the engine that holds its slot.
-	coldEpoch int    // Cold turns of the engine before its start.
-	cold      bool   // Started in cold start.
+	bootID       string // Boot of the engine that holds its slot.
+	epochAtStart int    // Cold turns of the engine before its start.
+	cold         bool   // Started in cold start.
 
 	mu      sync.Mutex
 	changed chan struct{} // Closed and replaced at every change.
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -91,7 +91,7 @@
 	if s.delayed == nil {
 		return nil
 	}
-	late := *s.delayed
+	delayed := *s.delayed
 	s.delayed = nil
-	return s.write(late)
+	return s.write(delayed)
 }
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -157,9 +157,9 @@
 	return oracle
 }
 
-// applyOrder applies the applyOrder to the rank; false where the engine refuses its
+// order applies the order to the rank; false where the engine refuses its
 // fencing number.
-func (g *Group) applyOrder(i int, order ports.RankOrder) (expertmap.EngineState, bool) {
+func (g *Group) order(i int, order ports.RankOrder) (expertmap.EngineState, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := &g.ranks[i]
@@ -171,7 +171,7 @@
 	return r.state, true
 }
 
-func (g *Group) report(i int) ports.RankReport {
+func (g *Group) buildReport(i int) ports.RankReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return ports.RankReport{State: g.ranks[i].state, Shape: g.options.Shape, Popularity: g.popularity}
@@ -183,7 +183,7 @@
 	mux := http.NewServeMux()
 	for i := range g.ranks {
 		prefix := "/rank/" + strconv.Itoa(i)
-		mux.HandleFunc("GET "+prefix+"/expert-map", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, g.report(i)) })
+		mux.HandleFunc("GET "+prefix+"/expert-map", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, g.buildReport(i)) })
 		mux.HandleFunc("POST "+prefix+"/expert-map/orders", func(w http.ResponseWriter, r *http.Request) { g.serveOrder(w, r, i) })
 		mux.HandleFunc("POST /test"+prefix+"/lose", func(http.ResponseWriter, *http.Request) { g.RestartRank(i) })
 		mux.HandleFunc("POST /test"+prefix+"/stall", func(http.ResponseWriter, *http.Request) { g.Stall(i, true) })
@@ -201,7 +201,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	state, ok := g.applyOrder(i, order)
+	state, ok := g.order(i, order)
 	if !ok {
 		http.Error(w, ports.ErrFenced.Error(), http.StatusConflict)
 		return
