--- a/server/cmd/persimmonwind/deployed.go
+++ b/server/cmd/persimmonwind/deployed.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// defaultMetricsPort is the port of deploy/system.toml.
+	// defaultMetricsPort is the metrics port in deploy/system.toml.
 	defaultMetricsPort = 9464
-	// memoryLimitFraction of the memory at which the process is killed is the
-	// garbage collector's soft limit.
+	// memoryLimitFraction is the garbage collector's soft limit, as a fraction of the
+	// memory use at which the process is killed.
 	memoryLimitFraction = 0.7
-	// gcPercent lets the heap grow to four times what is in use before it is
-	// collected: that is a few MB, and at the usual 100% a fifth of a coordinator's
-	// processor time went into collections.
+	// gcPercent lets the heap grow to four times the live heap, which is a few MB,
+	// before a collection. At the default of 100%, a coordinator spends a fifth of
+	// its processor time on collections.
 	gcPercent = 300
-	// settingsPollInterval is how often the settings file is looked at: it may
-	// change without a signal.
+	// settingsPollInterval is the time between two reads of the settings file, which
+	// may change without a signal.
 	settingsPollInterval = 2 * time.Second
 )
 
-// process is what both roles on the users' platform have in common.
+// process is an entry or an agent on the users' platform.
 type process interface {
 	Run(ctx context.Context, metricsPort int) error
 }
@@ -57,7 +57,7 @@
 	var level string
 	command := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
 	command.Flags().IntVar(&metricsPort, "metrics-port", defaultMetricsPort, "port of the metrics on the instance's own address")
-	command.Flags().StringVar(&level, "log-level", "info", "least severe level that is logged: debug, info, warning or error")
+	command.Flags().StringVar(&level, "log-level", "info", "lowest level that is logged: debug, info, warning or error")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		path, err := platform.SettingsPath(os.LookupEnv)
 		if err != nil {
@@ -97,7 +97,7 @@
 	return logrus.NewEntry(logger), nil
 }
 
-// tuneRuntime fits the runtime to a fraction of one core and a small memory.
+// tuneRuntime adjusts the Go runtime to a fraction of one core and little memory.
 func tuneRuntime(settings platform.Settings) {
 	const bytesPerMB = 1 << 20
 	runtime.GOMAXPROCS(1)
@@ -105,18 +105,18 @@
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryMB) * bytesPerMB))
 }
 
-// watchSettings reads the settings again when the file changes, with or without
-// SIGHUP, and logs what it finds. What a running process can't change, like its
-// addresses, holds from the next start.
+// watchSettings reads the settings file again when it changes, with or without
+// SIGHUP, and logs the outcome. Settings that a running process can't change, such
+// as its addresses, take effect at the next start.
 func watchSettings(ctx context.Context, path string, current platform.Settings, log *logrus.Entry) {
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
 		select {
-		case <-hangUps:
+		case <-hangups:
 			signalled = true
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/server/cmd/persimmonwind/dev.go
+++ b/server/cmd/persimmonwind/dev.go
@@ -44,7 +44,7 @@
 	return command
 }
 
-// printUsageWhenReady prints how to use the system once each entry is ready.
+// printUsageWhenReady prints how to use the system once every entry is ready.
 func printUsageWhenReady(ctx context.Context, out io.Writer, system *dev.System) {
 	for _, entry := range system.Entries {
 		if !awaitReady(ctx, "http://"+entry.Callers+"/readyz") {
--- a/server/cmd/persimmonwind/processes.go
+++ b/server/cmd/persimmonwind/processes.go
@@ -88,7 +88,7 @@
 	return agent.Listeners{Control: control, Traffic: traffic, Health: health, Keys: source}, nil
 }
 
-// loadKeys returns nil where no key files are set.
+// loadKeys returns the source of the TLS keys, or nil if no key files are set.
 func loadKeys(files keys.Files) (keys.Source, error) {
 	if !files.Set() {
 		return nil, nil
@@ -96,7 +96,7 @@
 	return keys.NewReloader(files)
 }
 
-// logExit logs how a process has ended.
+// logExit logs whether the process stopped or failed, and returns err.
 func logExit(log *logrus.Entry, err error) error {
 	if err != nil {
 		logevent.Write(log, logevent.ProcessFailed, logrus.Fields{"error": err.Error()})
--- a/server/cmd/persimmonwind/profile.go
+++ b/server/cmd/persimmonwind/profile.go
@@ -9,8 +9,8 @@
 	"persimmonwind.dev/server/dev"
 )
 
-// serveProfiles serves the runtime's profiles on a loopback address; an empty
-// address serves none.
+// serveProfiles serves the runtime's profiles on a loopback address. It does
+// nothing if the address is empty.
 func serveProfiles(address string) error {
 	if address == "" {
 		return nil
--- a/server/cmd/persimmonwind/standin.go
+++ b/server/cmd/persimmonwind/standin.go
@@ -50,15 +50,15 @@
 	}
 	flags := command.Flags()
 	flags.StringVar(&listen, "listen", "127.0.0.1:9010", "address")
-	flags.IntVar(&options.FullLimit, "full-limit", options.FullLimit, "generations at a time when warm")
-	flags.IntVar(&options.ColdLimit, "cold-limit", options.ColdLimit, "generations at a time in cold start")
+	flags.IntVar(&options.FullLimit, "full-limit", options.FullLimit, "concurrent generations when warm")
+	flags.IntVar(&options.ColdLimit, "cold-limit", options.ColdLimit, "concurrent generations in cold start")
 	flags.IntVar(&options.WarmAfter, "warm-after", options.WarmAfter, "completed generations until warm")
 	flags.DurationVar(&options.TokenTime, "token-time", options.TokenTime, "time of one decode step")
 	flags.DurationVar(&options.PrefillTime, "prefill-time", options.PrefillTime, "time for each prompt token that is not cached")
 	flags.DurationVar(&options.ColdDelay, "cold-delay", options.ColdDelay, "time before the prefill in cold start")
 	flags.DurationVar(&options.ReportLag, "report-lag", options.ReportLag, "age of the load report")
 	flags.IntVar(&options.TokensPerPiece, "tokens-per-piece", options.TokensPerPiece, "tokens in one piece of the stream")
-	flags.BoolVar(&options.IgnoreFence, "ignore-fence", false, "take orders with old fencing numbers")
+	flags.BoolVar(&options.IgnoreFence, "ignore-fence", false, "accept orders with outdated fencing numbers")
 	return command
 }
 
@@ -108,6 +108,6 @@
 	flags.StringVar(&listen, "listen", "127.0.0.1:9030", "address")
 	flags.IntVar(&options.Shape.Ranks, "ranks", options.Shape.Ranks, "ranks of the group")
 	flags.DurationVar(&options.StepTime, "step-time", options.StepTime, "time of one step")
-	flags.BoolVar(&options.IgnoreFence, "ignore-fence", false, "take orders with old fencing numbers")
+	flags.BoolVar(&options.IgnoreFence, "ignore-fence", false, "accept orders with outdated fencing numbers")
 	return command
 }
--- a/server/dev/dev.go
+++ b/server/dev/dev.go
@@ -32,11 +32,12 @@
 	ConfigDir string // Directory of configuration files; empty for the embedded ones.
 	Log       *logrus.Entry
 
-	// EngineColdLimit is what engines bear in cold start; 0 for as configured.
+	// EngineColdLimit is the number of concurrent generations that the stand-in
+	// engines withstand in cold start; 0 for the configured limit.
 	EngineColdLimit int
 }
 
-// System is a whole system that is not running yet.
+// System is a whole system. It is built by New and run by Run.
 type System struct {
 	Store   *store.Store
 	Entries []Entry
@@ -108,8 +109,8 @@
 }
 
 func (s *System) applyFiles(files config.Files) error {
-	accepted := configstore.Store{Table: s.Store, Objects: s.Store.ObjectStore()}
-	_, err := accepted.Apply(context.Background(), files)
+	configs := configstore.Store{Table: s.Store, Objects: s.Store.ObjectStore()}
+	_, err := configs.Apply(context.Background(), files)
 	return err
 }
 
--- a/server/dev/dev_test.go
+++ b/server/dev/dev_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestCheckLoopback(t *testing.T) {
-	Convey("The development system listens on loopback only", t, func() {
+	Convey("Only loopback addresses are accepted", t, func() {
 		So(CheckLoopback("127.0.0.1:8080"), ShouldBeNil)
 		So(CheckLoopback("localhost:8080"), ShouldBeNil)
 		So(CheckLoopback("[::1]:8080"), ShouldBeNil)
--- a/server/dev/files.go
+++ b/server/dev/files.go
@@ -15,8 +15,8 @@
 //go:embed config/*.jsonc
 var embedded embed.FS
 
-// ReadFiles reads the configuration files of a directory, or the embedded ones
-// where dir is empty.
+// ReadFiles reads the configuration files of a directory, or the embedded ones if
+// dir is empty.
 func ReadFiles(dir string) (config.Files, error) {
 	files := config.Files{}
 	for _, name := range config.FileNames {
--- a/server/dev/loopback.go
+++ b/server/dev/loopback.go
@@ -6,11 +6,11 @@
 	"net"
 )
 
-// ErrNotLoopback means that the development system was told to listen on an
-// address that others can reach.
+// ErrNotLoopback means that an address of the development system is reachable
+// from other machines.
 var ErrNotLoopback = errors.New("the development system listens on loopback only")
 
-// CheckLoopback returns ErrNotLoopback where the address is not loopback.
+// CheckLoopback returns ErrNotLoopback if the address is not loopback.
 func CheckLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -49,18 +49,18 @@
 
 func (s *System) newStandIn(server config.BackendServer) (http.Handler, string) {
 	if server.Service != "" {
-		stand := service.New(serviceWorkTime)
-		s.Service[server.Name] = stand
-		return stand.Handler(), settings.KindService
+		standIn := service.New(serviceWorkTime)
+		s.Service[server.Name] = standIn
+		return standIn.Handler(), settings.KindService
 	}
 	options := engine.DefaultOptions()
 	options.FullLimit, options.ColdLimit = server.FullLimit, server.ColdLimit
 	if s.options.EngineColdLimit > 0 {
 		options.ColdLimit = s.options.EngineColdLimit
 	}
-	stand := engine.New(options)
-	s.Engines[server.Name] = stand
-	return stand.Handler(), settings.KindEngine
+	standIn := engine.New(options)
+	s.Engines[server.Name] = standIn
+	return standIn.Handler(), settings.KindEngine
 }
 
 // Entry is one entry instance of the system with its addresses.
--- a/server/dev/usage.go
+++ b/server/dev/usage.go
@@ -9,10 +9,12 @@
 	"persimmonwind.dev/policy/config"
 )
 
-// organisationKey is the organisation key in the usage text.
+// organisationKey is the organisation key in the usage text. Every example
+// configuration has it.
 const organisationKey = "dev-key"
 
-// Usage tells how to reach the system, with commands that are ready to paste.
+// Usage returns a text about how to reach the system, with commands to paste into
+// a shell.
 func (s *System) Usage() string {
 	var text strings.Builder
 	for _, entry := range s.Entries {
--- a/server/doccheck/doccheck_test.go
+++ b/server/doccheck/doccheck_test.go
@@ -1,5 +1,5 @@
-// Package doccheck keeps the tables in docs/ equal to the code. Run its tests
-// with -update to write the tables.
+// Package doccheck checks that the tables in docs/ match the code. Its tests write
+// the tables when they are run with -update.
 package doccheck
 
 import (
@@ -30,20 +30,20 @@
 			t.Fatal(err)
 		}
 	}
-	have, err := os.ReadFile(path)
+	got, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(have) != want {
+	if string(got) != want {
 		t.Errorf("%s differs from the code; run: go test ./server/doccheck -update", path)
 	}
 }
 
 func TestResultCodes(t *testing.T) {
 	var page strings.Builder
-	page.WriteString("# Result codes\n\nWritten from package `result`; `go test ./server/doccheck -update` renews it.\n\n")
-	page.WriteString("\"Not run\" is the promise that the work did not run. \"Come back\" tells that a later try can help; the answer says when.\n\n")
-	page.WriteString("| code | name | HTTP status | not run | come back | meaning |\n|---|---|---|---|---|---|\n")
+	page.WriteString("# Result codes\n\nGenerated from package `result` by `go test ./server/doccheck -update`.\n\n")
+	page.WriteString("\"Not run\" guarantees that the work did not run. \"Retry\" means that a later attempt can succeed; the answer says when.\n\n")
+	page.WriteString("| code | name | HTTP status | not run | retry | meaning |\n|---|---|---|---|---|---|\n")
 	codes := result.Codes()
 	slices.Sort(codes)
 	for _, code := range codes {
@@ -55,7 +55,7 @@
 
 func TestLogEvents(t *testing.T) {
 	var page strings.Builder
-	page.WriteString("# Log events\n\nWritten from package `logevent`; `go test ./server/doccheck -update` renews it.\n\n")
+	page.WriteString("# Log events\n\nGenerated from package `logevent` by `go test ./server/doccheck -update`.\n\n")
 	page.WriteString("Every log line is JSON with the fields `event` (the number) and `name`.\n\n")
 	page.WriteString("| event | name | level | meaning |\n|---|---|---|---|\n")
 	events := logevent.Events()
@@ -71,9 +71,9 @@
 
 func TestSettings(t *testing.T) {
 	var page strings.Builder
-	page.WriteString("# Settings\n\nWritten from package `settings`; `go test ./server/doccheck -update` renews it.\n\n")
-	page.WriteString("A flag goes before an environment variable, and that before the settings file (`--settings FILE`, JSON with comments). ")
-	page.WriteString("An unknown or malformed field is refused with file, line and column. Lists in flags and variables are separated by commas.\n")
+	page.WriteString("# Settings\n\nGenerated from package `settings` by `go test ./server/doccheck -update`.\n\n")
+	page.WriteString("A flag takes precedence over an environment variable, and that over the settings file (`--settings FILE`, JSON with comments). ")
+	page.WriteString("An unknown or malformed field is rejected with its file, line and column. Lists in flags and variables are separated by commas.\n")
 	entry, agent := settings.DefaultEntry(), settings.DefaultAgent()
 	writeSettings(&page, "persimmonwind entry", settings.Fields(&entry))
 	writeSettings(&page, "persimmonwind agent", settings.Fields(&agent))
@@ -93,9 +93,9 @@
 
 func TestMetrics(t *testing.T) {
 	var page strings.Builder
-	page.WriteString("# Metrics\n\nWritten from package `metrics`; `go test ./server/doccheck -update` renews it.\n\n")
-	page.WriteString("Entries serve `/metrics` beside the callers' and the operators' interfaces, agents beside their health checks. ")
-	page.WriteString("The Go runtime's and the process's usual metrics are there too.\n\n| metric | type | meaning |\n|---|---|---|\n")
+	page.WriteString("# Metrics\n\nGenerated from package `metrics` by `go test ./server/doccheck -update`.\n\n")
+	page.WriteString("Entries serve `/metrics` on their addresses for callers and for operators, agents on the address of their health checks. ")
+	page.WriteString("The standard metrics of the Go runtime and the process are included.\n\n| metric | type | meaning |\n|---|---|---|\n")
 	m := metrics.New(func() control.State { return control.State{} })
 	m.RegisterInFlight(func() int { return 0 })
 	m.ObserveRequest("route", result.OK, 0)
@@ -109,13 +109,13 @@
 			fmt.Fprintf(&page, "| `%s` | %s | %s |\n", family.GetName(), strings.ToLower(family.GetType().String()), family.GetHelp())
 		}
 	}
-	page.WriteString("\nThe processes on the users' platform serve `/metrics` at the port of `--metrics-port`:\n\n| metric | type | meaning |\n|---|---|---|\n")
+	page.WriteString("\nThe processes on the users' platform serve `/metrics` on the port set by `--metrics-port`:\n\n| metric | type | meaning |\n|---|---|---|\n")
 	writeDeployedMetrics(t, &page)
 	checkPage(t, "../../docs/METRICS.md", page.String())
 }
 
-// writeDeployedMetrics describes the metrics of entries and agents on the users'
-// platform from what their registries say of each.
+// writeDeployedMetrics writes the metrics of entries and agents on the users'
+// platform with the types and help texts from their registries.
 func writeDeployedMetrics(t *testing.T, page *strings.Builder) {
 	t.Helper()
 	registry := prometheus.NewRegistry()
--- a/server/standin/engine/cache.go
+++ b/server/standin/engine/cache.go
@@ -7,10 +7,11 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// maxCacheEvents bounds the events kept for readers; older ones are a gap.
+// maxCacheEvents is the number of events kept for readers. A reader that is
+// further behind sees a gap.
 const maxCacheEvents = 4096
 
-// blockCache is a least-recently-used set of prefix blocks.
+// blockCache is a set of prefix blocks that evicts the least recently used one.
 type blockCache struct {
 	capacity int
 	order    *list.List
@@ -60,7 +61,7 @@
 }
 
 // cachePrompt stores the prompt's blocks and returns how many of its leading
-// tokens were present.
+// tokens were cached before.
 func (e *Engine) cachePrompt(prompt string) int {
 	blocks := prefix.NewPrompt(prompt).Blocks
 	e.mu.Lock()
--- a/server/standin/engine/engine.go
+++ b/server/standin/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine is the stand-in for a model engine: it batches, caches prompt
-// prefixes, turns cold, and falls over when it is overloaded while cold.
+// Package engine is the stand-in for a model engine: it runs generations
+// concurrently, caches prompt prefixes, turns cold, and crashes when it is
+// overloaded in cold start.
 package engine
 
 import (
@@ -16,13 +17,13 @@
 	"persimmonwind.dev/server/standin/fault"
 )
 
-// errCrashed is the end of every generation of an engine that fell over.
-var errCrashed = errors.New("engine fell over")
+// errCrashed ends every generation of an engine that crashes or is restarted.
+var errCrashed = errors.New("engine crashed")
 
-// Options shape an engine's behaviour.
+// Options configure an engine's behaviour.
 type Options struct {
-	FullLimit      int           `json:"full_limit"`       // Generations at a time when warm.
-	ColdLimit      int           `json:"cold_limit"`       // Generations at a time that were started in cold start.
+	FullLimit      int           `json:"full_limit"`       // Concurrent generations when warm.
+	ColdLimit      int           `json:"cold_limit"`       // Concurrent generations that were started in cold start; one more crashes the engine.
 	WarmAfter      int           `json:"warm_after"`       // Completed generations until warm.
 	TokenTime      time.Duration `json:"token_time"`       // Time of one decode step.
 	PrefillTime    time.Duration `json:"prefill_time"`     // Time for each prompt token that is not cached.
@@ -30,10 +31,10 @@
 	TokensPerPiece int           `json:"tokens_per_piece"` // Tokens in one piece of the stream.
 	CacheBlocks    int           `json:"cache_blocks"`     // Prefix blocks kept.
 	ReportLag      time.Duration `json:"report_lag"`       // Age of the load report.
-	IgnoreFence    bool          `json:"ignore_fence"`     // Take orders with old fencing numbers.
+	IgnoreFence    bool          `json:"ignore_fence"`     // Accept orders with outdated fencing numbers.
 }
 
-// DefaultOptions returns the options of a small warm-up engine.
+// DefaultOptions returns the options of a small engine that has a cold start.
 func DefaultOptions() Options {
 	return Options{
 		FullLimit:      64,
@@ -56,10 +57,10 @@
 	mu          sync.Mutex
 	bootID      string
 	cold        bool
-	coldEpoch   int
+	coldEpoch   int // Number of calls to TurnCold.
 	completed   int
 	started     int // Generations submitted.
-	overloads   int // Times the engine fell over while cold.
+	overloads   int // Times the engine crashed from overload in cold start.
 	running     int
 	coldRunning int // Those of running that were started in cold start.
 	slotFreed   *sync.Cond
@@ -90,7 +91,7 @@
 	e.cache = newBlockCache(e.options.CacheBlocks)
 }
 
-// TurnCold makes the engine cold without an announcement.
+// TurnCold makes the engine cold without notice to its clients.
 func (e *Engine) TurnCold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,7 +109,7 @@
 	e.stalled = stalled
 }
 
-// Restart ends every generation and boots the engine anew, cold.
+// Restart ends every generation and restarts the engine, which is then cold.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,14 +133,14 @@
 	return e.started
 }
 
-// Overloads returns how often the engine fell over while cold.
+// Overloads returns how often the engine crashed from overload in cold start.
 func (e *Engine) Overloads() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.overloads
 }
 
-// Load returns the report about the engine as it was ReportLag ago.
+// Load returns the engine's load as it was ReportLag ago.
 func (e *Engine) Load() ports.EngineLoad {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,7 +159,7 @@
 	return e.reports[0]
 }
 
-// Order takes an order, checking its fencing number unless told to ignore it.
+// Order accepts an order. It checks the fencing number unless IgnoreFence is set.
 func (e *Engine) Order(order ports.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -170,14 +171,15 @@
 	return nil
 }
 
-// Orders returns every order taken.
+// Orders returns every accepted order.
 func (e *Engine) Orders() []ports.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]ports.Order(nil), e.orders...)
 }
 
-// acquire waits for a slot; it fails when the engine falls over by it.
+// acquire waits for a slot. In cold start with ColdLimit generations it crashes
+// the engine and fails.
 func (e *Engine) acquire(g *generation) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// release frees the slot, unless the engine has booted anew since it was taken.
+// release frees the slot, unless the engine has restarted since acquire.
 func (e *Engine) release(g *generation, completed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -231,9 +233,9 @@
 	return e.stalled
 }
 
-// Token returns the text of an answer's token with the index: it depends on
-// the prompt alone, so a test can tell whose answer it is and whether it is
-// whole.
+// Token returns the text of the token at the index of an answer. It depends on
+// the prompt and the index alone, so that a test can tell which prompt an answer
+// belongs to and whether it is complete.
 func Token(prompt string, index int) string {
 	return promptDigest(prompt) + "-" + strconv.Itoa(index) + " "
 }
--- a/server/standin/engine/generation.go
+++ b/server/standin/engine/generation.go
@@ -24,15 +24,15 @@
 	return strconv.FormatUint(xxhash.Sum64String(prompt), digestBase)
 }
 
-// generation is one answer under way; its pieces are kept so that a broken
+// generation is one answer in progress. Its pieces are kept so that a broken
 // stream can be resumed.
 type generation struct {
 	request ports.Generation
 
 	// Guarded by Engine.mu:
-	bootID       string // Boot of the engine that holds its slot.
-	epochAtStart int    // Cold turns of the engine before its start.
-	cold         bool   // Started in cold start.
+	bootID       string // Engine.bootID when it took its slot.
+	epochAtStart int    // Engine.coldEpoch when it took its slot.
+	cold         bool   // Whether it was started in cold start.
 
 	mu      sync.Mutex
 	changed chan struct{} // Closed and replaced at every change.
@@ -87,7 +87,8 @@
 	return nil, g.changed, g.err
 }
 
-// follow sends the pieces with tokens after from to write until the end.
+// follow passes the pieces with tokens after from to write until the generation
+// has ended.
 func (g *generation) follow(ctx context.Context, from int, write func(stream.Piece) error) error {
 	for index := 0; ; {
 		pieces, changed, err := g.piecesFrom(index)
--- a/server/standin/engine/http.go
+++ b/server/standin/engine/http.go
@@ -81,7 +81,8 @@
 	return e.generations[id]
 }
 
-// streamGeneration streams the generation; a failure cuts the connection.
+// streamGeneration streams the generation's pieces. On a failure it aborts the
+// connection.
 func (e *Engine) streamGeneration(ctx context.Context, w http.ResponseWriter, g *generation, from int) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	flusher, _ := w.(http.Flusher)
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -10,16 +10,17 @@
 
 var errCutByFault = errors.New("stream cut by an injected fault")
 
-// StreamFaults is what the engine does wrong with the pieces that it sends.
-// Each counts over all streams; zero means never.
+// StreamFaults describes faults in the pieces that the engine sends. Pieces are
+// counted over all streams; zero means never.
 type StreamFaults struct {
 	CutEvery       int `json:"cut_every"`       // Cut the connection at every n-th piece.
 	DuplicateEvery int `json:"duplicate_every"` // Send every n-th piece twice.
 	SwapEvery      int `json:"swap_every"`      // Send every n-th piece after its successor.
-	ForeignEvery   int `json:"foreign_every"`   // Send a piece of another answer before every n-th.
+	ForeignEvery   int `json:"foreign_every"`   // Send a piece of another answer in place of every n-th.
 }
 
-// SetStreamFaults replaces the faults of streams that begin from now on.
+// SetStreamFaults replaces the faults. Streams that have already started keep
+// theirs.
 func (e *Engine) SetStreamFaults(faults StreamFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,7 +45,7 @@
 
 func isNth(count, every int) bool { return every > 0 && count%every == 0 }
 
-// withStreamFaults returns write with the faults in force applied.
+// withStreamFaults returns a function that applies the current faults to write.
 func (e *Engine) withStreamFaults(write func(stream.Piece) error) func(stream.Piece) error {
 	e.mu.Lock()
 	faults := e.streamFaults
@@ -61,7 +62,7 @@
 	engine  *Engine
 	faults  StreamFaults
 	write   func(stream.Piece) error
-	delayed *stream.Piece // Waits for its successor.
+	delayed *stream.Piece // Piece that is held back until after its successor.
 }
 
 func (s *faultyWriter) writePiece(piece stream.Piece) error {
--- a/server/standin/fault/fault.go
+++ b/server/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault lets a stand-in be slow, down, frozen or lose answers. It is
-// set through PUT /faults on every stand-in.
+// Package fault injects faults into a stand-in: it can be slow or down, or lose
+// answers. Faults are set through PUT /faults on every stand-in.
 package fault
 
 import (
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Faults is what a stand-in does wrong. The zero value does nothing wrong.
+// Faults describes the faults of a stand-in. The zero value has none.
 type Faults struct {
-	Down        bool `json:"down"`         // Refuse every request without effect.
-	SlowMS      int  `json:"slow_ms"`      // Wait before every request.
-	LoseAnswers int  `json:"lose_answers"` // Take effect, then drop the connection, this many times.
+	Down        bool `json:"down"`         // Refuse every request, without effect.
+	SlowMS      int  `json:"slow_ms"`      // Delay every request.
+	LoseAnswers int  `json:"lose_answers"` // For this many writes, take effect but drop the connection without an answer.
 }
 
 // Injector applies faults to an HTTP handler.
@@ -59,7 +59,8 @@
 	_ = json.NewEncoder(w).Encode(i.Get())
 }
 
-// Wrap returns next with the faults applied. Only writes lose answers.
+// Wrap returns a handler that applies the faults to next. Only requests other
+// than GET lose answers.
 func (i *Injector) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		faults := i.Get()
@@ -78,7 +79,7 @@
 	})
 }
 
-// discard is a ResponseWriter that drops the answer.
+// discard is an http.ResponseWriter that drops the answer.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
--- a/server/standin/program/program.go
+++ b/server/standin/program/program.go
@@ -1,5 +1,5 @@
 // Package program builds the persimmonwind binary once for a package whose tests
-// start it as processes, and starts them.
+// run it as separate processes, and starts these processes.
 package program
 
 import (
@@ -18,10 +18,10 @@
 	started []*os.Process
 )
 
-// Start starts the command in a process group of its own. Where the shell that runs
-// the tests ends, the kernel hangs up a process group that it leaves behind with
-// stopped processes, and tests stop theirs. An interrupt of the tests no longer
-// reaches the process by itself; Run ends it then.
+// Start starts the command in a process group of its own. When the shell that runs
+// the tests exits, the kernel sends SIGHUP to an orphaned process group that has
+// stopped processes, and some tests stop processes. Since an interrupt of the tests
+// does not reach the other process group, Run then kills the process.
 func Start(command *exec.Cmd) error {
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := command.Start(); err != nil {
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// killOnInterrupt ends all started processes and the tests when the tests are
-// interrupted.
+// killOnInterrupt kills all started processes and ends the tests when the tests
+// are interrupted.
 func killOnInterrupt() {
 	interrupts := make(chan os.Signal, 1)
 	signal.Notify(interrupts, os.Interrupt, syscall.SIGTERM)
@@ -43,14 +43,14 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, process := range started {
-			_ = process.Kill() // Most have ended.
+			_ = process.Kill() // Most have already exited.
 		}
 		os.Exit(1)
 	}()
 }
 
-// Run builds the binary, stores its path and runs the tests. It returns the exit
-// code of the test run, 1 where the binary can't be built.
+// Run builds the binary, stores its path in path and runs the tests. It returns
+// the exit code of the test run, or 1 if the binary can't be built.
 func Run(m *testing.M, path *string) int {
 	dir, err := os.MkdirTemp("", "persimmonwind-tests")
 	if err != nil {
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -1,5 +1,5 @@
-// Package ranks is the stand-in for a group of ranks that run in lock-step on
-// an expert map. Its oracle looks at the map of every rank at every step.
+// Package ranks is the stand-in for a group of ranks that run in lock-step with
+// an expert map. Its test oracle checks the map of every rank at every step.
 package ranks
 
 import (
@@ -19,11 +19,11 @@
 	"persimmonwind.dev/server/standin/engine"
 )
 
-// Options shape a group's behaviour.
+// Options configure a group's behaviour.
 type Options struct {
 	Shape       planner.Shape
 	StepTime    time.Duration
-	IgnoreFence bool // Take orders with old fencing numbers.
+	IgnoreFence bool // Accept orders with outdated fencing numbers.
 }
 
 // DefaultOptions returns the options of a small group.
@@ -36,7 +36,7 @@
 	state   expertmap.EngineState
 	fence   uint64
 	stalled bool
-	engine  *engine.Engine // Its work besides the expert map.
+	engine  *engine.Engine // Handles everything but the expert map.
 }
 
 // Group is one stand-in group.
@@ -46,17 +46,17 @@
 	mu         sync.Mutex
 	ranks      []rank
 	popularity [][]float64
-	generation int // Times that every rank was without a map.
+	generation int // Times that all ranks were without a map.
 	oracle     Oracle
-	mapByStep  map[uint64]expertmap.Change // By step of this generation.
+	mapByStep  map[uint64]expertmap.Change // Map used by each step of this generation.
 }
 
-// Oracle is what the group's steps have shown.
+// Oracle holds the observations of the group's steps.
 type Oracle struct {
-	Steps      int              `json:"steps"`      // Steps of single ranks.
+	Steps      int              `json:"steps"`      // Steps of all ranks together.
 	Violations []string         `json:"violations"` // Steps in which ranks used different maps.
 	Maps       []string         `json:"maps"`       // Maps in the order of their first use.
-	InForce    expertmap.Change `json:"in_force"`   // Of rank 0.
+	InForce    expertmap.Change `json:"in_force"`   // Map of rank 0.
 }
 
 // New returns a group whose engines have no map.
@@ -67,11 +67,11 @@
 		g.ranks[i].engine = engine.New(engine.DefaultOptions())
 	}
 	for range options.Shape.Layers {
-		even := make([]float64, options.Shape.Experts)
-		for expert := range even {
-			even[expert] = 1
+		uniform := make([]float64, options.Shape.Experts)
+		for expert := range uniform {
+			uniform[expert] = 1
 		}
-		g.popularity = append(g.popularity, even)
+		g.popularity = append(g.popularity, uniform)
 	}
 	return g
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// step lets every rank run one step that may.
+// step runs one step of every rank that can run its next one.
 func (g *Group) step() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,7 +116,7 @@
 	used := state.MapAt(state.Next)
 	before, ok := g.mapByStep[state.Next]
 	if ok && before != used {
-		g.oracle.Violations = append(g.oracle.Violations, fmt.Sprintf("step %d: rank %d used map %s, another %s", state.Next, i, used.ID, before.ID))
+		g.oracle.Violations = append(g.oracle.Violations, fmt.Sprintf("step %d: rank %d used map %s, another rank used %s", state.Next, i, used.ID, before.ID))
 	}
 	if count := len(g.oracle.Maps); count == 0 || g.oracle.Maps[count-1] != used.ID.String() {
 		g.oracle.Maps = append(g.oracle.Maps, used.ID.String())
@@ -126,7 +126,7 @@
 	g.oracle.Steps++
 }
 
-// RestartRank lets the rank's engine start anew, without a map.
+// RestartRank restarts the rank's engine, which then has no map.
 func (g *Group) RestartRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -148,7 +148,7 @@
 	g.ranks[i].stalled = stalled
 }
 
-// Oracle returns what the steps have shown.
+// Oracle returns the observations so far.
 func (g *Group) Oracle() Oracle {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,8 +157,8 @@
 	return oracle
 }
 
-// order applies the order to the rank; false where the engine refuses its
-// fencing number.
+// order applies the order to the rank. It returns false if the engine refuses the
+// order's fencing number.
 func (g *Group) order(i int, order ports.RankOrder) (expertmap.EngineState, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/server/standin/service/service.go
+++ b/server/standin/service/service.go
@@ -1,4 +1,4 @@
-// Package service is the stand-in for plain services. It counts every run, so
+// Package service is the stand-in for plain services. It records every run, so
 // that a test can tell whether non-idempotent work ran at most once.
 package service
 
--- a/server/standin/store/store.go
+++ b/server/standin/store/store.go
@@ -35,13 +35,13 @@
 	}
 }
 
-// Counts is how many requests the table service has served.
+// Counts holds the numbers of requests that the table service has served.
 type Counts struct {
 	Reads  int `json:"reads"`
 	Writes int `json:"writes"`
 }
 
-// Counts returns the requests served so far.
+// Counts returns the numbers of requests served so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,21 +122,21 @@
 	return body, nil
 }
 
-// SetInstance adds or replaces a line of the instance list.
+// SetInstance adds or replaces an item of the instance list.
 func (s *Store) SetInstance(instance ports.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instances[instance.ID] = instance
 }
 
-// RemoveInstance removes a line of the instance list.
+// RemoveInstance removes an item of the instance list.
 func (s *Store) RemoveInstance(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.instances, id)
 }
 
-// Instances returns the instance list in order of ID.
+// Instances returns the instance list, sorted by ID.
 func (s *Store) Instances() []ports.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/standin/store/weights.go
+++ b/server/standin/store/weights.go
@@ -7,16 +7,18 @@
 	"time"
 )
 
-// weightsBytesPerSecond is the rate at which the weight store delivers.
+// weightsBytesPerSecond is the throughput of the weight store.
 const weightsBytesPerSecond = 8e9
 
-// weightLimiter hands out the weight store's rate to one caller after another.
+// weightLimiter limits the weight store's throughput by delivering to one caller
+// after another.
 type weightLimiter struct {
 	mu        sync.Mutex
-	busyUntil time.Time // When everything promised so far is delivered.
+	busyUntil time.Time // When all reserved bytes will have been delivered.
 }
 
-// reserve returns when the bytes will have been delivered.
+// reserve reserves the bytes and returns the time at which they will have been
+// delivered.
 func (w *weightLimiter) reserve(bytes int64) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
