--- a/server/boundedlog/boundedlog.go
+++ b/server/boundedlog/boundedlog.go
@@ -15,7 +15,7 @@
 	// flushBytes is the buffer size at which lines are written; batching lines into
 	// one write saves system calls.
 	flushBytes = 16 << 10
-	// flushInterval is the longest time between two writes of the buffer.
+	// flushInterval is the longest time that a line waits in the buffer.
 	flushInterval = 100 * time.Millisecond
 )
 
--- a/server/cmd/persimmonwind/deployed.go
+++ b/server/cmd/persimmonwind/deployed.go
@@ -24,9 +24,9 @@
 	// memoryLimitFraction is the garbage collector's soft limit, as a fraction of the
 	// memory use at which the process is killed.
 	memoryLimitFraction = 0.7
-	// gcPercent lets the heap grow to four times the live heap, which is a few MB,
-	// before a collection. At the default of 100%, a coordinator spends a fifth of
-	// its processor time on collections.
+	// gcPercent lets the heap grow to four times the live heap before a collection,
+	// which is still only a few MB. At the default of 100%, a coordinator spends a
+	// fifth of its processor time on collections.
 	gcPercent = 300
 	// settingsPollInterval is the time between two reads of the settings file, which
 	// may change without a signal.
--- a/server/dev/dev.go
+++ b/server/dev/dev.go
@@ -37,7 +37,7 @@
 	EngineColdLimit int
 }
 
-// System is a whole system. It is built by New and run by Run.
+// System is a whole system in one process. New builds it and Run runs it.
 type System struct {
 	Store   *store.Store
 	Entries []Entry
@@ -92,8 +92,8 @@
 
 // Run runs the system until ctx ends.
 func (s *System) Run(ctx context.Context) error {
-	life, stop := context.WithCancel(ctx)
-	s.group.Add(func() error { <-life.Done(); return nil }, func(error) { stop() })
+	lifetime, stop := context.WithCancel(ctx)
+	s.group.Add(func() error { <-lifetime.Done(); return nil }, func(error) { stop() })
 	return s.group.Run()
 }
 
@@ -115,6 +115,6 @@
 }
 
 func (s *System) addProcess(runProcess func(context.Context) error) {
-	life, stop := context.WithCancel(context.Background())
-	s.group.Add(func() error { return runProcess(life) }, func(error) { stop() })
+	lifetime, stop := context.WithCancel(context.Background())
+	s.group.Add(func() error { return runProcess(lifetime) }, func(error) { stop() })
 }
--- a/server/dev/loopback.go
+++ b/server/dev/loopback.go
@@ -6,9 +6,9 @@
 	"net"
 )
 
-// ErrNotLoopback means that an address of the development system is reachable
-// from other machines.
-var ErrNotLoopback = errors.New("the development system listens on loopback only")
+// ErrNotLoopback means that an address on which only this machine may connect, as
+// those of the development system, is not a loopback address.
+var ErrNotLoopback = errors.New("only loopback addresses are allowed")
 
 // CheckLoopback returns ErrNotLoopback if the address is not loopback.
 func CheckLoopback(address string) error {
--- a/server/ports/httpapi/engine.go
+++ b/server/ports/httpapi/engine.go
@@ -29,14 +29,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode generation %q: %w", generation.ID, err)
 	}
-	return e.open(ctx, http.MethodPost, generationPath(generation.ID, ""), body)
+	return e.openStream(ctx, http.MethodPost, generationPath(generation.ID, ""), body)
 }
 
 func (e *Engine) Resume(ctx context.Context, id string, from int) (*stream.Reader, error) {
-	return e.open(ctx, http.MethodGet, generationPath(id, "?from="+strconv.Itoa(from)), nil)
+	return e.openStream(ctx, http.MethodGet, generationPath(id, "?from="+strconv.Itoa(from)), nil)
 }
 
-func (e *Engine) open(ctx context.Context, method, path string, body []byte) (*stream.Reader, error) {
+func (e *Engine) openStream(ctx context.Context, method, path string, body []byte) (*stream.Reader, error) {
 	response, err := e.client.do(ctx, method, path, body)
 	if err != nil {
 		return nil, err
--- a/server/wire/wire.go
+++ b/server/wire/wire.go
@@ -104,7 +104,7 @@
 	return &result.Error{Code: r.Code, Detail: r.Detail, RetryAfter: retryAfter}
 }
 
-// ProbeRequest asks an agent how soon it could serve a request.
+// ProbeRequest asks an agent whether and how soon it could serve a request.
 type ProbeRequest struct {
 	Stamp   Stamp
 	Model   string
