--- a/server/ports/httpapi/instances_test.go
+++ b/server/ports/httpapi/instances_test.go
@@ -13,7 +13,7 @@
 	"persimmonwind.dev/server/standin/store"
 )
 
-func TestInstanceListUsesETag(t *testing.T) {
+func TestInstances(t *testing.T) {
 	Convey("An unchanged list is not sent again, and a changed one is", t, func() {
 		standIn := store.New()
 		statuses := map[int]int{}
