--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -65,7 +65,7 @@
 	}
 	a.admitter = newAdmitter(a.node)
 	a.metrics = metrics.New(a.node.State)
-	a.metrics.InFlight(a.inFlight.Count)
+	a.metrics.RegisterInFlight(a.inFlight.Count)
 	if config.Kind == settings.KindEngine {
 		engine := httpapi.NewEngine(config.Backend, a.node.Transport)
 		a.engine = engine
@@ -106,7 +106,7 @@
 // flight. It keeps answering with refusals for the leave delay, since entries
 // may not yet have noticed that the agent is leaving.
 func (a *Agent) drainAfter(ctx, runCtx context.Context) error {
-	if !leave.Told(ctx, runCtx) {
+	if !leave.AwaitShutdown(ctx, runCtx) {
 		return nil
 	}
 	a.node.Leave()
--- a/server/dev/dev.go
+++ b/server/dev/dev.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	loopback    = "127.0.0.1:0"
-	serviceTime = 20 * time.Millisecond
+	loopbackAnyPort = "127.0.0.1:0"
+	serviceWorkTime = 20 * time.Millisecond
 )
 
 // Options configure the development system.
@@ -32,11 +32,12 @@
 	ConfigDir string // Directory of configuration files; empty for the embedded ones.
 	Log       *logrus.Entry
 
-	// EngineColdLimit is what engines bear in cold start; 0 for as configured.
+	// EngineColdLimit is the number of concurrent generations that the stand-in
+	// engines withstand in cold start; 0 for the configured limit.
 	EngineColdLimit int
 }
 
-// System is a whole system that is not running yet.
+// System is a whole system in one process. New builds it and Run runs it.
 type System struct {
 	Store   *store.Store
 	Entries []Entry
@@ -63,7 +64,7 @@
 	if s.snapshot, err = config.Build(1, files); err != nil {
 		return nil, err
 	}
-	if s.keys, err = generateKeys(); err != nil {
+	if s.keys, err = newKeySource(); err != nil {
 		return nil, err
 	}
 	if s.storeURL, err = s.serveHTTP(s.Store.Handler()); err != nil {
@@ -80,7 +81,7 @@
 	return s, s.addEntries()
 }
 
-func generateKeys() (keys.Source, error) {
+func newKeySource() (keys.Source, error) {
 	generated, err := keys.Generate()
 	if err != nil {
 		return nil, err
@@ -91,14 +92,14 @@
 
 // Run runs the system until ctx ends.
 func (s *System) Run(ctx context.Context) error {
-	life, stop := context.WithCancel(ctx)
-	s.group.Add(func() error { <-life.Done(); return nil }, func(error) { stop() })
+	lifetime, stop := context.WithCancel(ctx)
+	s.group.Add(func() error { <-lifetime.Done(); return nil }, func(error) { stop() })
 	return s.group.Run()
 }
 
 // serveHTTP serves the handler on a free loopback port and returns its URL.
 func (s *System) serveHTTP(handler http.Handler) (string, error) {
-	listener, err := net.Listen("tcp", loopback)
+	listener, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return "", fmt.Errorf("listen on loopback: %w", err)
 	}
@@ -108,12 +109,12 @@
 }
 
 func (s *System) applyFiles(files config.Files) error {
-	accepted := configstore.Store{Table: s.Store, Objects: s.Store.ObjectStore()}
-	_, err := accepted.Apply(context.Background(), files)
+	configs := configstore.Store{Table: s.Store, Objects: s.Store.ObjectStore()}
+	_, err := configs.Apply(context.Background(), files)
 	return err
 }
 
 func (s *System) addProcess(runProcess func(context.Context) error) {
-	life, stop := context.WithCancel(context.Background())
-	s.group.Add(func() error { return runProcess(life) }, func(error) { stop() })
+	lifetime, stop := context.WithCancel(context.Background())
+	s.group.Add(func() error { return runProcess(lifetime) }, func(error) { stop() })
 }
--- a/server/dev/loopback.go
+++ b/server/dev/loopback.go
@@ -6,11 +6,11 @@
 	"net"
 )
 
-// ErrNotLoopback means that the development system was told to listen on an
-// address that others can reach.
-var ErrNotLoopback = errors.New("the development system listens on loopback only")
+// ErrNotLoopback means that an address on which only this machine may connect, as
+// those of the development system, is not a loopback address.
+var ErrNotLoopback = errors.New("only loopback addresses are allowed")
 
-// CheckLoopback returns ErrNotLoopback where the address is not loopback.
+// CheckLoopback returns ErrNotLoopback if the address is not loopback.
 func CheckLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/server/entry/entry.go
+++ b/server/entry/entry.go
@@ -54,7 +54,7 @@
 	n := node.New(node.Options{Self: self, Control: listeners.Control, StoreURL: config.Store, Traffic: listeners.Callers.Addr().String(), Peers: config.Peers, Keys: listeners.Keys, Log: log})
 	e := &Entry{settings: config, node: n, runner: attempt.NewRunner(n), limiter: limit.New(n, config.ID), listeners: listeners}
 	e.metrics = metrics.New(n.State)
-	e.metrics.InFlight(e.inFlight.Count)
+	e.metrics.RegisterInFlight(e.inFlight.Count)
 	e.callers = newServer(e.inFlight.Wrap(e.callersHandler()))
 	e.admin = newServer(e.adminHandler())
 	return e
@@ -93,7 +93,7 @@
 // platform's load balancer has noticed; then it waits for the requests in
 // flight.
 func (e *Entry) drainAfter(ctx, runCtx context.Context) error {
-	if !leave.Told(ctx, runCtx) {
+	if !leave.AwaitShutdown(ctx, runCtx) {
 		return nil
 	}
 	e.node.Leave()
--- a/server/entry/middleware.go
+++ b/server/entry/middleware.go
@@ -57,9 +57,9 @@
 			writeError(writer, err)
 		}
 		if !writer.firstByte.IsZero() {
-			e.metrics.FirstByte(r.Pattern, writer.firstByte.Sub(start))
+			e.metrics.ObserveFirstByte(r.Pattern, writer.firstByte.Sub(start))
 		}
-		e.metrics.Answered(r.Pattern, code, time.Since(start))
+		e.metrics.ObserveRequest(r.Pattern, code, time.Since(start))
 	}
 }
 
--- a/server/rpc/rpc_test.go
+++ b/server/rpc/rpc_test.go
@@ -10,13 +10,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// starvedListener fails to accept a few times, as where a process has no files left.
-type starvedListener struct {
+// failingListener fails the first Accepts, as in a process that has run out of
+// file descriptors.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *starvedListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -24,24 +25,24 @@
 	return l.Listener.Accept()
 }
 
-// Echo is a receiver.
+// Echo is an RPC receiver for the test.
 type Echo struct{}
 
-// Say replies with what it got.
+// Say replies with its argument.
 func (Echo) Say(word string, reply *string) error {
 	*reply = word
 	return nil
 }
 
 func TestServeWithoutFilesForAWhile(t *testing.T) {
-	Convey("A server that can't accept connections for a while serves the next ones", t, func() {
+	Convey("A server whose Accept fails for a while serves later connections", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		logger, logged := test.NewNullLogger()
 		ended := make(chan error, 1)
 		go func() {
-			starved := &starvedListener{Listener: listener, failures: 3}
-			ended <- Serve(starved, map[string]any{"echo": Echo{}}, logrus.NewEntry(logger))
+			failing := &failingListener{Listener: listener, failures: 3}
+			ended <- Serve(failing, map[string]any{"echo": Echo{}}, logrus.NewEntry(logger))
 		}()
 		pool := NewPool(nil)
 		var reply string
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -10,16 +10,17 @@
 
 var errCutByFault = errors.New("stream cut by an injected fault")
 
-// StreamFaults is what the engine does wrong with the pieces that it sends.
-// Each counts over all streams; zero means never.
+// StreamFaults describes faults in the pieces that the engine sends. Pieces are
+// counted over all streams; zero means never.
 type StreamFaults struct {
 	CutEvery       int `json:"cut_every"`       // Cut the connection at every n-th piece.
 	DuplicateEvery int `json:"duplicate_every"` // Send every n-th piece twice.
 	SwapEvery      int `json:"swap_every"`      // Send every n-th piece after its successor.
-	ForeignEvery   int `json:"foreign_every"`   // Send a piece of another answer before every n-th.
+	ForeignEvery   int `json:"foreign_every"`   // Send a piece of another answer in place of every n-th.
 }
 
-// SetStreamFaults replaces the faults of streams that begin from now on.
+// SetStreamFaults replaces the faults. Streams that have already started keep
+// theirs.
 func (e *Engine) SetStreamFaults(faults StreamFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,56 +43,56 @@
 	e.SetStreamFaults(faults)
 }
 
-func due(count, every int) bool { return every > 0 && count%every == 0 }
+func isNth(count, every int) bool { return every > 0 && count%every == 0 }
 
-// faultyWrite returns write with the faults in force applied.
-func (e *Engine) faultyWrite(write func(stream.Piece) error) func(stream.Piece) error {
+// withStreamFaults returns a function that applies the current faults to write.
+func (e *Engine) withStreamFaults(write func(stream.Piece) error) func(stream.Piece) error {
 	e.mu.Lock()
 	faults := e.streamFaults
 	e.mu.Unlock()
 	if faults == (StreamFaults{}) {
 		return write
 	}
-	sender := &faultySender{engine: e, faults: faults, write: write}
-	return sender.send
+	sender := &faultyWriter{engine: e, faults: faults, write: write}
+	return sender.writePiece
 }
 
-// faultySender applies faults to one stream.
-type faultySender struct {
-	engine *Engine
-	faults StreamFaults
-	write  func(stream.Piece) error
-	late   *stream.Piece // Waits for its successor.
+// faultyWriter applies faults to one stream.
+type faultyWriter struct {
+	engine  *Engine
+	faults  StreamFaults
+	write   func(stream.Piece) error
+	delayed *stream.Piece // Piece that is held back until after its successor.
 }
 
-func (s *faultySender) send(piece stream.Piece) error {
+func (s *faultyWriter) writePiece(piece stream.Piece) error {
 	count := int(s.engine.sentPieces.Add(1))
-	if due(count, s.faults.CutEvery) {
+	if isNth(count, s.faults.CutEvery) {
 		return errCutByFault
 	}
-	if due(count, s.faults.ForeignEvery) {
+	if isNth(count, s.faults.ForeignEvery) {
 		return s.write(stream.Piece{ID: "foreign", From: piece.From, Tokens: piece.Tokens, Text: "foreign "})
 	}
-	if due(count, s.faults.SwapEvery) && s.late == nil && !piece.End {
-		s.late = &piece
+	if isNth(count, s.faults.SwapEvery) && s.delayed == nil && !piece.End {
+		s.delayed = &piece
 		return nil
 	}
 	if err := s.write(piece); err != nil {
 		return err
 	}
-	if due(count, s.faults.DuplicateEvery) {
+	if isNth(count, s.faults.DuplicateEvery) {
 		if err := s.write(piece); err != nil {
 			return err
 		}
 	}
-	return s.sendLate()
+	return s.writeDelayed()
 }
 
-func (s *faultySender) sendLate() error {
-	if s.late == nil {
+func (s *faultyWriter) writeDelayed() error {
+	if s.delayed == nil {
 		return nil
 	}
-	late := *s.late
-	s.late = nil
-	return s.write(late)
+	delayed := *s.delayed
+	s.delayed = nil
+	return s.write(delayed)
 }
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -1,5 +1,5 @@
-// Package ranks is the stand-in for a group of ranks that run in lock-step on
-// an expert map. Its oracle looks at the map of every rank at every step.
+// Package ranks is the stand-in for a group of ranks that run in lock-step with
+// an expert map. Its test oracle checks the map of every rank at every step.
 package ranks
 
 import (
@@ -19,11 +19,11 @@
 	"persimmonwind.dev/server/standin/engine"
 )
 
-// Options shape a group's behaviour.
+// Options configure a group's behaviour.
 type Options struct {
 	Shape       planner.Shape
 	StepTime    time.Duration
-	IgnoreFence bool // Take orders with old fencing numbers.
+	IgnoreFence bool // Accept orders with outdated fencing numbers.
 }
 
 // DefaultOptions returns the options of a small group.
@@ -36,7 +36,7 @@
 	state   expertmap.EngineState
 	fence   uint64
 	stalled bool
-	engine  *engine.Engine // Its work besides the expert map.
+	engine  *engine.Engine // Handles everything but the expert map.
 }
 
 // Group is one stand-in group.
@@ -46,32 +46,32 @@
 	mu         sync.Mutex
 	ranks      []rank
 	popularity [][]float64
-	generation int // Times that every rank was without a map.
+	generation int // Times that all ranks were without a map.
 	oracle     Oracle
-	seen       map[uint64]expertmap.Change // By step of this generation.
+	mapByStep  map[uint64]expertmap.Change // Map used by each step of this generation.
 }
 
-// Oracle is what the group's steps have shown.
+// Oracle holds the observations of the group's steps.
 type Oracle struct {
-	Steps      int              `json:"steps"`      // Steps of single ranks.
+	Steps      int              `json:"steps"`      // Steps of all ranks together.
 	Violations []string         `json:"violations"` // Steps in which ranks used different maps.
 	Maps       []string         `json:"maps"`       // Maps in the order of their first use.
-	InForce    expertmap.Change `json:"in_force"`   // Of rank 0.
+	InForce    expertmap.Change `json:"in_force"`   // Map of rank 0.
 }
 
 // New returns a group whose engines have no map.
 func New(options Options) *Group {
-	g := &Group{options: options, ranks: make([]rank, options.Shape.Ranks), seen: map[uint64]expertmap.Change{}}
+	g := &Group{options: options, ranks: make([]rank, options.Shape.Ranks), mapByStep: map[uint64]expertmap.Change{}}
 	for i := range g.ranks {
 		g.ranks[i].state.Boot = uuid.NewString()
 		g.ranks[i].engine = engine.New(engine.DefaultOptions())
 	}
 	for range options.Shape.Layers {
-		even := make([]float64, options.Shape.Experts)
-		for expert := range even {
-			even[expert] = 1
+		uniform := make([]float64, options.Shape.Experts)
+		for expert := range uniform {
+			uniform[expert] = 1
 		}
-		g.popularity = append(g.popularity, even)
+		g.popularity = append(g.popularity, uniform)
 	}
 	return g
 }
@@ -90,18 +90,18 @@
 	}
 }
 
-// step lets every rank run one step that may.
+// step runs one step of every rank that can run its next one.
 func (g *Group) step() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i := range g.ranks {
-		if g.mayRun(i) {
-			g.run(i)
+		if g.canRunStep(i) {
+			g.runStep(i)
 		}
 	}
 }
 
-func (g *Group) mayRun(i int) bool {
+func (g *Group) canRunStep(i int) bool {
 	state := g.ranks[i].state
 	for _, other := range g.ranks {
 		if other.state.Next < state.Next {
@@ -111,23 +111,23 @@
 	return !g.ranks[i].stalled && state.CanRunNext()
 }
 
-func (g *Group) run(i int) {
+func (g *Group) runStep(i int) {
 	state := g.ranks[i].state
 	used := state.MapAt(state.Next)
-	before, ok := g.seen[state.Next]
+	before, ok := g.mapByStep[state.Next]
 	if ok && before != used {
-		g.oracle.Violations = append(g.oracle.Violations, fmt.Sprintf("step %d: rank %d used map %s, another %s", state.Next, i, used.ID, before.ID))
+		g.oracle.Violations = append(g.oracle.Violations, fmt.Sprintf("step %d: rank %d used map %s, another rank used %s", state.Next, i, used.ID, before.ID))
 	}
 	if count := len(g.oracle.Maps); count == 0 || g.oracle.Maps[count-1] != used.ID.String() {
 		g.oracle.Maps = append(g.oracle.Maps, used.ID.String())
 	}
-	g.seen[state.Next] = used
+	g.mapByStep[state.Next] = used
 	g.ranks[i].state = state.AfterNextStep()
 	g.oracle.Steps++
 }
 
-// Lose lets the rank's engine start anew, without a map.
-func (g *Group) Lose(i int) {
+// RestartRank restarts the rank's engine, which then has no map.
+func (g *Group) RestartRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ranks[i].state = expertmap.EngineState{Boot: uuid.NewString()}
@@ -138,7 +138,7 @@
 		}
 	}
 	g.generation++
-	g.seen = map[uint64]expertmap.Change{}
+	g.mapByStep = map[uint64]expertmap.Change{}
 }
 
 // Stall stops or resumes the rank's steps.
@@ -148,7 +148,7 @@
 	g.ranks[i].stalled = stalled
 }
 
-// Oracle returns what the steps have shown.
+// Oracle returns the observations so far.
 func (g *Group) Oracle() Oracle {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,8 +157,8 @@
 	return oracle
 }
 
-// order applies the order to the rank; false where the engine refuses its
-// fencing number.
+// order applies the order to the rank. It returns false if the engine refuses the
+// order's fencing number.
 func (g *Group) order(i int, order ports.RankOrder) (expertmap.EngineState, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -171,7 +171,7 @@
 	return r.state, true
 }
 
-func (g *Group) report(i int) ports.RankReport {
+func (g *Group) buildReport(i int) ports.RankReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return ports.RankReport{State: g.ranks[i].state, Shape: g.options.Shape, Popularity: g.popularity}
@@ -183,9 +183,9 @@
 	mux := http.NewServeMux()
 	for i := range g.ranks {
 		prefix := "/rank/" + strconv.Itoa(i)
-		mux.HandleFunc("GET "+prefix+"/expert-map", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, g.report(i)) })
+		mux.HandleFunc("GET "+prefix+"/expert-map", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, g.buildReport(i)) })
 		mux.HandleFunc("POST "+prefix+"/expert-map/orders", func(w http.ResponseWriter, r *http.Request) { g.serveOrder(w, r, i) })
-		mux.HandleFunc("POST /test"+prefix+"/lose", func(http.ResponseWriter, *http.Request) { g.Lose(i) })
+		mux.HandleFunc("POST /test"+prefix+"/lose", func(http.ResponseWriter, *http.Request) { g.RestartRank(i) })
 		mux.HandleFunc("POST /test"+prefix+"/stall", func(http.ResponseWriter, *http.Request) { g.Stall(i, true) })
 		mux.HandleFunc("DELETE /test"+prefix+"/stall", func(http.ResponseWriter, *http.Request) { g.Stall(i, false) })
 		mux.Handle(prefix+"/", http.StripPrefix(prefix, g.ranks[i].engine.Handler()))
--- a/server/standin/store/store.go
+++ b/server/standin/store/store.go
@@ -15,7 +15,7 @@
 // Store implements the platform's ports in memory.
 type Store struct {
 	Faults  fault.Injector
-	weights weightRate
+	weights weightLimiter
 
 	mu        sync.Mutex
 	rows      map[string]ports.Row
@@ -35,20 +35,19 @@
 	}
 }
 
-// Counts is how many requests the table service has served.
+// Counts holds the numbers of requests that the table service has served.
 type Counts struct {
 	Reads  int `json:"reads"`
 	Writes int `json:"writes"`
 }
 
-// Counts returns the requests served so far.
+// Counts returns the numbers of requests served so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Counts{Reads: s.reads, Writes: s.writes}
 }
 
-// Get implements ports.Table.
 func (s *Store) Get(_ context.Context, key string) (ports.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +59,6 @@
 	return row, nil
 }
 
-// List implements ports.Table.
 func (s *Store) List(_ context.Context, prefix, after string, limit int) ([]ports.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +76,6 @@
 	return rows, nil
 }
 
-// Commit implements ports.Table.
 func (s *Store) Commit(_ context.Context, tx ports.Tx) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +105,6 @@
 
 type objectStore struct{ store *Store }
 
-// Put implements ports.Objects.
 func (o objectStore) Put(_ context.Context, name string, body []byte) error {
 	o.store.mu.Lock()
 	defer o.store.mu.Unlock()
@@ -116,7 +112,6 @@
 	return nil
 }
 
-// Get implements ports.Objects.
 func (o objectStore) Get(_ context.Context, name string) ([]byte, error) {
 	o.store.mu.Lock()
 	defer o.store.mu.Unlock()
@@ -127,21 +122,21 @@
 	return body, nil
 }
 
-// SetInstance adds or replaces a line of the instance list.
+// SetInstance adds or replaces an item of the instance list.
 func (s *Store) SetInstance(instance ports.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instances[instance.ID] = instance
 }
 
-// RemoveInstance removes a line of the instance list.
+// RemoveInstance removes an item of the instance list.
 func (s *Store) RemoveInstance(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.instances, id)
 }
 
-// Instances returns the instance list in order of ID.
+// Instances returns the instance list, sorted by ID.
 func (s *Store) Instances() []ports.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
