--- a/ctl/adminclient/wait.go
+++ b/ctl/adminclient/wait.go
@@ -14,31 +14,31 @@
 	maxNamed     = 10
 )
 
-// LackingError names the processes that have not put a revision in force.
-type LackingError struct {
-	Revision uint64
-	Lacking  []adminapi.Process
+// NotInForceError names the processes that have not put a revision in force.
+type NotInForceError struct {
+	Revision  uint64
+	Processes []adminapi.Process
 }
 
 // Error implements error.
-func (e *LackingError) Error() string {
+func (e *NotInForceError) Error() string {
 	var names []string
-	for _, process := range e.Lacking[:min(len(e.Lacking), maxNamed)] {
+	for _, process := range e.Processes[:min(len(e.Processes), maxNamed)] {
 		state := fmt.Sprintf("has revision %d", process.Revision)
 		if !process.Answered {
 			state = "does not answer"
 		}
 		names = append(names, fmt.Sprintf("%s in %s %s", process.ID, process.DataCentre, state))
 	}
-	if more := len(e.Lacking) - maxNamed; more > 0 {
+	if more := len(e.Processes) - maxNamed; more > 0 {
 		names = append(names, fmt.Sprintf("and %d more", more))
 	}
 	return fmt.Sprintf("revision %d is accepted but not in force everywhere: %s", e.Revision, strings.Join(names, ", "))
 }
 
-// Wait returns once every process has the revision or a newer one in force. It
+// WaitForRevision returns once every process has the revision or a newer one in force. It
 // returns a LackingError when the timeout has passed.
-func (c *Client) Wait(ctx context.Context, revision uint64, timeout time.Duration) (adminapi.Status, error) {
+func (c *Client) WaitForRevision(ctx context.Context, revision uint64, timeout time.Duration) (adminapi.Status, error) {
 	deadline := time.Now().Add(timeout)
 	for {
 		status, err := c.Status(ctx)
@@ -50,7 +50,7 @@
 			return status, nil
 		}
 		if time.Now().After(deadline) {
-			return status, &LackingError{Revision: revision, Lacking: lacking}
+			return status, &NotInForceError{Revision: revision, Processes: lacking}
 		}
 		select {
 		case <-time.After(waitInterval):
--- a/ctl/chart/chart.go
+++ b/ctl/chart/chart.go
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// Save draws the plot as a PNG file in the directory and returns its path.
-func Save(directory string, p experiment.Plot) (path string, err error) {
+// SavePNG draws the plot as a PNG file in the directory and returns its path.
+func SavePNG(directory string, p experiment.Plot) (path string, err error) {
 	path = filepath.Join(directory, p.Name+".png")
 	file, err := os.Create(path)
 	if err != nil {
--- a/ctl/chart/chart_test.go
+++ b/ctl/chart/chart_test.go
@@ -22,7 +22,7 @@
 func TestWrite(t *testing.T) {
 	Convey("Given a plot", t, func() {
 		Convey("its PNG file decodes at a large size", func() {
-			path, err := Save(t.TempDir(), testPlot())
+			path, err := SavePNG(t.TempDir(), testPlot())
 			So(err, ShouldBeNil)
 			body, err := os.ReadFile(path)
 			So(err, ShouldBeNil)
--- a/ctl/cmd/persimmonctl/change.go
+++ b/ctl/cmd/persimmonctl/change.go
@@ -57,7 +57,7 @@
 	if err != nil || !f.wait {
 		return err
 	}
-	if _, err := client.Wait(ctx, accepted.Revision, f.timeout); err != nil {
+	if _, err := client.WaitForRevision(ctx, accepted.Revision, f.timeout); err != nil {
 		return err
 	}
 	fmt.Fprintf(command.ErrOrStderr(), "revision %d is in force everywhere\n", accepted.Revision)
--- a/ctl/cmd/persimmonctl/configuration.go
+++ b/ctl/cmd/persimmonctl/configuration.go
@@ -36,7 +36,7 @@
 
 // exitCode returns the tool's exit code for the error.
 func exitCode(err error) int {
-	var lacking *adminclient.LackingError
+	var lacking *adminclient.NotInForceError
 	var problems jsonfile.Problems
 	var reported *adminclient.Error
 	switch {
--- a/ctl/cmd/persimmonctl/experiment.go
+++ b/ctl/cmd/persimmonctl/experiment.go
@@ -179,7 +179,7 @@
 		return fmt.Errorf("save report: %w", err)
 	}
 	for _, plot := range named.Report.Plots {
-		path, err := chart.Save(flags.directory, plot)
+		path, err := chart.SavePNG(flags.directory, plot)
 		if err != nil {
 			return err
 		}
--- a/ctl/cmd/persimmonctl/load.go
+++ b/ctl/cmd/persimmonctl/load.go
@@ -49,13 +49,13 @@
 	set, options := command.Flags(), &flags.options
 	set.StringSliceVar(&options.Entries, "entry", options.Entries, "base URLs of entries, used in turn")
 	set.StringSliceVar(&options.Engines, "engine", nil, "base URLs of stand-in engines, for a comparison with the way through the entries")
-	set.Float64Var(&options.Direct, "direct", options.Direct, "share of chats that go straight to the engines, if any are given")
+	set.Float64Var(&options.DirectShare, "direct", options.DirectShare, "share of chats that go straight to the engines, if any are given")
 	set.StringSliceVar(&options.Keys, "key", options.Keys, "organisation keys, drawn evenly")
-	set.BoolVar(&options.Remote, "allow-remote", false, "allow targets that are not on this machine")
+	set.BoolVar(&options.AllowRemote, "allow-remote", false, "allow targets that are not on this machine")
 	set.DurationVar(&options.Timeout, "timeout", options.Timeout, "longest time of a request with its retries")
-	set.IntVar(&options.Retries, "retries", 0, "most repeats of a refused request")
-	set.BoolVar(&options.RetryWait, "retry-after", options.RetryWait, "wait as Retry-After asks before a repeat")
-	set.IntVar(&options.InFlight, "in-flight", options.InFlight, "most requests at a time; arrivals beyond it are dropped and counted")
+	set.IntVar(&options.MaxRetries, "retries", 0, "most repeats of a refused request")
+	set.BoolVar(&options.HonourRetryAfter, "retry-after", options.HonourRetryAfter, "wait as Retry-After asks before a repeat")
+	set.IntVar(&options.MaxInFlight, "in-flight", options.MaxInFlight, "most requests at a time; arrivals beyond it are dropped and counted")
 	set.BoolVar(&options.Verify, "verify", options.Verify, "check each answer against the stand-ins' content")
 }
 
@@ -66,7 +66,7 @@
 	set.StringVar((*string)(&arrivals.Shape), "arrivals", string(arrivals.Shape), "constant, poisson or surge")
 	set.Float64Var(&arrivals.Rate, "rate", arrivals.Rate, "requests a second")
 	set.DurationVar(&arrivals.SurgeAt, "surge-at", 0, "start of the surge")
-	set.DurationVar(&arrivals.SurgeFor, "surge-for", 0, "length of the surge")
+	set.DurationVar(&arrivals.SurgeDuration, "surge-for", 0, "length of the surge")
 	set.Float64Var(&arrivals.SurgeFactor, "surge-factor", arrivals.SurgeFactor, "how many times the rate during the surge")
 	set.DurationVar(&options.Duration, "duration", options.Duration, "time during which requests arrive")
 	set.DurationVar(&options.WarmUp, "warm-up", options.WarmUp, "first part of the duration, not counted")
@@ -100,7 +100,7 @@
 	if err := writeLoadResult(out, flags, result); err != nil {
 		return err
 	}
-	if faulty := result.Faulty(); faulty > 0 {
+	if faulty := result.InvalidAnswers(); faulty > 0 {
 		return fmt.Errorf("%d answers were cut or another request's", faulty)
 	}
 	return nil
@@ -115,7 +115,7 @@
 		return nil
 	}
 	for _, text := range flags.calls {
-		call, err := load.ParseCall(text)
+		call, err := load.ParseServiceCall(text)
 		if err != nil {
 			return err
 		}
--- a/ctl/cmd/persimmonctl/report.go
+++ b/ctl/cmd/persimmonctl/report.go
@@ -50,7 +50,7 @@
 	if len(paths) == 0 && len(flags.processes) == 0 {
 		return errors.New("nothing to report on: give files or --process")
 	}
-	page := report.Page{Title: flags.title, Made: time.Now()}
+	page := report.Page{Title: flags.title, GeneratedAt: time.Now()}
 	if len(flags.processes) > 0 {
 		section, err := report.Watch(ctx, flags.processes, flags.samples, flags.interval)
 		if err != nil {
--- a/ctl/experiment/datacentre/datacentre.go
+++ b/ctl/experiment/datacentre/datacentre.go
@@ -179,7 +179,7 @@
 	if err != nil {
 		return "", err
 	}
-	if _, err := b.admin.Wait(ctx, accepted.Revision, waitTimeout); err != nil {
+	if _, err := b.admin.WaitForRevision(ctx, accepted.Revision, waitTimeout); err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("%.0f ms", float64(time.Since(began).Microseconds())/1000), nil
--- a/ctl/load/arrivals.go
+++ b/ctl/load/arrivals.go
@@ -18,11 +18,11 @@
 
 // Arrivals describe the intended starts of requests.
 type Arrivals struct {
-	Shape       Shape         `json:"shape"`
-	Rate        float64       `json:"rate"` // Requests a second.
-	SurgeAt     time.Duration `json:"surge_at,omitempty"`
-	SurgeFor    time.Duration `json:"surge_for,omitempty"`
-	SurgeFactor float64       `json:"surge_factor,omitempty"` // Multiplies Rate during the surge.
+	Shape         Shape         `json:"shape"`
+	Rate          float64       `json:"rate"` // Requests a second.
+	SurgeAt       time.Duration `json:"surge_at,omitempty"`
+	SurgeDuration time.Duration `json:"surge_for,omitempty"`
+	SurgeFactor   float64       `json:"surge_factor,omitempty"` // Multiplies Rate during the surge.
 }
 
 func (a Arrivals) validate() error {
@@ -34,8 +34,8 @@
 	if a.Rate <= 0 {
 		return fmt.Errorf("rate %v must be above 0 requests a second", a.Rate)
 	}
-	if a.Shape == Surge && (a.SurgeFactor <= 0 || a.SurgeFor <= 0) {
-		return fmt.Errorf("a surge needs a factor above 0, not %v, and a length above 0, not %v", a.SurgeFactor, a.SurgeFor)
+	if a.Shape == Surge && (a.SurgeFactor <= 0 || a.SurgeDuration <= 0) {
+		return fmt.Errorf("a surge needs a factor above 0, not %v, and a length above 0, not %v", a.SurgeFactor, a.SurgeDuration)
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 // rateAt returns the rate at the offset and, if bounded, where it ends.
 func (s *schedule) rateAt(seconds float64) (rate, end float64, bounded bool) {
 	a := s.arrivals
-	start, stop := a.SurgeAt.Seconds(), (a.SurgeAt + a.SurgeFor).Seconds()
+	start, stop := a.SurgeAt.Seconds(), (a.SurgeAt + a.SurgeDuration).Seconds()
 	switch {
 	case a.Shape != Surge || seconds >= stop:
 		return a.Rate, 0, false
--- a/ctl/load/arrivals_test.go
+++ b/ctl/load/arrivals_test.go
@@ -14,7 +14,7 @@
 		switch {
 		case at < a.SurgeAt:
 			before++
-		case at < a.SurgeAt+a.SurgeFor:
+		case at < a.SurgeAt+a.SurgeDuration:
 			during++
 		default:
 			after++
@@ -25,7 +25,7 @@
 
 func TestSchedule(t *testing.T) {
 	Convey("A surge multiplies the rate for its length only", t, func() {
-		a := Arrivals{Shape: Surge, Rate: 1000, SurgeAt: 10 * time.Second, SurgeFor: 10 * time.Second, SurgeFactor: 3}
+		a := Arrivals{Shape: Surge, Rate: 1000, SurgeAt: 10 * time.Second, SurgeDuration: 10 * time.Second, SurgeFactor: 3}
 		before, during, after := countArrivals(a, 1, 30*time.Second)
 		// Five standard deviations of a Poisson count.
 		So(before, ShouldAlmostEqual, 10000, 500)
--- a/ctl/load/options.go
+++ b/ctl/load/options.go
@@ -17,38 +17,38 @@
 
 // Options describe one run.
 type Options struct {
-	Entries   []string // Base URLs of entries, used in turn.
-	Engines   []string // Base URLs of stand-in engines, the baseline of a comparison.
-	Direct    float64  // Share of chats that go straight to Engines where there are entries too.
-	Keys      []string // Organisation keys, drawn evenly.
-	Remote    bool     // Allow targets that are not loopback.
-	Seed      uint64
-	Arrivals  Arrivals
-	Duration  time.Duration // During which requests arrive.
-	WarmUp    time.Duration // Requests that arrive during it are not counted.
-	Timeout   time.Duration // Of one request with its retries.
-	Workload  Workload
-	Retries   int  // Most repeats of a refused request.
-	RetryWait bool // Wait as Retry-After asks; without it, repeat at once.
-	InFlight  int  // Bound of requests at a time; an arrival beyond it is dropped and counted.
-	Verify    bool // Check each answer against the stand-ins' content.
+	Entries          []string // Base URLs of entries, used in turn.
+	Engines          []string // Base URLs of stand-in engines, the baseline of a comparison.
+	DirectShare      float64  // Share of chats that go straight to Engines where there are entries too.
+	Keys             []string // Organisation keys, drawn evenly.
+	AllowRemote      bool     // Allow targets that are not loopback.
+	Seed             uint64
+	Arrivals         Arrivals
+	Duration         time.Duration // During which requests arrive.
+	WarmUp           time.Duration // Requests that arrive during it are not counted.
+	Timeout          time.Duration // Of one request with its retries.
+	Workload         Workload
+	MaxRetries       int  // Most repeats of a refused request.
+	HonourRetryAfter bool // Wait as Retry-After asks; without it, repeat at once.
+	MaxInFlight      int  // Bound of requests at a time; an arrival beyond it is dropped and counted.
+	Verify           bool // Check each answer against the stand-ins' content.
 }
 
 // DefaultOptions returns the options of a short run against `persimmonwind dev`.
 func DefaultOptions() Options {
 	return Options{
-		Entries:   []string{"http://127.0.0.1:8080"},
-		Direct:    0.5,
-		Keys:      []string{"dev-key"},
-		Seed:      1,
-		Arrivals:  Arrivals{Shape: Poisson, Rate: 20, SurgeFactor: 3},
-		Duration:  10 * time.Second,
-		WarmUp:    time.Second,
-		Timeout:   30 * time.Second,
-		Workload:  DefaultWorkload(),
-		RetryWait: true,
-		InFlight:  20000,
-		Verify:    true,
+		Entries:          []string{"http://127.0.0.1:8080"},
+		DirectShare:      0.5,
+		Keys:             []string{"dev-key"},
+		Seed:             1,
+		Arrivals:         Arrivals{Shape: Poisson, Rate: 20, SurgeFactor: 3},
+		Duration:         10 * time.Second,
+		WarmUp:           time.Second,
+		Timeout:          30 * time.Second,
+		Workload:         DefaultWorkload(),
+		HonourRetryAfter: true,
+		MaxInFlight:      20000,
+		Verify:           true,
 	}
 }
 
@@ -63,19 +63,19 @@
 	if len(o.Entries) == 0 && o.Workload.callShare() > 0 {
 		return errors.New("plain services are called through entries: give an entry or set the services' share to 0")
 	}
-	if o.Direct < 0 || o.Direct > 1 {
-		return fmt.Errorf("share %v of chats straight to the engines is not between 0 and 1", o.Direct)
+	if o.DirectShare < 0 || o.DirectShare > 1 {
+		return fmt.Errorf("share %v of chats straight to the engines is not between 0 and 1", o.DirectShare)
 	}
 	for _, target := range append(append([]string(nil), o.Entries...), o.Engines...) {
-		if err := checkTarget(target, o.Remote); err != nil {
+		if err := checkTarget(target, o.AllowRemote); err != nil {
 			return err
 		}
 	}
 	if o.Duration <= 0 || o.WarmUp < 0 || o.WarmUp >= o.Duration {
 		return fmt.Errorf("warm-up %v must be shorter than the duration %v", o.WarmUp, o.Duration)
 	}
-	if o.InFlight < 1 || o.Retries < 0 || o.Timeout <= 0 {
-		return fmt.Errorf("in-flight bound %d must be at least 1, retries %d at least 0, timeout %v above 0", o.InFlight, o.Retries, o.Timeout)
+	if o.MaxInFlight < 1 || o.MaxRetries < 0 || o.Timeout <= 0 {
+		return fmt.Errorf("in-flight bound %d must be at least 1, retries %d at least 0, timeout %v above 0", o.MaxInFlight, o.MaxRetries, o.Timeout)
 	}
 	return errors.Join(o.Arrivals.validate(), o.Workload.validate())
 }
--- a/ctl/load/report.go
+++ b/ctl/load/report.go
@@ -17,8 +17,8 @@
 	if codes := r.codeTable(); len(codes.Rows) > 0 {
 		report.Tables = append(report.Tables, codes)
 	}
-	if r.Added != nil {
-		report.Tables = append(report.Tables, addedTable(*r.Added))
+	if r.AddedLatency != nil {
+		report.Tables = append(report.Tables, addedTable(*r.AddedLatency))
 	}
 	report.Plots = r.plots()
 	report.Notes = r.notes()
@@ -28,7 +28,7 @@
 // namedSide is a side with its name for a reader.
 type namedSide struct {
 	name string
-	*Side
+	*PathResult
 }
 
 func (r Result) sides() []namedSide {
@@ -68,7 +68,7 @@
 		if side.WholeCall.Count > 0 {
 			table.Rows = append(table.Rows, quantileRow("plain service call", side.WholeCall))
 		}
-		table.Rows = append(table.Rows, quantileRow("start behind its time, "+side.name, side.StartLate))
+		table.Rows = append(table.Rows, quantileRow("start behind its time, "+side.name, side.StartDelay))
 	}
 	return table
 }
@@ -116,7 +116,7 @@
 	return keys
 }
 
-func addedTable(added Added) experiment.Table {
+func addedTable(added AddedLatency) experiment.Table {
 	return experiment.Table{
 		Title: "Added time to first token (ms)", Columns: []string{"p50", "p95", "p99"},
 		Rows: [][]string{{fmt.Sprintf("%.2f", added.P50), fmt.Sprintf("%.2f", added.P95), fmt.Sprintf("%.2f", added.P99)}},
--- a/ctl/load/result.go
+++ b/ctl/load/result.go
@@ -10,17 +10,17 @@
 // Result is what a run measured. Latencies count from the intended start of a
 // request, so that a slow answer that holds up nothing is still seen.
 type Result struct {
-	Seed     uint64   `json:"seed"`
-	Arrivals Arrivals `json:"arrivals"`
-	Workload Workload `json:"workload"`
-	Duration float64  `json:"duration_s"` // Counted part: without the warm-up.
-	Entry    *Side    `json:"entry,omitempty"`
-	Direct   *Side    `json:"direct,omitempty"`
-	Added    *Added   `json:"added,omitempty"`
+	Seed         uint64        `json:"seed"`
+	Arrivals     Arrivals      `json:"arrivals"`
+	Workload     Workload      `json:"workload"`
+	Duration     float64       `json:"duration_s"` // Counted part: without the warm-up.
+	Entry        *PathResult   `json:"entry,omitempty"`
+	Direct       *PathResult   `json:"direct,omitempty"`
+	AddedLatency *AddedLatency `json:"added,omitempty"`
 }
 
-// Side is what one way to the engines measured.
-type Side struct {
+// PathResult is what one way to the engines measured.
+type PathResult struct {
 	Requests          int                `json:"requests"` // Arrived after the warm-up.
 	Attempts          int                `json:"attempts"`
 	Outcomes          map[Outcome]int    `json:"outcomes"`
@@ -34,7 +34,7 @@
 	BetweenEvents     Quantiles          `json:"between_events"`
 	WholeChat         Quantiles          `json:"whole_chat"`
 	WholeCall         Quantiles          `json:"whole_call"`
-	StartLate         Quantiles          `json:"start_late"` // The load generator's own delay.
+	StartDelay        Quantiles          `json:"start_late"` // The load generator's own delay.
 	Timeline          []Second           `json:"timeline"`
 }
 
@@ -49,9 +49,9 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Added is the time to first token that the load balancer adds: each quantile
+// AddedLatency is the time to first token that the load balancer adds: each quantile
 // through the entry less the same quantile straight to the engine.
-type Added struct {
+type AddedLatency struct {
 	P50 float64 `json:"first_token_p50_ms"`
 	P95 float64 `json:"first_token_p95_ms"`
 	P99 float64 `json:"first_token_p99_ms"`
@@ -67,10 +67,10 @@
 
 func microsToMS(micros int64) float64 { return float64(micros) / 1000 }
 
-func (r *recorder) side(counted time.Duration) *Side {
+func (r *recorder) side(counted time.Duration) *PathResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	side := &Side{
+	side := &PathResult{
 		Attempts: r.attempts, Outcomes: r.outcomes, Codes: named(r.codes), RetriedCodes: named(r.retriedCodes),
 		Examples:          r.examples,
 		RequestsPerSecond: float64(r.served) / counted.Seconds(),
@@ -80,7 +80,7 @@
 		BetweenEvents:     r.betweenEvents.quantiles(),
 		WholeChat:         r.wholeChat.quantiles(),
 		WholeCall:         r.wholeCall.quantiles(),
-		StartLate:         r.startLate.quantiles(),
+		StartDelay:        r.startLate.quantiles(),
 		Timeline:          r.timeline.seconds,
 	}
 	for _, count := range r.outcomes {
@@ -97,19 +97,19 @@
 	return names
 }
 
-func added(entry, direct *Side) *Added {
-	return &Added{
+func added(entry, direct *PathResult) *AddedLatency {
+	return &AddedLatency{
 		P50: entry.FirstToken.P50 - direct.FirstToken.P50,
 		P95: entry.FirstToken.P95 - direct.FirstToken.P95,
 		P99: entry.FirstToken.P99 - direct.FirstToken.P99,
 	}
 }
 
-// Faulty returns the number of answers that a caller must never see: cut, or
+// InvalidAnswers returns the number of answers that a caller must never see: cut, or
 // another request's.
-func (r Result) Faulty() int {
+func (r Result) InvalidAnswers() int {
 	count := 0
-	for _, side := range []*Side{r.Entry, r.Direct} {
+	for _, side := range []*PathResult{r.Entry, r.Direct} {
 		if side != nil {
 			count += side.Outcomes[Wrong] + side.Outcomes[Cut]
 		}
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -90,8 +90,8 @@
 func (r *runner) launch(ctx context.Context, drawn request, intended time.Duration) {
 	r.totals.arrived.Add(1)
 	d := done{drawn: drawn, intended: intended}
-	if r.inFlight.Load() >= int64(r.options.InFlight) {
-		d.failure = failed(Dropped, "%d requests were in flight", r.options.InFlight)
+	if r.inFlight.Load() >= int64(r.options.MaxInFlight) {
+		d.failure = failed(Dropped, "%d requests were in flight", r.options.MaxInFlight)
 		r.finish(d, r.recorderOf(drawn))
 		return
 	}
@@ -108,7 +108,7 @@
 	if len(r.engines) == 0 || !drawn.chat {
 		return false
 	}
-	share := r.options.Direct
+	share := r.options.DirectShare
 	if len(r.entries) == 0 {
 		share = 1
 	}
@@ -161,10 +161,10 @@
 // repeats waits, if asked to, and tells whether a refused request is repeated.
 func (r *runner) repeats(ctx context.Context, d *done) bool {
 	f := d.failure
-	if f == nil || f.kind != Refused || d.attempts > r.options.Retries || !result.Describe(f.code).Retryable {
+	if f == nil || f.kind != Refused || d.attempts > r.options.MaxRetries || !result.Describe(f.code).Retryable {
 		return false
 	}
-	if r.options.RetryWait && !sleep(ctx, f.retryAfter) {
+	if r.options.HonourRetryAfter && !sleep(ctx, f.retryAfter) {
 		return false
 	}
 	d.refusals = append(d.refusals, f.code)
@@ -209,7 +209,7 @@
 		measured.Direct = r.direct.side(counted)
 	}
 	if measured.Entry != nil && measured.Direct != nil {
-		measured.Added = added(measured.Entry, measured.Direct)
+		measured.AddedLatency = added(measured.Entry, measured.Direct)
 	}
 	return measured
 }
--- a/ctl/load/run_test.go
+++ b/ctl/load/run_test.go
@@ -59,7 +59,7 @@
 	return options
 }
 
-func runLoad(options Options) *Side {
+func runLoad(options Options) *PathResult {
 	measured, err := Run(context.Background(), options, nil)
 	So(err, ShouldBeNil)
 	return measured.Entry
@@ -117,7 +117,7 @@
 		options := testOptions(entry)
 		So(runLoad(options).Codes, ShouldResemble, map[string]int{"2002 overloaded": 19})
 		clear(refused)
-		options.Retries = 1
+		options.MaxRetries = 1
 		side := runLoad(options)
 		So(side.Outcomes, ShouldResemble, map[Outcome]int{Whole: 19})
 		So(side.RetriedCodes, ShouldResemble, map[string]int{"2002 overloaded": 19})
@@ -145,14 +145,14 @@
 			<-r.Context().Done()
 			return true
 		}))
-		options.InFlight, options.Timeout = 5, 400*time.Millisecond
+		options.MaxInFlight, options.Timeout = 5, 400*time.Millisecond
 		So(runLoad(options).Outcomes, ShouldResemble, map[Outcome]int{TimedOut: 5, Dropped: 14})
 	})
 
 	Convey("A target that is not loopback needs the flag", t, func() {
 		options := testOptions("http://192.0.2.1:80")
 		So(options.Validate(), ShouldWrap, ErrNotLoopback)
-		options.Remote = true
+		options.AllowRemote = true
 		So(options.Validate(), ShouldBeNil)
 	})
 }
--- a/ctl/load/workload.go
+++ b/ctl/load/workload.go
@@ -9,17 +9,17 @@
 
 // Workload is the mix of requests.
 type Workload struct {
-	Model       string `json:"model"`
-	MinTokens   int    `json:"min_tokens"` // Of an answer; drawn evenly up to MaxTokens.
-	MaxTokens   int    `json:"max_tokens"`
-	PromptWords int    `json:"prompt_words"` // Of a prompt's own part.
-	Prefixes    int    `json:"prefixes"`     // Number of prompt prefixes that requests share.
-	PrefixWords int    `json:"prefix_words"`
-	Calls       []Call `json:"calls,omitempty"`
+	Model       string        `json:"model"`
+	MinTokens   int           `json:"min_tokens"` // Of an answer; drawn evenly up to MaxTokens.
+	MaxTokens   int           `json:"max_tokens"`
+	PromptWords int           `json:"prompt_words"` // Of a prompt's own part.
+	Prefixes    int           `json:"prefixes"`     // Number of prompt prefixes that requests share.
+	PrefixWords int           `json:"prefix_words"`
+	Calls       []ServiceCall `json:"calls,omitempty"`
 }
 
-// Call is a plain service's operation with its share of all requests.
-type Call struct {
+// ServiceCall is a plain service's operation with its share of all requests.
+type ServiceCall struct {
 	Service   string  `json:"service"`
 	Operation string  `json:"operation"`
 	Share     float64 `json:"share"` // From 0 to 1.
@@ -31,22 +31,22 @@
 	return Workload{
 		Model: "soap-assistant", MinTokens: 16, MaxTokens: 128,
 		PromptWords: 24, Prefixes: 16, PrefixWords: 64,
-		Calls: []Call{
+		Calls: []ServiceCall{
 			{Service: "registry", Operation: "lookup", Share: 0.1},
 			{Service: "certifications", Operation: "stamp", Share: 0.05},
 		},
 	}
 }
 
-// ParseCall reads "service/operation=share".
-func ParseCall(text string) (Call, error) {
+// ParseServiceCall reads "service/operation=share".
+func ParseServiceCall(text string) (ServiceCall, error) {
 	name, share, found := strings.Cut(text, "=")
 	service, operation, named := strings.Cut(name, "/")
 	number, err := strconv.ParseFloat(share, 64)
 	if !found || !named || err != nil {
-		return Call{}, fmt.Errorf("call %q is not of the form service/operation=share, such as registry/lookup=0.1", text)
+		return ServiceCall{}, fmt.Errorf("call %q is not of the form service/operation=share, such as registry/lookup=0.1", text)
 	}
-	return Call{Service: service, Operation: operation, Share: number}, nil
+	return ServiceCall{Service: service, Operation: operation, Share: number}, nil
 }
 
 func (w Workload) callShare() float64 {
--- a/ctl/report/page.go
+++ b/ctl/report/page.go
@@ -27,9 +27,9 @@
 
 // Page is what the HTML page shows.
 type Page struct {
-	Title    string
-	Made     time.Time
-	Sections []Section
+	Title       string
+	GeneratedAt time.Time
+	Sections    []Section
 }
 
 // drawnPlot is a plot in both themes.
@@ -60,7 +60,7 @@
 		sections = append(sections, drawn)
 	}
 	return pageTemplate.Execute(w, map[string]any{
-		"Title": page.Title, "Made": page.Made.UTC().Format("2006-01-02 15:04 UTC"), "Sections": sections,
+		"Title": page.Title, "Made": page.GeneratedAt.UTC().Format("2006-01-02 15:04 UTC"), "Sections": sections,
 	})
 }
 
--- a/ctl/report/report_test.go
+++ b/ctl/report/report_test.go
@@ -29,7 +29,7 @@
 			Notes:  []string{"<img src=x>"},
 		}}
 		var text strings.Builder
-		So(Write(&text, Page{Title: "Room", Made: time.Unix(0, 0), Sections: []Section{section}}), ShouldBeNil)
+		So(Write(&text, Page{Title: "Room", GeneratedAt: time.Unix(0, 0), Sections: []Section{section}}), ShouldBeNil)
 		So(strings.Count(text.String(), "<svg "), ShouldEqual, 2)
 		for _, forbidden := range []string{"<script", "<b>", "<i>", "<img", "src=\"http", "href=\"http", "@import"} {
 			So(text.String(), ShouldNotContainSubstring, forbidden)
--- a/ctl/wholepath/path_test.go
+++ b/ctl/wholepath/path_test.go
@@ -35,7 +35,7 @@
 	options := load.DefaultOptions()
 	options.Entries = []string{s.entryURL}
 	options.Engines = s.engineURLs
-	options.Direct = *direct
+	options.DirectShare = *direct
 	options.Keys = []string{key}
 	options.Seed = *seed
 	options.Arrivals = load.Arrivals{Shape: load.Poisson, Rate: *rate}
@@ -75,9 +75,9 @@
 		b.ReportMetric(result.Entry.RequestsPerSecond, "requests/s")
 		b.ReportMetric(result.Entry.TokensPerSecond, "tokens/s")
 		b.ReportMetric(float64(result.Entry.Requests-result.Entry.Outcomes[load.Whole]), "not-whole")
-		if result.Added != nil {
-			b.ReportMetric(result.Added.P50, "added-p50-ms")
-			b.ReportMetric(result.Added.P99, "added-p99-ms")
+		if result.AddedLatency != nil {
+			b.ReportMetric(result.AddedLatency.P50, "added-p50-ms")
+			b.ReportMetric(result.AddedLatency.P99, "added-p99-ms")
 		}
 	}
 }
--- a/ctl/wholepath/slopes_test.go
+++ b/ctl/wholepath/slopes_test.go
@@ -180,7 +180,7 @@
 	options.Engines = nil
 	options.Arrivals.Rate = perSecond
 	options.Duration, options.WarmUp = restTime, 0
-	options.Workload.Calls = []load.Call{{Service: service, Operation: operation, Share: 1}}
+	options.Workload.Calls = []load.ServiceCall{{Service: service, Operation: operation, Share: 1}}
 	rested, restStarted := s.storeCounts(b), time.Now()
 	time.Sleep(restSettle)
 	before := s.storeCounts(b)
