--- a/ctl/adminclient/adminclient.go
+++ b/ctl/adminclient/adminclient.go
@@ -1,8 +1,8 @@
 // Package adminclient is a client of the administration API.
 //
-// Every change has an ID, and a repeat with the same ID returns the first
-// outcome. So the client repeats a request whose answer was lost, at the next
-// entry, and a change is accepted at most once.
+// Every change has an ID, and a retry with the same ID returns the first outcome.
+// The client can therefore retry a request whose answer was lost at the next
+// entry, and a change is still accepted at most once.
 package adminclient
 
 import (
@@ -28,18 +28,17 @@
 
 const (
 	requestTimeout = 20 * time.Second
-	retryWait      = 300 * time.Millisecond
-	rounds         = 3 // How often each entry is tried.
+	retryInterval  = 300 * time.Millisecond
+	maxAttempts    = 3 // Per entry.
 	maxAnswerBytes = 64 << 20
 )
 
 // ErrUnreachable means that no entry answered.
 var ErrUnreachable = errors.New("no entry answered")
 
-// Error is a failure that an entry reported.
+// Error is an error reported by an entry.
 type Error struct{ adminapi.ErrorDetail }
 
-// Error implements error.
 func (e *Error) Error() string {
 	if len(e.Problems) > 0 {
 		return e.Problems.Error()
@@ -49,23 +48,23 @@
 
 // Client calls the administration API.
 type Client struct {
-	Servers []string // Base URLs of entries; the first that answers is used.
+	Servers []string // Base URLs of entries, tried in order until one answers.
 	Token   string   // Operator token.
 	HTTP    *http.Client
 }
 
-// New returns a client of the entries.
+// New returns a client that calls the given entries.
 func New(servers []string, token string) *Client {
 	return &Client{Servers: servers, Token: token, HTTP: &http.Client{Timeout: requestTimeout}}
 }
 
-// request is one request and what is known of its revision.
+// request describes one API request.
 type request struct {
 	method   string
 	path     string
-	body     any    // Sent as JSON unless nil.
-	revision uint64 // Sent as If-Match where matched.
-	matched  bool
+	body     any    // Sent as JSON if not nil.
+	revision uint64 // Sent in the If-Match header if ifMatch is set.
+	ifMatch  bool
 }
 
 // Configuration returns the accepted revision and its files.
@@ -75,8 +74,8 @@
 	return answer, err
 }
 
-// File returns a file's text and the revision read; revision 0 means the
-// accepted one.
+// File returns the text of a file and the revision it was read from. A revision
+// of 0 means the accepted one.
 func (c *Client) File(ctx context.Context, name string, revision uint64) (text []byte, read uint64, err error) {
 	path := adminapi.PathFiles + url.PathEscape(name)
 	if revision > 0 {
@@ -86,10 +85,10 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	return answer, revisionOf(tag), nil
+	return answer, parseETag(tag), nil
 }
 
-func revisionOf(tag string) uint64 {
+func parseETag(tag string) uint64 {
 	text, err := strconv.Unquote(tag)
 	if err != nil {
 		return 0
@@ -98,35 +97,35 @@
 	return revision
 }
 
-// Compare validates files together with the accepted ones and returns what
-// they would change.
+// Compare validates the files together with the accepted ones and returns the
+// changes they would make.
 func (c *Client) Compare(ctx context.Context, files config.Files) (adminapi.Comparison, error) {
 	var answer adminapi.Comparison
 	err := c.call(ctx, request{method: http.MethodPost, path: adminapi.PathDiff, body: adminapi.Files{Files: files}}, &answer)
 	return answer, err
 }
 
-// Apply accepts files that were made against the base revision. An empty ID
-// is replaced by a new one.
+// Apply submits files that are based on the base revision. An empty change ID is
+// replaced by a new one.
 func (c *Client) Apply(ctx context.Context, base uint64, change adminapi.ApplyRequest) (adminapi.Accepted, error) {
-	fillID(&change.ID)
+	ensureID(&change.ID)
 	var answer adminapi.Accepted
-	err := c.call(ctx, request{method: http.MethodPost, path: adminapi.PathApply, body: change, revision: base, matched: true}, &answer)
+	err := c.call(ctx, request{method: http.MethodPost, path: adminapi.PathApply, body: change, revision: base, ifMatch: true}, &answer)
 	return answer, err
 }
 
-// Rollback accepts the files of an earlier revision as a new one.
+// Rollback submits the files of an earlier revision as a new revision.
 func (c *Client) Rollback(ctx context.Context, base uint64, change adminapi.RollbackRequest) (adminapi.Accepted, error) {
-	fillID(&change.ID)
+	ensureID(&change.ID)
 	var answer adminapi.Accepted
-	err := c.call(ctx, request{method: http.MethodPost, path: adminapi.PathRollback, body: change, revision: base, matched: true}, &answer)
+	err := c.call(ctx, request{method: http.MethodPost, path: adminapi.PathRollback, body: change, revision: base, ifMatch: true}, &answer)
 	return answer, err
 }
 
 // SetTakenOut takes out or returns the target; kindPath is
 // adminapi.PathDataCentres or adminapi.PathBackendServers.
 func (c *Client) SetTakenOut(ctx context.Context, kindPath, name string, out bool, change adminapi.TargetRequest) (adminapi.Accepted, error) {
-	fillID(&change.ID)
+	ensureID(&change.ID)
 	suffix := adminapi.SuffixReturn
 	if out {
 		suffix = adminapi.SuffixTakeOut
@@ -136,21 +135,21 @@
 	return answer, err
 }
 
-func fillID(id *string) {
+func ensureID(id *string) {
 	if *id == "" {
 		*id = uuid.NewString()
 	}
 }
 
-// Outcome tells what became of the change with the ID.
+// Outcome returns the outcome of the change with the ID.
 func (c *Client) Outcome(ctx context.Context, id string) (adminapi.Accepted, error) {
 	var answer adminapi.Accepted
 	err := c.call(ctx, request{method: http.MethodGet, path: adminapi.PathApplies + url.PathEscape(id)}, &answer)
 	return answer, err
 }
 
-// Audit returns up to limit audit records with revisions greater than after;
-// without after the newest.
+// Audit returns up to limit audit records with revisions greater than after, or
+// the newest ones if after is nil.
 func (c *Client) Audit(ctx context.Context, after *uint64, limit int) ([]configstore.Record, error) {
 	query := url.Values{"limit": {strconv.Itoa(limit)}}
 	if after != nil {
@@ -161,7 +160,7 @@
 	return answer, err
 }
 
-// Verify checks the whole audit chain.
+// Verify checks the complete audit chain.
 func (c *Client) Verify(ctx context.Context) (adminapi.Verification, error) {
 	var answer adminapi.Verification
 	err := c.call(ctx, request{method: http.MethodGet, path: adminapi.PathVerify}, &answer)
@@ -175,7 +174,8 @@
 	return answer, err
 }
 
-// Decision returns the planner's last decision about a group's expert map.
+// Decision returns the last decision of the planner about the expert map of a
+// group.
 func (c *Client) Decision(ctx context.Context, name string) (group.Decision, error) {
 	var answer group.Decision
 	err := c.call(ctx, request{method: http.MethodGet, path: adminapi.PathGroups + url.PathEscape(name)}, &answer)
@@ -188,12 +188,13 @@
 		return err
 	}
 	if err := json.Unmarshal(answer, out); err != nil {
-		return fmt.Errorf("decode answer to %s %s: %w", r.method, r.path, err)
+		return fmt.Errorf("decode response to %s %s: %w", r.method, r.path, err)
 	}
 	return nil
 }
 
-// send sends the request to each entry in turn until one answers.
+// send sends the request to each entry in turn until one answers with a success
+// or a permanent error. It makes up to maxAttempts passes over the entries.
 func (c *Client) send(ctx context.Context, r request) (answer []byte, tag string, err error) {
 	var body []byte
 	if r.body != nil {
@@ -201,40 +202,40 @@
 			return nil, "", fmt.Errorf("encode request to %s: %w", r.path, err)
 		}
 	}
-	err = errors.New("no entry is named")
-	for range rounds {
+	err = errors.New("no entry is configured")
+	for range maxAttempts {
 		for _, server := range c.Servers {
-			var reported *Error
+			var apiErr *Error
 			answer, tag, err = c.sendTo(ctx, server, r, body)
-			if err == nil || (errors.As(err, &reported) && !passing(reported.Code)) {
+			if err == nil || (errors.As(err, &apiErr) && !isTransient(apiErr.Code)) {
 				return answer, tag, err
 			}
 		}
 		select {
-		case <-time.After(retryWait):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return nil, "", fmt.Errorf("%w: %w", ErrUnreachable, err)
 		}
 	}
-	var reported *Error
-	if errors.As(err, &reported) {
+	var apiErr *Error
+	if errors.As(err, &apiErr) {
 		return nil, "", err
 	}
 	return nil, "", fmt.Errorf("%w: %w", ErrUnreachable, err)
 }
 
-// passing reports whether another try, at another entry, can go better.
-func passing(code result.Code) bool {
+// isTransient reports whether a retry, possibly at another entry, can succeed.
+func isTransient(code result.Code) bool {
 	return code == result.StoreUnavailable || code == result.ApplyUnknown || code == result.NotReady
 }
 
 func (c *Client) sendTo(ctx context.Context, server string, r request, body []byte) ([]byte, string, error) {
 	httpRequest, err := http.NewRequestWithContext(ctx, r.method, server+r.path, bytes.NewReader(body))
 	if err != nil {
-		return nil, "", fmt.Errorf("make request to %s: %w", server, err)
+		return nil, "", fmt.Errorf("create request to %s: %w", server, err)
 	}
 	httpRequest.Header.Set("Authorization", "Bearer "+c.Token)
-	if r.matched {
+	if r.ifMatch {
 		httpRequest.Header.Set("If-Match", strconv.Quote(strconv.FormatUint(r.revision, 10)))
 	}
 	response, err := c.HTTP.Do(httpRequest)
@@ -244,14 +245,14 @@
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return nil, "", fmt.Errorf("read answer of %s: %w", server, err)
+		return nil, "", fmt.Errorf("read response from %s: %w", server, err)
 	}
 	if response.StatusCode/100 == 2 {
 		return answer, response.Header.Get("ETag"), nil
 	}
 	var failure adminapi.Error
 	if err := json.Unmarshal(answer, &failure); err != nil || failure.Error.Name == "" {
-		return nil, "", fmt.Errorf("%s answered with status %d", server, response.StatusCode)
+		return nil, "", fmt.Errorf("%s responded with status %d", server, response.StatusCode)
 	}
 	return nil, "", &Error{ErrorDetail: failure.Error}
 }
--- a/ctl/chart/chart.go
+++ b/ctl/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws the plots of reports, as PNG and SVG.
+// Package chart renders the plots of reports as PNG and SVG.
 package chart
 
 import (
@@ -19,7 +19,7 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// Sizes that can be read on a large screen from across a room.
+// Sizes that keep a plot on a large screen readable from across a room.
 const (
 	width      = 16 * vg.Inch
 	height     = 9 * vg.Inch
@@ -29,10 +29,10 @@
 	legendSize = 19
 	lineWidth  = 3.5
 	pointSize  = 6
-	edge       = 18
+	padding    = 18
 )
 
-// Theme is the colours of a plot.
+// Theme is the set of colours of a plot.
 type Theme struct {
 	Background color.Color // Nil for a transparent background.
 	Ink        color.Color // Text and axes.
@@ -75,7 +75,7 @@
 	draw.CircleGlyph{}, draw.SquareGlyph{}, draw.TriangleGlyph{}, draw.PyramidGlyph{}, draw.RingGlyph{}, draw.BoxGlyph{},
 }
 
-// Write draws the plot in the format "png" or "svg".
+// Write renders the plot in the format "png" or "svg".
 func Write(w io.Writer, p experiment.Plot, theme Theme, format string) error {
 	drawing, err := newDrawing(p, theme)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// SavePNG draws the plot as a PNG file in the directory and returns its path.
+// SavePNG renders the plot to a PNG file in the directory and returns its path.
 func SavePNG(directory string, p experiment.Plot) (path string, err error) {
 	path = filepath.Join(directory, p.Name+".png")
 	file, err := os.Create(path)
@@ -112,7 +112,7 @@
 	drawing.Title.Text = p.Title
 	drawing.Title.TextStyle.Font.Size = titleSize
 	drawing.Title.TextStyle.Color = theme.Ink
-	drawing.Title.Padding = edge
+	drawing.Title.Padding = padding
 	styleAxis(&drawing.X, p.XLabel, theme)
 	styleAxis(&drawing.Y, p.YLabel, theme)
 	styleLegend(drawing, theme)
@@ -132,7 +132,7 @@
 	axis.Label.Text = label
 	axis.Label.TextStyle.Font.Size = labelSize
 	axis.Label.TextStyle.Color = theme.Ink
-	axis.Label.Padding = edge / 2
+	axis.Label.Padding = padding / 2
 	axis.Tick.Label.Font.Size = tickSize
 	axis.Tick.Label.Color = theme.Ink
 	axis.Tick.Color = theme.Ink
@@ -143,10 +143,10 @@
 func styleLegend(drawing *plot.Plot, theme Theme) {
 	drawing.Legend.Top = true
 	drawing.Legend.Left = true
-	drawing.Legend.XOffs = edge
-	drawing.Legend.YOffs = -edge / 2
-	drawing.Legend.ThumbnailWidth = 3 * edge
-	drawing.Legend.Padding = font.Length(edge) / 4
+	drawing.Legend.XOffs = padding
+	drawing.Legend.YOffs = -padding / 2
+	drawing.Legend.ThumbnailWidth = 3 * padding
+	drawing.Legend.Padding = font.Length(padding) / 4
 	drawing.Legend.TextStyle.Font.Size = legendSize
 	drawing.Legend.TextStyle.Color = theme.Ink
 }
@@ -180,10 +180,11 @@
 	return nil
 }
 
-// maxMarkedPoints is the longest series whose points are marked.
+// maxMarkedPoints is the maximum length of a series whose points are marked.
 const maxMarkedPoints = 60
 
-// headroom is the share of the y axis that the legend may cover.
+// headroom is the fraction of the y range added above the data to leave room for
+// the legend.
 const headroom = 0.2
 
 func setScales(drawing *plot.Plot, p experiment.Plot) {
--- a/ctl/chart/chart_test.go
+++ b/ctl/chart/chart_test.go
@@ -21,7 +21,7 @@
 
 func TestWrite(t *testing.T) {
 	Convey("Given a plot", t, func() {
-		Convey("its PNG file decodes at a large size", func() {
+		Convey("its PNG file decodes and is at least 1500 pixels wide", func() {
 			path, err := SavePNG(t.TempDir(), testPlot())
 			So(err, ShouldBeNil)
 			body, err := os.ReadFile(path)
@@ -30,12 +30,12 @@
 			So(err, ShouldBeNil)
 			So(picture.Bounds().Dx(), ShouldBeGreaterThanOrEqualTo, 1500)
 		})
-		Convey("its SVG names its axes", func() {
+		Convey("its SVG contains the axis labels", func() {
 			var body strings.Builder
 			So(Write(&body, testPlot(), Dark, "svg"), ShouldBeNil)
 			So(body.String(), ShouldContainSubstring, "wait (ms)")
 		})
-		Convey("a series of unequal lengths is an error that names it", func() {
+		Convey("a series with unequal numbers of x and y values is an error that names it", func() {
 			plot := testPlot()
 			plot.Series[0].Y = plot.Series[0].Y[:2]
 			err := Write(&bytes.Buffer{}, plot, Light, "png")
--- a/ctl/cmd/persimmonctl/change.go
+++ b/ctl/cmd/persimmonctl/change.go
@@ -13,30 +13,32 @@
 	"persimmonwind.dev/server/admin/adminapi"
 )
 
-// changeFlags are common to all commands that change the configuration.
+// changeFlags holds the flags common to all commands that change the
+// configuration.
 type changeFlags struct {
 	adminFlags
-	id       string
-	revision uint64
-	wait     bool
-	timeout  time.Duration
-	allOut   bool
+	id                  string
+	revision            uint64
+	wait                bool
+	timeout             time.Duration
+	allowLastDataCentre bool
 }
 
 func (f *changeFlags) addTo(command *cobra.Command, revision bool) {
 	f.adminFlags.addTo(command)
 	set := command.Flags()
-	set.StringVar(&f.id, "id", "", "ID of the change; a repeat with the same one returns the first outcome (default: a new one)")
-	set.BoolVar(&f.wait, "wait", false, "wait until the change is in force everywhere, or name who lacks it")
-	set.DurationVar(&f.timeout, "timeout", waitLimit, "longest time to wait")
-	set.BoolVar(&f.allOut, "allow-last-data-centre", false, "permit that no data centre is left in service")
+	set.StringVar(&f.id, "id", "", "ID of the change; a retry with the same ID returns the first outcome (default: a new ID)")
+	set.BoolVar(&f.wait, "wait", false, "wait until the change is in force everywhere, or list the processes where it is not")
+	set.DurationVar(&f.timeout, "timeout", defaultWaitTimeout, "maximum time to wait")
+	set.BoolVar(&f.allowLastDataCentre, "allow-last-data-centre", false, "allow a change that leaves no data centre in service")
 	if revision {
-		set.Uint64Var(&f.revision, "revision", 0, "revision that the change was made against (default: the accepted one)")
+		set.Uint64Var(&f.revision, "revision", 0, "revision that the change is based on (default: the accepted one)")
 	}
 }
 
-// change makes one change and reports it.
-func (f *changeFlags) change(command *cobra.Command, make func(context.Context, *adminclient.Client) (adminapi.Accepted, error)) error {
+// submit makes one change, prints its outcome and, with --wait, waits until it is
+// in force.
+func (f *changeFlags) submit(command *cobra.Command, make func(context.Context, *adminclient.Client) (adminapi.Accepted, error)) error {
 	client, err := f.client()
 	if err != nil {
 		return err
@@ -64,8 +66,8 @@
 	return nil
 }
 
-// base returns the revision to change against.
-func (f *changeFlags) base(ctx context.Context, client *adminclient.Client) (uint64, error) {
+// baseRevision returns the revision that the change is based on.
+func (f *changeFlags) baseRevision(ctx context.Context, client *adminclient.Client) (uint64, error) {
 	if f.revision > 0 {
 		return f.revision, nil
 	}
@@ -77,22 +79,22 @@
 	var flags changeFlags
 	command := &cobra.Command{
 		Use:   "apply FILE|DIRECTORY...",
-		Short: "Accept whole configuration files",
-		Long: "Files are named as in data_centres.jsonc. All files given are accepted in one\n" +
-			"step or not at all. Give --revision to be refused where another change was\n" +
-			"accepted since you read that revision.",
+		Short: "Apply complete configuration files",
+		Long: "Files are named after the configuration, for example data_centres.jsonc. All\n" +
+			"files are accepted in one step or not at all. With --revision, the change is\n" +
+			"refused if another change was accepted after that revision.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, paths []string) error {
 			files, err := readFiles(paths)
 			if err != nil {
 				return err
 			}
-			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
-				base, err := flags.base(ctx, client)
+			return flags.submit(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
+				baseRevision, err := flags.baseRevision(ctx, client)
 				if err != nil {
 					return adminapi.Accepted{}, err
 				}
-				return client.Apply(ctx, base, adminapi.ApplyRequest{ID: flags.id, Files: files, AllowLastDataCentre: flags.allOut})
+				return client.Apply(ctx, baseRevision, adminapi.ApplyRequest{ID: flags.id, Files: files, AllowLastDataCentre: flags.allowLastDataCentre})
 			})
 		},
 	}
@@ -105,20 +107,20 @@
 	var to uint64
 	command := &cobra.Command{
 		Use:   "rollback --to REVISION",
-		Short: "Accept the files of an earlier revision as a new one",
+		Short: "Apply the files of an earlier revision as a new revision",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
-				base, err := flags.base(ctx, client)
+			return flags.submit(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
+				baseRevision, err := flags.baseRevision(ctx, client)
 				if err != nil {
 					return adminapi.Accepted{}, err
 				}
-				return client.Rollback(ctx, base, adminapi.RollbackRequest{ID: flags.id, Revision: to, AllowLastDataCentre: flags.allOut})
+				return client.Rollback(ctx, baseRevision, adminapi.RollbackRequest{ID: flags.id, Revision: to, AllowLastDataCentre: flags.allowLastDataCentre})
 			})
 		},
 	}
 	flags.addTo(command, true)
-	command.Flags().Uint64Var(&to, "to", 0, "revision whose files to accept anew")
+	command.Flags().Uint64Var(&to, "to", 0, "revision whose files to apply")
 	_ = command.MarkFlagRequired("to")
 	return command
 }
@@ -135,8 +137,8 @@
 			if err != nil {
 				return err
 			}
-			return flags.change(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
-				return client.SetTakenOut(ctx, path, args[1], out, adminapi.TargetRequest{ID: flags.id, AllowLastDataCentre: flags.allOut})
+			return flags.submit(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
+				return client.SetTakenOut(ctx, path, args[1], out, adminapi.TargetRequest{ID: flags.id, AllowLastDataCentre: flags.allowLastDataCentre})
 			})
 		},
 	}
@@ -146,7 +148,7 @@
 
 func printAccepted(out io.Writer, accepted adminapi.Accepted) error {
 	if accepted.Unchanged {
-		_, err := fmt.Fprintf(out, "unchanged: these files are in revision %d already\n", accepted.Revision)
+		_, err := fmt.Fprintf(out, "unchanged: revision %d already has these files\n", accepted.Revision)
 		return err
 	}
 	fmt.Fprintf(out, "accepted as revision %d; %d of %d other processes reached at once\n", accepted.Revision, accepted.Reached, accepted.Processes)
--- a/ctl/cmd/persimmonctl/configuration.go
+++ b/ctl/cmd/persimmonctl/configuration.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	envServers = "PERSIMMONWIND_ADMIN"
-	envToken   = "PERSIMMONWIND_TOKEN"
-	waitLimit  = 9 * time.Second
+	envServers         = "PERSIMMONWIND_ADMIN"
+	envToken           = "PERSIMMONWIND_TOKEN"
+	defaultWaitTimeout = 9 * time.Second
 )
 
-// Exit codes of the tool.
+// Exit codes of persimmonctl.
 const (
 	exitFailure     = 1
 	exitInvalidFile = 3
@@ -34,25 +34,25 @@
 	exitForbidden   = 8
 )
 
-// exitCode returns the tool's exit code for the error.
+// exitCode returns the exit code of persimmonctl for the error.
 func exitCode(err error) int {
-	var lacking *adminclient.NotInForceError
+	var notInForce *adminclient.NotInForceError
 	var problems jsonfile.Problems
-	var reported *adminclient.Error
+	var apiErr *adminclient.Error
 	switch {
-	case errors.As(err, &lacking):
+	case errors.As(err, &notInForce):
 		return exitNotInForce
 	case errors.As(err, &problems):
 		return exitInvalidFile
-	case errors.As(err, &reported):
-		return codeExit(reported.Code)
+	case errors.As(err, &apiErr):
+		return exitCodeForResult(apiErr.Code)
 	case errors.Is(err, adminclient.ErrUnreachable):
 		return exitUnreachable
 	}
 	return exitFailure
 }
 
-func codeExit(code result.Code) int {
+func exitCodeForResult(code result.Code) int {
 	switch code {
 	case result.InvalidFile, result.LastDataCentre, result.FileTooLarge:
 		return exitInvalidFile
@@ -68,7 +68,8 @@
 	return exitFailure
 }
 
-// adminFlags are common to all commands that call the administration API.
+// adminFlags holds the flags common to all commands that call the administration
+// API.
 type adminFlags struct {
 	servers []string
 	token   string
@@ -84,16 +85,17 @@
 	return commands
 }
 
-// addTo declares the flags; the environment gives their defaults.
+// addTo registers the flags on the command. The environment provides their
+// defaults.
 func (f *adminFlags) addTo(command *cobra.Command) {
 	servers := strings.Split(os.Getenv(envServers), ",")
 	if os.Getenv(envServers) == "" {
 		servers = []string{"http://127.0.0.1:8081"}
 	}
 	set := command.Flags()
-	set.StringSliceVar(&f.servers, "server", servers, "base URLs of entries' administration API, tried in turn ($"+envServers+")")
+	set.StringSliceVar(&f.servers, "server", servers, "base URLs of the administration API of entries, tried in order ($"+envServers+")")
 	set.StringVar(&f.token, "token-file", "", "file with the operator token (default: $"+envToken+")")
-	set.StringVar(&f.output, "output", "table", "table or json")
+	set.StringVar(&f.output, "output", "table", "output format: table or json")
 	_ = command.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp))
 }
 
@@ -105,7 +107,7 @@
 	if f.token != "" {
 		text, err := os.ReadFile(f.token)
 		if err != nil {
-			return nil, fmt.Errorf("read the operator token: %w", err)
+			return nil, fmt.Errorf("read operator token: %w", err)
 		}
 		token = strings.TrimSpace(string(text))
 	}
@@ -115,8 +117,9 @@
 	return adminclient.New(f.servers, token), nil
 }
 
-// readFiles reads configuration files; a directory stands for all of its
-// files. A file's name without its ending is the configuration file's name.
+// readFiles reads configuration files. A directory stands for all configuration
+// files in it. The name of a configuration file is its file name without the
+// extension.
 func readFiles(paths []string) (config.Files, error) {
 	files := config.Files{}
 	for _, path := range paths {
@@ -138,7 +141,7 @@
 		}
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("no configuration file is in %s", strings.Join(paths, ", "))
+		return nil, fmt.Errorf("no configuration file found in %s", strings.Join(paths, ", "))
 	}
 	return files, nil
 }
@@ -146,7 +149,7 @@
 func readFile(files config.Files, path string) error {
 	name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	if !config.KnownFile(name) {
-		return fmt.Errorf("%s: no configuration file is named %q; use %s", path, name, strings.Join(config.FileNames, ", "))
+		return fmt.Errorf("%s: unknown configuration file %q; valid names are %s", path, name, strings.Join(config.FileNames, ", "))
 	}
 	info, err := os.Stat(path)
 	if err != nil {
@@ -177,5 +180,5 @@
 	case "backend-server":
 		return adminapi.PathBackendServers, nil
 	}
-	return "", fmt.Errorf("the kind is %q, must be data-centre or backend-server", kind)
+	return "", fmt.Errorf("target kind is %q, must be data-centre or backend-server", kind)
 }
--- a/ctl/cmd/persimmonctl/configuration_test.go
+++ b/ctl/cmd/persimmonctl/configuration_test.go
@@ -16,10 +16,12 @@
 	"persimmonwind.dev/server/dev"
 )
 
-// anyAddress lets the system give a free port, which stays taken.
+// anyAddress makes the system listen on a free port. The port cannot be taken by
+// another process, because the listener stays open.
 const anyAddress = "127.0.0.1:0"
 
-// startDev runs a development system and points the tool's environment at it.
+// startDev runs a development system and sets the environment of persimmonctl to
+// use it.
 func startDev(t *testing.T) {
 	t.Helper()
 	logger := logrus.New()
@@ -55,7 +57,7 @@
 	t.Fatal("the development system did not become ready")
 }
 
-// ctl runs the tool and returns what it printed with its exit code.
+// ctl runs persimmonctl and returns its output and exit code.
 func ctl(arguments ...string) (string, int) {
 	var out bytes.Buffer
 	root := newRoot()
@@ -82,7 +84,7 @@
 	}
 	work := string(files["work"])
 
-	Convey("An operator's whole way through a development system", t, func() {
+	Convey("All configuration commands work against a development system", t, func() {
 		path := write("work", strings.Replace(work, `"version": "1"`, `"version": "2"`, 1))
 		out, code := ctl("diff", path)
 		So(code, ShouldEqual, 0)
@@ -131,13 +133,13 @@
 		So(out, ShouldContainSubstring, "rollback")
 		out, code = ctl("audit", "--verify")
 		So(code, ShouldEqual, 0)
-		So(out, ShouldContainSubstring, "the chain of 6 records is whole")
+		So(out, ShouldContainSubstring, "the chain of 6 records is intact")
 		out, code = ctl("status")
 		So(code, ShouldEqual, 0)
 		So(out, ShouldContainSubstring, "revision 6 (accepted)")
 	})
 
-	Convey("Bad files change nothing and each fault is named", t, func() {
+	Convey("Invalid files change nothing, and the error names each fault", t, func() {
 		cases := []struct{ text, want string }{
 			{work[:40], "truncated"},
 			{strings.Repeat(" ", 50<<20), "the file has 52428800 bytes"},
@@ -163,7 +165,7 @@
 		_, code := ctl("status", "--token-file", token)
 		So(code, ShouldEqual, exitForbidden)
 	})
-	Convey("An unreachable entry is told", t, func() {
+	Convey("An unreachable entry is reported by the exit code", t, func() {
 		_, code := ctl("status", "--server", "http://127.0.0.1:1")
 		So(code, ShouldEqual, exitUnreachable)
 	})
--- a/ctl/cmd/persimmonctl/experiment.go
+++ b/ctl/cmd/persimmonctl/experiment.go
@@ -48,7 +48,7 @@
 	return []*cobra.Command{list, newExperiment()}
 }
 
-// experimentFlags are the flags of the experiment command.
+// experimentFlags holds the flags of the experiment command.
 type experimentFlags struct {
 	options   experiment.Options
 	all       bool
@@ -56,7 +56,7 @@
 	output    string
 }
 
-// namedReport is one report with the experiment that made it.
+// namedReport is a report with the name and options of its experiment.
 type namedReport struct {
 	Name   string            `json:"name"`
 	Seed   uint64            `json:"seed"`
@@ -69,10 +69,10 @@
 	var flags experimentFlags
 	command := &cobra.Command{
 		Use:   "experiment NAME | --all",
-		Short: "Compare policies over the same seeds: tables and plots",
-		Long: "Run one named experiment, or all of them. Tables go to the terminal.\n" +
+		Short: "Compare policies over the same seeds in tables and plots",
+		Long: "Run one named experiment, or all of them. Tables are printed to the terminal.\n" +
 			"With --out, plots are written as PNG files and each report as JSON,\n" +
-			"which \"persimmonctl report\" turns into a page.",
+			"which \"persimmonctl report\" renders as a page.",
 		Args: cobra.MaximumNArgs(1),
 		ValidArgsFunction: func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 			return experimentNames(), cobra.ShellCompDirectiveNoFileComp
@@ -84,10 +84,10 @@
 	set := command.Flags()
 	set.Uint64Var(&flags.options.Seed, "seed", 1, "first seed")
 	set.IntVar(&flags.options.Seeds, "seeds", 5, "number of seeds")
-	set.BoolVar(&flags.options.Quick, "quick", false, "smaller sizes, for a first look")
+	set.BoolVar(&flags.options.Quick, "quick", false, "run with smaller sizes for a quick overview")
 	set.BoolVar(&flags.all, "all", false, "run every experiment")
 	set.StringVar(&flags.directory, "out", "", "directory for the plots (PNG) and reports (JSON)")
-	set.StringVar(&flags.output, "output", "table", "what goes to the terminal: table or json")
+	set.StringVar(&flags.output, "output", "table", "format of the output on the terminal: table or json")
 	return command
 }
 
@@ -102,7 +102,7 @@
 
 func selectExperiments(names []string, all bool) ([]experiment.Experiment, error) {
 	if all == (len(names) > 0) {
-		return nil, fmt.Errorf("give either the name of an experiment or --all; the names are %v", experimentNames())
+		return nil, fmt.Errorf("specify either the name of an experiment or --all; the names are %v", experimentNames())
 	}
 	if all {
 		return experiments, nil
@@ -115,7 +115,7 @@
 	return nil, fmt.Errorf("experiment %q does not exist; the names are %v", names[0], experimentNames())
 }
 
-// runExperiments runs the chosen experiments; a failed one does not stop the
+// runExperiments runs the selected experiments. A failed one does not stop the
 // others.
 func runExperiments(ctx context.Context, w io.Writer, names []string, flags experimentFlags) error {
 	if flags.output != "table" && flags.output != "json" {
@@ -124,12 +124,12 @@
 	if flags.options.Seeds < 1 {
 		return fmt.Errorf("--seeds is %d, must be at least 1", flags.options.Seeds)
 	}
-	chosen, err := selectExperiments(names, flags.all)
+	selected, err := selectExperiments(names, flags.all)
 	if err != nil {
 		return err
 	}
 	var failures []error
-	for _, e := range chosen {
+	for _, e := range selected {
 		if err := runExperiment(ctx, w, e, flags); err != nil {
 			failures = append(failures, fmt.Errorf("experiment %q: %w", e.Name, err))
 		}
--- a/ctl/cmd/persimmonctl/experiment_test.go
+++ b/ctl/cmd/persimmonctl/experiment_test.go
@@ -40,8 +40,8 @@
 	experiments = fakeExperiments()
 	t.Cleanup(func() { experiments = registered })
 
-	Convey("Given two experiments of which one fails", t, func() {
-		Convey("--all runs both, saves the good one's report and names the failure", func() {
+	Convey("With two experiments of which one fails", t, func() {
+		Convey("--all runs both, saves the report of the successful one and names the failed one", func() {
 			directory := t.TempDir()
 			_, err := runTool("experiment", "--all", "--seeds", "3", "--out", directory)
 			So(err.Error(), ShouldContainSubstring, `experiment "broken": no workload`)
--- a/ctl/cmd/persimmonctl/explain.go
+++ b/ctl/cmd/persimmonctl/explain.go
@@ -17,7 +17,7 @@
 	var flags adminFlags
 	command := &cobra.Command{
 		Use:   "explain GROUP",
-		Short: "Tell why a group's expert map was changed or left as it is",
+		Short: "Explain why the expert map of a group was changed or left unchanged",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			client, err := flags.client()
--- a/ctl/cmd/persimmonctl/inspect.go
+++ b/ctl/cmd/persimmonctl/inspect.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	columnGap     = 2
-	watchInterval = time.Second
-	maxShown      = 40 // Longest value shown in a table, in bytes.
-	maxListed     = 20 // Most changes of one record shown in a table.
+	columnPadding    = 2
+	watchInterval    = time.Second
+	maxValueBytes    = 40 // Maximum length of a value in a table.
+	maxListedChanges = 20 // Maximum number of changes of one record in a table.
 )
 
 func newValidate() *cobra.Command {
-	return newCompare("validate", "Check files together with the accepted ones, changing nothing", func(out io.Writer, comparison adminapi.Comparison) error {
+	return newCompare("validate", "Validate files together with the accepted ones without applying them", func(out io.Writer, comparison adminapi.Comparison) error {
 		_, err := fmt.Fprintf(out, "valid against revision %d; %d fields would change\n", comparison.Base, len(comparison.Changes))
 		return err
 	})
 }
 
 func newDiff() *cobra.Command {
-	return newCompare("diff", "Show field by field what files would change", func(out io.Writer, comparison adminapi.Comparison) error {
-		fmt.Fprintf(out, "against revision %d\n", comparison.Base)
+	return newCompare("diff", "Show the fields that files would change", func(out io.Writer, comparison adminapi.Comparison) error {
+		fmt.Fprintf(out, "compared with revision %d\n", comparison.Base)
 		return printChanges(out, comparison.Changes)
 	})
 }
@@ -70,7 +70,7 @@
 	var revision uint64
 	command := &cobra.Command{
 		Use:       "get [FILE]",
-		Short:     "Print a file as accepted, or list the accepted files",
+		Short:     "Print an accepted file, or list the accepted files",
 		Args:      cobra.MaximumNArgs(1),
 		ValidArgs: config.FileNames,
 		RunE: func(command *cobra.Command, args []string) error {
@@ -95,7 +95,7 @@
 		},
 	}
 	flags.addTo(command)
-	command.Flags().Uint64Var(&revision, "revision", 0, "an earlier revision (default: the accepted one)")
+	command.Flags().Uint64Var(&revision, "revision", 0, "revision to read (default: the accepted one)")
 	return command
 }
 
@@ -103,7 +103,7 @@
 	var flags adminFlags
 	command := &cobra.Command{
 		Use:   "outcome ID",
-		Short: "Tell what became of a change whose outcome was unknown",
+		Short: "Show the outcome of a change whose outcome was unknown",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			client, err := flags.client()
@@ -128,7 +128,7 @@
 	var verify bool
 	command := &cobra.Command{
 		Use:   "audit",
-		Short: "Show who changed what and when, field by field",
+		Short: "Show the audit records: who changed which fields, and when",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			client, err := flags.client()
@@ -140,7 +140,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(command.OutOrStdout(), "the chain of %d records is whole\n", verification.Records)
+				fmt.Fprintf(command.OutOrStdout(), "the chain of %d records is intact\n", verification.Records)
 				return nil
 			}
 			var from *uint64
@@ -158,9 +158,9 @@
 		},
 	}
 	flags.addTo(command)
-	command.Flags().Uint64Var(&after, "after", 0, "show records after this revision (default: the newest)")
-	command.Flags().IntVar(&limit, "limit", 20, "most records")
-	command.Flags().BoolVar(&verify, "verify", false, "check the whole chain instead")
+	command.Flags().Uint64Var(&after, "after", 0, "show records after this revision (default: the newest records)")
+	command.Flags().IntVar(&limit, "limit", 20, "maximum number of records")
+	command.Flags().BoolVar(&verify, "verify", false, "verify the audit chain instead of printing records")
 	return command
 }
 
@@ -193,7 +193,7 @@
 		},
 	}
 	flags.addTo(command)
-	command.Flags().BoolVar(&watch, "watch", false, "show it again each second")
+	command.Flags().BoolVar(&watch, "watch", false, "refresh every second")
 	return command
 }
 
@@ -204,20 +204,20 @@
 }
 
 func printChanges(out io.Writer, changes []config.Change) error {
-	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
 	for _, change := range changes {
-		fmt.Fprintf(table, "%s\t%s\t->\t%s\n", change.Path, shown(change.Old), shown(change.New))
+		fmt.Fprintf(table, "%s\t%s\t->\t%s\n", change.Path, shortenValue(change.Old), shortenValue(change.New))
 	}
 	return table.Flush()
 }
 
-// shown shortens a value for a table.
-func shown(value string) string {
+// shortenValue truncates a value to maxValueBytes for a table.
+func shortenValue(value string) string {
 	switch {
 	case value == "":
 		return "(none)"
-	case len(value) > maxShown:
-		return strings.ToValidUTF8(value[:maxShown], "") + "..."
+	case len(value) > maxValueBytes:
+		return strings.ToValidUTF8(value[:maxValueBytes], "") + "..."
 	}
 	return value
 }
@@ -225,12 +225,12 @@
 func printAudit(out io.Writer, records []configstore.Record) error {
 	for _, record := range records {
 		fmt.Fprintf(out, "revision %d  %s  %s  %s  through %s\n", record.Revision, record.At.Format(time.RFC3339), record.Operator, record.Kind, record.Entry)
-		listed := record.Changes[:min(len(record.Changes), maxListed)]
+		listed := record.Changes[:min(len(record.Changes), maxListedChanges)]
 		if err := printChanges(out, listed); err != nil {
 			return err
 		}
 		if more := len(record.Changes) - len(listed); more > 0 {
-			fmt.Fprintf(out, "and %d more fields; --output json shows all\n", more)
+			fmt.Fprintf(out, "and %d more fields; use --output json to show all\n", more)
 		}
 	}
 	return nil
@@ -245,7 +245,7 @@
 		source = "newest known; the store is unreachable"
 	}
 	fmt.Fprintf(out, "revision %d (%s)\n", status.Revision, source)
-	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprint(table, "PROCESS\tDATA CENTRE\tREVISION")
 	for _, name := range config.FileNames {
 		fmt.Fprintf(table, "\t%s", strings.ToUpper(name))
--- a/ctl/cmd/persimmonctl/load.go
+++ b/ctl/cmd/persimmonctl/load.go
@@ -14,23 +14,23 @@
 
 func loadCommands() []*cobra.Command { return []*cobra.Command{newLoad()} }
 
-// loadFlags are the flags of the load command beside load.Options.
+// loadFlags holds the flags of the load command.
 type loadFlags struct {
-	options load.Options
-	calls   []string
-	output  string
-	file    string
-	quiet   bool
+	options    load.Options
+	calls      []string
+	output     string
+	resultFile string
+	quiet      bool
 }
 
 func newLoad() *cobra.Command {
 	flags := loadFlags{options: load.DefaultOptions()}
 	command := &cobra.Command{
 		Use:   "load",
-		Short: "Send a drawn workload and measure what callers see",
-		Long: "Requests arrive on their schedule whatever became of earlier ones, and\n" +
-			"latencies count from the intended start. Every answer is checked by its\n" +
-			"content. The exit code is 1 where an answer was cut or another request's.",
+		Short: "Generate load and measure what callers see",
+		Long: "Requests start on schedule without waiting for earlier ones, and latencies\n" +
+			"are measured from the intended start. The content of every answer is checked.\n" +
+			"The exit code is 1 if an answer was truncated or belongs to another request.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runLoad(command.Context(), command.OutOrStdout(), command.ErrOrStderr(), flags)
@@ -39,44 +39,44 @@
 	addTargetFlags(command, &flags)
 	addWorkloadFlags(command, &flags)
 	set := command.Flags()
-	set.StringVar(&flags.output, "output", "table", "what goes to the terminal: table or json")
-	set.StringVar(&flags.file, "result", "", "file for the JSON result")
-	set.BoolVar(&flags.quiet, "quiet", false, "show no progress")
+	set.StringVar(&flags.output, "output", "table", "format of the output on the terminal: table or json")
+	set.StringVar(&flags.resultFile, "result", "", "file for the JSON result")
+	set.BoolVar(&flags.quiet, "quiet", false, "do not show progress")
 	return command
 }
 
 func addTargetFlags(command *cobra.Command, flags *loadFlags) {
 	set, options := command.Flags(), &flags.options
-	set.StringSliceVar(&options.Entries, "entry", options.Entries, "base URLs of entries, used in turn")
-	set.StringSliceVar(&options.Engines, "engine", nil, "base URLs of stand-in engines, for a comparison with the way through the entries")
-	set.Float64Var(&options.DirectShare, "direct", options.DirectShare, "share of chats that go straight to the engines, if any are given")
-	set.StringSliceVar(&options.Keys, "key", options.Keys, "organisation keys, drawn evenly")
+	set.StringSliceVar(&options.Entries, "entry", options.Entries, "base URLs of entries, used in round-robin order")
+	set.StringSliceVar(&options.Engines, "engine", nil, "base URLs of stand-in engines, for a comparison with requests through the entries")
+	set.Float64Var(&options.DirectShare, "direct", options.DirectShare, "share of chats sent directly to the engines, if any are given")
+	set.StringSliceVar(&options.Keys, "key", options.Keys, "organisation keys, chosen uniformly at random")
 	set.BoolVar(&options.AllowRemote, "allow-remote", false, "allow targets that are not on this machine")
-	set.DurationVar(&options.Timeout, "timeout", options.Timeout, "longest time of a request with its retries")
-	set.IntVar(&options.MaxRetries, "retries", 0, "most repeats of a refused request")
-	set.BoolVar(&options.HonourRetryAfter, "retry-after", options.HonourRetryAfter, "wait as Retry-After asks before a repeat")
-	set.IntVar(&options.MaxInFlight, "in-flight", options.MaxInFlight, "most requests at a time; arrivals beyond it are dropped and counted")
-	set.BoolVar(&options.Verify, "verify", options.Verify, "check each answer against the stand-ins' content")
+	set.DurationVar(&options.Timeout, "timeout", options.Timeout, "timeout of a request including its retries")
+	set.IntVar(&options.MaxRetries, "retries", 0, "maximum number of retries of a refused request")
+	set.BoolVar(&options.HonourRetryAfter, "retry-after", options.HonourRetryAfter, "wait for the Retry-After time before a retry")
+	set.IntVar(&options.MaxInFlight, "in-flight", options.MaxInFlight, "maximum number of concurrent requests; arrivals beyond it are counted as dropped")
+	set.BoolVar(&options.Verify, "verify", options.Verify, "compare each answer with the one expected from the stand-in engine or service")
 }
 
 func addWorkloadFlags(command *cobra.Command, flags *loadFlags) {
 	set, options := command.Flags(), &flags.options
-	arrivals, work := &options.Arrivals, &options.Workload
-	set.Uint64Var(&options.Seed, "seed", options.Seed, "seed of arrivals and requests")
-	set.StringVar((*string)(&arrivals.Shape), "arrivals", string(arrivals.Shape), "constant, poisson or surge")
-	set.Float64Var(&arrivals.Rate, "rate", arrivals.Rate, "requests a second")
-	set.DurationVar(&arrivals.SurgeAt, "surge-at", 0, "start of the surge")
-	set.DurationVar(&arrivals.SurgeDuration, "surge-for", 0, "length of the surge")
-	set.Float64Var(&arrivals.SurgeFactor, "surge-factor", arrivals.SurgeFactor, "how many times the rate during the surge")
+	arrivals, workload := &options.Arrivals, &options.Workload
+	set.Uint64Var(&options.Seed, "seed", options.Seed, "random seed of arrivals and requests")
+	set.StringVar((*string)(&arrivals.Shape), "arrivals", string(arrivals.Shape), "arrival shape: constant, poisson or surge")
+	set.Float64Var(&arrivals.Rate, "rate", arrivals.Rate, "requests per second")
+	set.DurationVar(&arrivals.SurgeAt, "surge-at", 0, "start of the surge, from the start of the run")
+	set.DurationVar(&arrivals.SurgeDuration, "surge-for", 0, "duration of the surge")
+	set.Float64Var(&arrivals.SurgeFactor, "surge-factor", arrivals.SurgeFactor, "factor by which the surge multiplies the rate")
 	set.DurationVar(&options.Duration, "duration", options.Duration, "time during which requests arrive")
-	set.DurationVar(&options.WarmUp, "warm-up", options.WarmUp, "first part of the duration, not counted")
-	set.StringVar(&work.Model, "model", work.Model, "model of the chats")
-	set.IntVar(&work.MinTokens, "min-tokens", work.MinTokens, "fewest tokens of an answer")
-	set.IntVar(&work.MaxTokens, "max-tokens", work.MaxTokens, "most tokens of an answer")
-	set.IntVar(&work.PromptWords, "prompt-words", work.PromptWords, "words of a prompt's own part")
-	set.IntVar(&work.Prefixes, "prefixes", work.Prefixes, "number of prompt prefixes that requests share, 0 for none")
-	set.IntVar(&work.PrefixWords, "prefix-words", work.PrefixWords, "words of a shared prefix")
-	set.StringSliceVar(&flags.calls, "call", nil, "plain services' calls as service/operation=share; \"none\" for chats only (default registry/lookup=0.1,certifications/stamp=0.05)")
+	set.DurationVar(&options.WarmUp, "warm-up", options.WarmUp, "initial part of the duration whose requests are not counted")
+	set.StringVar(&workload.Model, "model", workload.Model, "model of the chats")
+	set.IntVar(&workload.MinTokens, "min-tokens", workload.MinTokens, "minimum number of tokens in an answer")
+	set.IntVar(&workload.MaxTokens, "max-tokens", workload.MaxTokens, "maximum number of tokens in an answer")
+	set.IntVar(&workload.PromptWords, "prompt-words", workload.PromptWords, "words in the unique part of a prompt")
+	set.IntVar(&workload.Prefixes, "prefixes", workload.Prefixes, "number of distinct prompt prefixes shared by requests, 0 for none")
+	set.IntVar(&workload.PrefixWords, "prefix-words", workload.PrefixWords, "words in a shared prefix")
+	set.StringSliceVar(&flags.calls, "call", nil, "calls of plain services as service/operation=share; \"none\" for chats only (default registry/lookup=0.1,certifications/stamp=0.05)")
 }
 
 func runLoad(ctx context.Context, out, progress io.Writer, flags loadFlags) error {
@@ -100,8 +100,8 @@
 	if err := writeLoadResult(out, flags, result); err != nil {
 		return err
 	}
-	if faulty := result.InvalidAnswers(); faulty > 0 {
-		return fmt.Errorf("%d answers were cut or another request's", faulty)
+	if invalid := result.InvalidAnswers(); invalid > 0 {
+		return fmt.Errorf("%d answers were truncated or belong to another request", invalid)
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 
 func printProgress(w io.Writer, p load.Progress) {
 	rate := float64(p.Tokens) / max(p.Elapsed.Seconds(), 1)
-	fmt.Fprintf(w, "\r%5.1f s  arrived %d  in flight %d  whole %d  refused %d  other %d  %.0f tokens/s   ",
+	fmt.Fprintf(w, "\r%5.1f s  arrived %d  in flight %d  complete %d  refused %d  other %d  %.0f tokens/s   ",
 		p.Elapsed.Seconds(), p.Arrived, p.InFlight, p.Whole, p.Refused, p.Other, rate)
 }
 
@@ -135,8 +135,8 @@
 	if err != nil {
 		return fmt.Errorf("encode result: %w", err)
 	}
-	if flags.file != "" {
-		if err := os.WriteFile(flags.file, body, 0o644); err != nil {
+	if flags.resultFile != "" {
+		if err := os.WriteFile(flags.resultFile, body, 0o644); err != nil {
 			return fmt.Errorf("save result: %w", err)
 		}
 	}
--- a/ctl/cmd/persimmonctl/main.go
+++ b/ctl/cmd/persimmonctl/main.go
@@ -1,4 +1,4 @@
-// Command persimmonctl is the operators' tool.
+// Command persimmonctl is the command-line tool for operators of persimmonwind.
 package main
 
 import (
--- a/ctl/cmd/persimmonctl/report.go
+++ b/ctl/cmd/persimmonctl/report.go
@@ -12,43 +12,43 @@
 	"persimmonwind.dev/ctl/report"
 )
 
-// reportFlags are the flags of the report command.
+// reportFlags holds the flags of the report command.
 type reportFlags struct {
-	title     string
-	file      string
-	processes []string
-	samples   int
-	interval  time.Duration
+	title      string
+	outputFile string
+	processes  []string
+	samples    int
+	interval   time.Duration
 }
 
 func reportCommands() []*cobra.Command {
 	var flags reportFlags
 	command := &cobra.Command{
 		Use:   "report [FILE...]",
-		Short: "Make one HTML page of reports, load results or a running deployment",
-		Long: "The page holds its plots and needs nothing else. Files are reports of\n" +
-			"\"persimmonctl experiment --out\" and results of \"persimmonctl load --result\";\n" +
-			"--process reads the metrics of running processes.",
+		Short: "Generate an HTML page from reports, load results or a running deployment",
+		Long: "The page is self-contained. Files are reports written by\n" +
+			"\"persimmonctl experiment --out\" and results written by\n" +
+			"\"persimmonctl load --result\"; --process scrapes the metrics of running processes.",
 		RunE: func(command *cobra.Command, paths []string) error {
-			if err := makeReport(command.Context(), paths, flags); err != nil {
+			if err := buildReport(command.Context(), paths, flags); err != nil {
 				return err
 			}
-			fmt.Fprintln(command.OutOrStdout(), "wrote", flags.file)
+			fmt.Fprintln(command.OutOrStdout(), "wrote", flags.outputFile)
 			return nil
 		},
 	}
 	set := command.Flags()
 	set.StringVar(&flags.title, "title", "persimmonwind", "title of the page")
-	set.StringVar(&flags.file, "out", "report.html", "file for the page")
-	set.StringSliceVar(&flags.processes, "process", nil, "base URLs of processes that serve /metrics: entries' operators' sockets, agents' health sockets")
-	set.IntVar(&flags.samples, "samples", 12, "readings of the processes' metrics")
-	set.DurationVar(&flags.interval, "interval", time.Second, "time between two readings")
+	set.StringVar(&flags.outputFile, "out", "report.html", "output file")
+	set.StringSliceVar(&flags.processes, "process", nil, "base URLs of processes that serve /metrics: operator listeners of entries, health listeners of agents")
+	set.IntVar(&flags.samples, "samples", 12, "number of scrapes of the metrics of the processes")
+	set.DurationVar(&flags.interval, "interval", time.Second, "time between two scrapes")
 	return []*cobra.Command{command}
 }
 
-func makeReport(ctx context.Context, paths []string, flags reportFlags) error {
+func buildReport(ctx context.Context, paths []string, flags reportFlags) error {
 	if len(paths) == 0 && len(flags.processes) == 0 {
-		return errors.New("nothing to report on: give files or --process")
+		return errors.New("nothing to report: specify files or --process")
 	}
 	page := report.Page{Title: flags.title, GeneratedAt: time.Now()}
 	if len(flags.processes) > 0 {
@@ -65,7 +65,7 @@
 		}
 		page.Sections = append(page.Sections, section)
 	}
-	return writePage(flags.file, page)
+	return writePage(flags.outputFile, page)
 }
 
 func writePage(path string, page report.Page) (err error) {
--- /dev/null
+++ b/ctl/load/answer_trace.go
@@ -0,0 +1,39 @@
+package load
+
+import (
+	"bytes"
+	"time"
+)
+
+// gap is the time between two consecutive parts of one answer.
+type gap struct {
+	wait   time.Duration
+	tokens int // Number of tokens in the later part.
+}
+
+// answerTrace records the arrival times and the text of the parts of one answer.
+type answerTrace struct {
+	first   time.Time // Arrival of the first part with text.
+	last    time.Time
+	gaps    []gap
+	tokens  int
+	content []byte
+}
+
+// text adds one part of the answer. It counts tokens by their spaces, because
+// each token of the stand-in engine ends with one.
+func (o *answerTrace) text(part []byte) {
+	if len(part) == 0 {
+		return
+	}
+	now := time.Now()
+	tokens := bytes.Count(part, []byte{' '})
+	if o.first.IsZero() {
+		o.first = now
+	} else {
+		o.gaps = append(o.gaps, gap{wait: now.Sub(o.last), tokens: tokens})
+	}
+	o.last = now
+	o.tokens += tokens
+	o.content = append(o.content, part...)
+}
--- a/ctl/load/arrivals.go
+++ b/ctl/load/arrivals.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Shape is how requests arrive over time.
+// Shape names the distribution of arrivals over time.
 type Shape string
 
-// Shapes of arrivals.
+// Supported arrival shapes.
 const (
-	Constant Shape = "constant" // Equal gaps.
-	Poisson  Shape = "poisson"  // Independent arrivals at a constant rate.
-	Surge    Shape = "surge"    // Poisson, with a higher rate for a while.
+	Constant Shape = "constant" // Equal intervals between arrivals.
+	Poisson  Shape = "poisson"  // Exponentially distributed intervals at a constant mean rate.
+	Surge    Shape = "surge"    // Poisson, with the rate multiplied by SurgeFactor for SurgeDuration.
 )
 
-// Arrivals describe the intended starts of requests.
+// Arrivals describes the intended start times of requests.
 type Arrivals struct {
 	Shape         Shape         `json:"shape"`
-	Rate          float64       `json:"rate"` // Requests a second.
+	Rate          float64       `json:"rate"` // Requests per second.
 	SurgeAt       time.Duration `json:"surge_at,omitempty"`
 	SurgeDuration time.Duration `json:"surge_for,omitempty"`
 	SurgeFactor   float64       `json:"surge_factor,omitempty"` // Multiplies Rate during the surge.
@@ -29,22 +29,23 @@
 	switch a.Shape {
 	case Constant, Poisson, Surge:
 	default:
-		return fmt.Errorf("arrivals %q do not exist, only constant, poisson and surge do", a.Shape)
+		return fmt.Errorf("unknown arrivals %q: must be constant, poisson or surge", a.Shape)
 	}
 	if a.Rate <= 0 {
-		return fmt.Errorf("rate %v must be above 0 requests a second", a.Rate)
+		return fmt.Errorf("rate %v must be greater than 0 requests per second", a.Rate)
 	}
 	if a.Shape == Surge && (a.SurgeFactor <= 0 || a.SurgeDuration <= 0) {
-		return fmt.Errorf("a surge needs a factor above 0, not %v, and a length above 0, not %v", a.SurgeFactor, a.SurgeDuration)
+		return fmt.Errorf("surge factor %v and surge duration %v must both be greater than 0", a.SurgeFactor, a.SurgeDuration)
 	}
 	return nil
 }
 
-// schedule yields the intended starts, as offsets from the start of the run.
+// schedule generates the intended start times, as offsets from the start of the
+// run.
 type schedule struct {
 	arrivals Arrivals
 	random   *rand.Rand
-	seconds  float64 // Offset of the last arrival.
+	seconds  float64 // Offset of the most recent arrival.
 }
 
 func newSchedule(arrivals Arrivals, random *rand.Rand) *schedule {
@@ -61,8 +62,10 @@
 	return time.Duration(s.seconds * float64(time.Second))
 }
 
-// advance moves on until the integral of the rate has grown by the number of
-// expected arrivals: a Poisson process whose rate changes in steps.
+// advance moves the offset forward until the integral of the rate over the time
+// passed equals the expected number of arrivals. With an exponentially
+// distributed argument this generates a Poisson process with a piecewise
+// constant rate.
 func (s *schedule) advance(expected float64) {
 	for {
 		rate, end, bounded := s.rateAt(s.seconds)
@@ -75,7 +78,8 @@
 	}
 }
 
-// rateAt returns the rate at the offset and, if bounded, where it ends.
+// rateAt returns the rate at the offset and, if bounded, the offset at which
+// that rate ends.
 func (s *schedule) rateAt(seconds float64) (rate, end float64, bounded bool) {
 	a := s.arrivals
 	start, stop := a.SurgeAt.Seconds(), (a.SurgeAt + a.SurgeDuration).Seconds()
--- a/ctl/load/arrivals_test.go
+++ b/ctl/load/arrivals_test.go
@@ -24,21 +24,21 @@
 }
 
 func TestSchedule(t *testing.T) {
-	Convey("A surge multiplies the rate for its length only", t, func() {
+	Convey("A surge multiplies the rate only while it lasts", t, func() {
 		a := Arrivals{Shape: Surge, Rate: 1000, SurgeAt: 10 * time.Second, SurgeDuration: 10 * time.Second, SurgeFactor: 3}
 		before, during, after := countArrivals(a, 1, 30*time.Second)
-		// Five standard deviations of a Poisson count.
+		// The tolerances are five standard deviations of a Poisson count.
 		So(before, ShouldAlmostEqual, 10000, 500)
 		So(during, ShouldAlmostEqual, 30000, 870)
 		So(after, ShouldAlmostEqual, 10000, 500)
 	})
 
-	Convey("Equal seeds give equal arrivals and requests, other seeds others", t, func() {
+	Convey("Equal seeds give equal arrivals and requests, and different seeds give different ones", t, func() {
 		options := DefaultOptions()
 		draw := func(seed uint64) (time.Duration, request) {
 			options.Seed = seed
 			times := newSchedule(options.Arrivals, rand.New(rand.NewPCG(seed, streamArrivals)))
-			return times.next(), newDrawer(options, rand.New(rand.NewPCG(seed, streamRequests))).next()
+			return times.next(), newRequestGenerator(options, rand.New(rand.NewPCG(seed, streamRequests))).next()
 		}
 		at1, request1 := draw(7)
 		at2, request2 := draw(7)
--- a/ctl/load/client.go
+++ b/ctl/load/client.go
@@ -16,55 +16,57 @@
 )
 
 const (
-	maxErrorBytes   = 64 << 10
-	maxAnswerBytes  = 16 << 20
-	dialTimeout     = 5 * time.Second
-	idleConnections = 8192
+	maxErrorBytes      = 64 << 10
+	maxAnswerBytes     = 16 << 20
+	dialTimeout        = 5 * time.Second
+	maxIdleConnections = 8192
 )
 
-// failure is why a request has no whole answer.
+// failure says why a request has no complete answer.
 type failure struct {
 	kind       Outcome
-	code       result.Code // Of a refusal or a numbered failure.
+	code       result.Code // Result code of the error, if the server sent one.
 	notRun     bool
 	retryAfter time.Duration
 	detail     string
 }
 
-func failed(kind Outcome, format string, args ...any) *failure {
+func failuref(kind Outcome, format string, args ...any) *failure {
 	return &failure{kind: kind, detail: fmt.Sprintf(format, args...)}
 }
 
-// chatClient sends a chat and hands the parts of its answer to the observer.
+// chatClient sends a chat request and adds each part of the streamed answer to
+// the trace.
 type chatClient interface {
-	chat(ctx context.Context, drawn request, seen *observer) *failure
+	chat(ctx context.Context, req request, trace *answerTrace) *failure
 }
 
 func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		DisableCompression:  true,
 	}}
 }
 
-// entryClient speaks the callers' interface to one entry.
+// entryClient calls the public API of one entry.
 type entryClient struct {
-	base string
-	http *http.Client
-	work Workload
+	base     string
+	http     *http.Client
+	workload Workload
 }
 
-// post sends the body; the error is a transport's failure.
-func (c *entryClient) post(ctx context.Context, drawn request, path string, body []byte) (*http.Response, *failure) {
+// post sends the body and returns the response if its status is 200. Any other
+// status and a failed connection are returned as a failure.
+func (c *entryClient) post(ctx context.Context, req request, path string, body []byte) (*http.Response, *failure) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, failed(Transport, "%v", err)
+		return nil, failuref(Transport, "%v", err)
 	}
-	request.Header.Set("Authorization", "Bearer "+drawn.key)
+	request.Header.Set("Authorization", "Bearer "+req.key)
 	request.Header.Set("Content-Type", "application/json")
-	if !drawn.chat {
-		request.Header.Set("Idempotency-Key", drawn.text)
+	if !req.chat {
+		request.Header.Set("Idempotency-Key", req.text)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -74,29 +76,29 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	return nil, refusalOf(response)
+	return nil, failureFromResponse(response)
 }
 
 func transportFailure(ctx context.Context, err error) *failure {
 	if ctx.Err() != nil {
-		return failed(TimedOut, "%v", err)
+		return failuref(TimedOut, "%v", err)
 	}
-	return failed(Transport, "%v", err)
+	return failuref(Transport, "%v", err)
 }
 
-func refusalOf(response *http.Response) *failure {
+func failureFromResponse(response *http.Response) *failure {
 	var body openai.ErrorBody
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxErrorBytes)).Decode(&body); err != nil {
-		return failed(Transport, "status %d without a numbered error: %v", response.StatusCode, err)
+		return failuref(Transport, "status %d without a result code: %v", response.StatusCode, err)
 	}
-	f := failureOf(body.Error)
+	f := failureFromDetail(body.Error)
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 		f.retryAfter = max(f.retryAfter, time.Duration(seconds)*time.Second)
 	}
 	return f
 }
 
-func failureOf(detail openai.ErrorDetail) *failure {
+func failureFromDetail(detail openai.ErrorDetail) *failure {
 	f := &failure{
 		kind: Failed, code: result.Code(detail.ResultCode), notRun: detail.NotRun, detail: detail.Message,
 		retryAfter: time.Duration(detail.RetryAfterMS) * time.Millisecond,
@@ -107,7 +109,7 @@
 	return f
 }
 
-// chatBody is a streamed chat's request.
+// chatBody is the request body of a streamed chat.
 type chatBody struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
@@ -120,36 +122,37 @@
 	Content string `json:"content"`
 }
 
-func (c *entryClient) chat(ctx context.Context, drawn request, seen *observer) *failure {
+func (c *entryClient) chat(ctx context.Context, req request, trace *answerTrace) *failure {
 	body, err := json.Marshal(chatBody{
-		Model: c.work.Model, Stream: true, MaxTokens: drawn.tokens,
-		Messages: []chatMessage{{Role: "user", Content: drawn.text}},
+		Model: c.workload.Model, Stream: true, MaxTokens: req.tokens,
+		Messages: []chatMessage{{Role: "user", Content: req.text}},
 	})
 	if err != nil {
-		return failed(Transport, "%v", err)
+		return failuref(Transport, "%v", err)
 	}
-	response, refusal := c.post(ctx, drawn, "/v1/chat/completions", body)
+	response, refusal := c.post(ctx, req, "/v1/chat/completions", body)
 	if refusal != nil {
 		return refusal
 	}
 	defer response.Body.Close()
-	return readEvents(ctx, response.Body, seen)
+	return readEvents(ctx, response.Body, trace)
 }
 
-// call calls a plain service and checks that the answer is to this call.
-func (c *entryClient) call(ctx context.Context, drawn request, verify bool) *failure {
-	path := "/v1/services/" + drawn.service + "/" + drawn.operation
-	response, refusal := c.post(ctx, drawn, path, []byte(drawn.text))
+// call calls a plain service and, if verify is set, checks that the answer
+// belongs to this call.
+func (c *entryClient) call(ctx context.Context, req request, verify bool) *failure {
+	path := "/v1/services/" + req.service + "/" + req.operation
+	response, refusal := c.post(ctx, req, path, []byte(req.text))
 	if refusal != nil {
 		return refusal
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return failed(Cut, "read answer: %v", err)
+		return failuref(Cut, "read answer: %v", err)
 	}
 	if verify {
-		return verifyCall(drawn, answer)
+		return verifyCall(req, answer)
 	}
 	return nil
 }
--- a/ctl/load/engine_client.go
+++ b/ctl/load/engine_client.go
@@ -11,25 +11,25 @@
 	"persimmonwind.dev/server/ports/httpapi"
 )
 
-// engineClient sends chats straight to one stand-in engine, the baseline for
-// what the load balancer adds.
+// engineClient sends chats directly to one stand-in engine. This is the baseline
+// for the latency that the load balancer adds.
 type engineClient struct {
-	engine *httpapi.Engine
-	prefix string // Of the generations' ids.
-	work   Workload
+	engine   *httpapi.Engine
+	prefix   string // Prefix of generation IDs.
+	workload Workload
 }
 
 func newEngineClient(base string, options Options, transport http.RoundTripper) *engineClient {
 	return &engineClient{
-		engine: httpapi.NewEngine(base, transport), work: options.Workload,
+		engine: httpapi.NewEngine(base, transport), workload: options.Workload,
 		prefix: "direct-" + strconv.FormatUint(options.Seed, 10) + "-",
 	}
 }
 
-func (c *engineClient) chat(ctx context.Context, drawn request, seen *observer) *failure {
+func (c *engineClient) chat(ctx context.Context, req request, trace *answerTrace) *failure {
 	pieces, err := c.engine.Submit(ctx, ports.Generation{
-		ID: c.prefix + strconv.Itoa(drawn.number), Model: c.work.Model,
-		Prompt: enginePrompt(drawn.text), MaxTokens: drawn.tokens,
+		ID: c.prefix + strconv.Itoa(req.number), Model: c.workload.Model,
+		Prompt: enginePrompt(req.text), MaxTokens: req.tokens,
 	})
 	if err != nil {
 		return transportFailure(ctx, err)
@@ -41,8 +41,8 @@
 			return nil
 		}
 		if err != nil {
-			return cutFailure(ctx, err)
+			return readFailure(ctx, err)
 		}
-		seen.text([]byte(piece.Text))
+		trace.text([]byte(piece.Text))
 	}
 }
--- a/ctl/load/events.go
+++ b/ctl/load/events.go
@@ -11,45 +11,46 @@
 	"persimmonwind.dev/server/entry/openai"
 )
 
-const eventBuffer = 4 << 10
+const eventBufferSize = 4 << 10
 
 var (
 	dataPrefix   = []byte("data: ")
-	doneMark     = []byte("[DONE]")
+	doneMarker   = []byte("[DONE]")
 	contentField = []byte(`"content":"`)
 	errorStart   = []byte(`{"error"`)
 )
 
-// readEvents reads server-sent events until [DONE]. A stream without it is cut.
-func readEvents(ctx context.Context, body io.Reader, seen *observer) *failure {
-	reader := bufio.NewReaderSize(body, eventBuffer)
+// readEvents reads server-sent events until [DONE]. A stream that ends without it
+// has the outcome Cut.
+func readEvents(ctx context.Context, body io.Reader, trace *answerTrace) *failure {
+	reader := bufio.NewReaderSize(body, eventBufferSize)
 	for {
 		line, err := readLine(reader)
 		if err != nil {
-			return cutFailure(ctx, err)
+			return readFailure(ctx, err)
 		}
 		data, ok := bytes.CutPrefix(line, dataPrefix)
 		if !ok {
 			continue
 		}
-		if bytes.Equal(data, doneMark) {
+		if bytes.Equal(data, doneMarker) {
 			return nil
 		}
-		if f := readEvent(data, seen); f != nil {
+		if f := readEvent(data, trace); f != nil {
 			return f
 		}
 	}
 }
 
-func cutFailure(ctx context.Context, err error) *failure {
+func readFailure(ctx context.Context, err error) *failure {
 	if ctx.Err() != nil {
-		return failed(TimedOut, "%v", err)
+		return failuref(TimedOut, "%v", err)
 	}
-	return failed(Cut, "stream ended before its end mark: %v", err)
+	return failuref(Cut, "stream ended before its end marker: %v", err)
 }
 
-// readLine returns the next line without its end; it is valid until the next
-// call.
+// readLine returns the next line without its line ending. The slice is valid
+// until the next call.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -63,35 +64,35 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-func readEvent(data []byte, seen *observer) *failure {
-	if text, ok := plainContent(data); ok {
-		seen.text(text)
+func readEvent(data []byte, trace *answerTrace) *failure {
+	if text, ok := unescapedContent(data); ok {
+		trace.text(text)
 		return nil
 	}
 	if bytes.HasPrefix(data, errorStart) {
 		var body openai.ErrorBody
 		if err := json.Unmarshal(data, &body); err != nil {
-			return failed(Cut, "malformed error event: %v", err)
+			return failuref(Cut, "malformed error event: %v", err)
 		}
-		f := failureOf(body.Error)
+		f := failureFromDetail(body.Error)
 		f.kind = Failed
 		return f
 	}
 	var event openai.Response
 	if err := json.Unmarshal(data, &event); err != nil {
-		return failed(Cut, "malformed event: %v", err)
+		return failuref(Cut, "malformed event: %v", err)
 	}
 	for _, choice := range event.Choices {
 		if choice.Delta != nil {
-			seen.text([]byte(choice.Delta.Content))
+			trace.text([]byte(choice.Delta.Content))
 		}
 	}
 	return nil
 }
 
-// plainContent finds the text of an event whose text needs no unescaping,
-// without decoding the event.
-func plainContent(data []byte) ([]byte, bool) {
+// unescapedContent extracts the text of an event without decoding its JSON. It
+// returns false if the text contains an escape sequence or is missing.
+func unescapedContent(data []byte) ([]byte, bool) {
 	start := bytes.Index(data, contentField)
 	if start < 0 || bytes.HasPrefix(data, errorStart) {
 		return nil, false
--- a/ctl/load/options.go
+++ b/ctl/load/options.go
@@ -1,6 +1,7 @@
-// Package load sends a drawn workload to a running system: open-loop arrivals
-// of streamed chats and plain services' calls, every answer checked by its
-// content, latencies counted from the intended start.
+// Package load sends a randomly generated workload of streamed chats and calls
+// of plain services to a running system. Arrivals are open-loop, the content of
+// every answer is verified, and latencies are measured from the intended start
+// of a request.
 package load
 
 import (
@@ -11,30 +12,30 @@
 	"time"
 )
 
-// ErrNotLoopback means that a target is not on this machine and Remote is not
-// set.
+// ErrNotLoopback means that a target is not on this machine and AllowRemote is
+// not set.
 var ErrNotLoopback = errors.New("target is not a loopback address")
 
-// Options describe one run.
+// Options configures one run.
 type Options struct {
-	Entries          []string // Base URLs of entries, used in turn.
-	Engines          []string // Base URLs of stand-in engines, the baseline of a comparison.
-	DirectShare      float64  // Share of chats that go straight to Engines where there are entries too.
-	Keys             []string // Organisation keys, drawn evenly.
-	AllowRemote      bool     // Allow targets that are not loopback.
+	Entries          []string // Base URLs of entries, used in round-robin order.
+	Engines          []string // Base URLs of stand-in engines, used as the baseline of a comparison.
+	DirectShare      float64  // Share of chats sent directly to Engines if Entries is set too.
+	Keys             []string // Organisation keys, chosen uniformly at random.
+	AllowRemote      bool     // Allow targets that are not loopback addresses.
 	Seed             uint64
 	Arrivals         Arrivals
-	Duration         time.Duration // During which requests arrive.
-	WarmUp           time.Duration // Requests that arrive during it are not counted.
-	Timeout          time.Duration // Of one request with its retries.
+	Duration         time.Duration // Time during which requests arrive.
+	WarmUp           time.Duration // Initial part of Duration; requests that arrive in it are not counted.
+	Timeout          time.Duration // Limit for one request including its retries.
 	Workload         Workload
-	MaxRetries       int  // Most repeats of a refused request.
-	HonourRetryAfter bool // Wait as Retry-After asks; without it, repeat at once.
-	MaxInFlight      int  // Bound of requests at a time; an arrival beyond it is dropped and counted.
-	Verify           bool // Check each answer against the stand-ins' content.
+	MaxRetries       int  // Maximum number of retries of a refused request.
+	HonourRetryAfter bool // Wait for the Retry-After time before a retry; if unset, retry at once.
+	MaxInFlight      int  // Maximum number of concurrent requests; arrivals beyond it are counted as dropped.
+	Verify           bool // Compare each answer with the one expected from the stand-in engine or service.
 }
 
-// DefaultOptions returns the options of a short run against `persimmonwind dev`.
+// DefaultOptions returns options for a short run against `persimmonwind dev`.
 func DefaultOptions() Options {
 	return Options{
 		Entries:          []string{"http://127.0.0.1:8080"},
@@ -52,19 +53,19 @@
 	}
 }
 
-// Validate returns what is wrong with the options.
+// Validate returns an error if the options are invalid.
 func (o Options) Validate() error {
 	if len(o.Entries) == 0 && len(o.Engines) == 0 {
-		return errors.New("no target: give at least one entry or engine")
+		return errors.New("no target: at least one entry or engine is required")
 	}
 	if len(o.Entries) > 0 && len(o.Keys) == 0 {
-		return errors.New("no organisation key: entries need at least one")
+		return errors.New("no organisation key: at least one is required for requests to entries")
 	}
 	if len(o.Entries) == 0 && o.Workload.callShare() > 0 {
-		return errors.New("plain services are called through entries: give an entry or set the services' share to 0")
+		return errors.New("plain services are called only through entries: set an entry or a call share of 0")
 	}
 	if o.DirectShare < 0 || o.DirectShare > 1 {
-		return fmt.Errorf("share %v of chats straight to the engines is not between 0 and 1", o.DirectShare)
+		return fmt.Errorf("share %v of chats sent directly to the engines is not between 0 and 1", o.DirectShare)
 	}
 	for _, target := range append(append([]string(nil), o.Entries...), o.Engines...) {
 		if err := checkTarget(target, o.AllowRemote); err != nil {
@@ -72,10 +73,10 @@
 		}
 	}
 	if o.Duration <= 0 || o.WarmUp < 0 || o.WarmUp >= o.Duration {
-		return fmt.Errorf("warm-up %v must be shorter than the duration %v", o.WarmUp, o.Duration)
+		return fmt.Errorf("warm-up %v must not be negative and must be shorter than the duration %v", o.WarmUp, o.Duration)
 	}
 	if o.MaxInFlight < 1 || o.MaxRetries < 0 || o.Timeout <= 0 {
-		return fmt.Errorf("in-flight bound %d must be at least 1, retries %d at least 0, timeout %v above 0", o.MaxInFlight, o.MaxRetries, o.Timeout)
+		return fmt.Errorf("in-flight limit %d must be at least 1, retries %d at least 0 and timeout %v greater than 0", o.MaxInFlight, o.MaxRetries, o.Timeout)
 	}
 	return errors.Join(o.Arrivals.validate(), o.Workload.validate())
 }
--- a/ctl/load/progress.go
+++ b/ctl/load/progress.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Progress is how far a run has come.
+// Progress is a snapshot of the counters of a running load test.
 type Progress struct {
 	Elapsed  time.Duration
 	Arrived  int
@@ -19,12 +19,14 @@
 
 const progressInterval = 500 * time.Millisecond
 
-// totals count all requests so far, warm-up included.
+// totals counts all requests so far, including those of the warm-up.
 type totals struct {
 	arrived, whole, refused, other, tokens atomic.Int64
 }
 
-func (r *runner) reportEvery(report func(Progress)) (stop func()) {
+// startProgressReports calls report every progressInterval, and a last time when
+// the returned function is called.
+func (r *runner) startProgressReports(report func(Progress)) (stop func()) {
 	if report == nil {
 		return func() {}
 	}
--- a/ctl/load/recorder.go
+++ b/ctl/load/recorder.go
@@ -9,69 +9,68 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Range and precision of the histograms, in microseconds.
+// Range, in microseconds, and precision of the latency histograms.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Outcome is how a request ended.
+// Outcome says how a request ended.
 type Outcome string
 
-// Outcomes.
+// Possible outcomes.
 const (
-	Whole     Outcome = "whole"     // The whole answer, as verified.
-	Refused   Outcome = "refused"   // A numbered refusal: not run.
-	Failed    Outcome = "failed"    // A numbered failure that may have run.
-	Cut       Outcome = "cut"       // The answer ended before its end.
-	Wrong     Outcome = "wrong"     // The answer's content is not this request's.
-	TimedOut  Outcome = "timed_out" // No end within the request's timeout.
-	Transport Outcome = "transport" // The connection failed without a numbered code.
-	Dropped   Outcome = "dropped"   // Not sent: too many were in flight.
+	Whole     Outcome = "whole"     // The complete answer arrived and, if enabled, was verified.
+	Refused   Outcome = "refused"   // Refused with a result code; the request was not run.
+	Failed    Outcome = "failed"    // Failed with a result code; the request may have run.
+	Cut       Outcome = "cut"       // The answer was truncated.
+	Wrong     Outcome = "wrong"     // The content of the answer does not belong to this request.
+	TimedOut  Outcome = "timed_out" // The request did not finish within its timeout.
+	Transport Outcome = "transport" // The connection failed without a result code.
+	Dropped   Outcome = "dropped"   // Not sent, because too many requests were in flight.
 )
 
-// latency is a histogram of durations.
-type latency struct{ histogram *hdrhistogram.Histogram }
+type latencyHistogram struct{ histogram *hdrhistogram.Histogram }
 
-func newLatency() latency {
-	return latency{histogram: hdrhistogram.New(lowestMicros, highestMicros, digits)}
+func newLatency() latencyHistogram {
+	return latencyHistogram{histogram: hdrhistogram.New(lowestMicros, highestMicros, significantDigits)}
 }
 
-func (l latency) add(value time.Duration, count int64) {
+func (l latencyHistogram) add(value time.Duration, count int64) {
 	micros := min(max(value.Microseconds(), lowestMicros), highestMicros)
-	_ = l.histogram.RecordValues(micros, count) // In range by construction.
+	_ = l.histogram.RecordValues(micros, count) // Cannot fail: the value is clamped to the range.
 }
 
-// done is one finished request.
-type done struct {
-	drawn    request
-	intended time.Duration // Offset of the intended start.
-	late     time.Duration // Of the actual start behind the intended one.
-	first    time.Duration // First token, from the intended start.
-	total    time.Duration // From the intended start.
-	attempts int
-	refusals []result.Code // Of attempts that were repeated.
-	seen     observer
-	failure  *failure // Nil for a whole answer.
+// requestRecord is what the load generator measured about one request.
+type requestRecord struct {
+	req        request
+	intended   time.Duration // Intended start, as an offset from the start of the run.
+	delay      time.Duration // Time between the intended and the actual start.
+	first      time.Duration // Time from the intended start to the first token.
+	total      time.Duration // Time from the intended start to the end.
+	attempts   int
+	retryCodes []result.Code // Result codes of the attempts that were retried.
+	trace      answerTrace
+	failure    *failure // Nil for a complete answer.
 }
 
-// recorder sums up the finished requests of one side.
+// recorder aggregates the finished requests of one path to the engines.
 type recorder struct {
 	mu            sync.Mutex
 	outcomes      map[Outcome]int
-	codes         map[result.Code]int // Of final answers.
-	retriedCodes  map[result.Code]int // Of answers that were repeated.
-	examples      map[Outcome]string  // One detail of each.
+	codes         map[result.Code]int // Result codes of final answers.
+	retriedCodes  map[result.Code]int // Result codes of attempts that were retried.
+	examples      map[Outcome]string  // Detail of the first failure of each kind.
 	attempts      int
-	served        int // Whole answers that ended within the counted time.
-	servedTokens  int // Of all chats that ended within it.
-	firstToken    latency
-	betweenTokens latency
-	betweenEvents latency
-	wholeChat     latency
-	wholeCall     latency
-	startLate     latency
+	served        int // Complete answers that ended within the measured period.
+	servedTokens  int // Tokens of all chats that ended within the measured period.
+	firstToken    latencyHistogram
+	betweenTokens latencyHistogram
+	betweenEvents latencyHistogram
+	wholeChat     latencyHistogram
+	wholeCall     latencyHistogram
+	startDelay    latencyHistogram
 	timeline      *timeline
 }
 
@@ -80,71 +79,72 @@
 		outcomes: map[Outcome]int{}, codes: map[result.Code]int{}, retriedCodes: map[result.Code]int{},
 		examples:   map[Outcome]string{},
 		firstToken: newLatency(), betweenTokens: newLatency(), betweenEvents: newLatency(),
-		wholeChat: newLatency(), wholeCall: newLatency(), startLate: newLatency(),
+		wholeChat: newLatency(), wholeCall: newLatency(), startDelay: newLatency(),
 		timeline: newTimeline(),
 	}
 }
 
-// add takes in one finished request. Throughput counts what ended after the
-// warm-up and before arrivals stopped; all else, what arrived after the warm-up.
-func (r *recorder) add(d done, options Options) {
+// add records one finished request. Throughput counts the requests that ended
+// after the warm-up and before arrivals stopped; all other figures, except the
+// timeline, count the requests that arrived after the warm-up.
+func (r *recorder) add(record requestRecord, options Options) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.timeline.add(d)
-	if end := d.intended + d.total; end >= options.WarmUp && end < options.Duration {
-		r.addServed(d)
+	r.timeline.add(record)
+	if end := record.intended + record.total; end >= options.WarmUp && end < options.Duration {
+		r.addServed(record)
 	}
-	if d.intended < options.WarmUp {
+	if record.intended < options.WarmUp {
 		return
 	}
-	r.attempts += d.attempts
-	for _, code := range d.refusals {
+	r.attempts += record.attempts
+	for _, code := range record.retryCodes {
 		r.retriedCodes[code]++
 	}
-	r.startLate.add(d.late, 1)
-	r.addOutcome(d)
-	r.addTimes(d)
+	r.startDelay.add(record.delay, 1)
+	r.addOutcome(record)
+	r.addLatencies(record)
 }
 
-func (r *recorder) addServed(d done) {
-	r.servedTokens += d.seen.tokens
-	if d.failure == nil {
+func (r *recorder) addServed(record requestRecord) {
+	r.servedTokens += record.trace.tokens
+	if record.failure == nil {
 		r.served++
 	}
 }
 
-func (r *recorder) addOutcome(d done) {
+func (r *recorder) addOutcome(record requestRecord) {
 	kind := Whole
-	if d.failure != nil {
-		kind = d.failure.kind
-		if d.failure.code != result.OK {
-			r.codes[d.failure.code]++
+	if record.failure != nil {
+		kind = record.failure.kind
+		if record.failure.code != result.OK {
+			r.codes[record.failure.code]++
 		}
 		if r.examples[kind] == "" {
-			r.examples[kind] = d.failure.detail
+			r.examples[kind] = record.failure.detail
 		}
 	}
 	r.outcomes[kind]++
 }
 
-// addTimes records the times that the caller saw: the first token also of an
-// answer that failed later, the total of whole answers only.
-func (r *recorder) addTimes(d done) {
-	if !d.seen.first.IsZero() {
-		r.firstToken.add(d.first, 1)
+// addLatencies records the latencies that the caller saw: the time to first token
+// also for an answer that failed later, the total time only for complete answers.
+func (r *recorder) addLatencies(record requestRecord) {
+	if !record.trace.first.IsZero() {
+		r.firstToken.add(record.first, 1)
 	}
-	for _, gap := range d.seen.gaps {
+	for _, gap := range record.trace.gaps {
 		r.betweenEvents.add(gap.wait, 1)
 		if gap.tokens > 0 {
 			r.betweenTokens.add(gap.wait/time.Duration(gap.tokens), int64(gap.tokens))
 		}
 	}
-	if d.failure != nil {
+	if record.failure != nil {
 		return
 	}
-	if d.drawn.chat {
-		r.wholeChat.add(d.total, 1)
+	if record.req.chat {
+		r.wholeChat.add(record.total, 1)
 		return
 	}
-	r.wholeCall.add(d.total, 1)
+	r.wholeCall.add(record.total, 1)
 }
--- a/ctl/load/report.go
+++ b/ctl/load/report.go
@@ -8,7 +8,7 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// Report returns the result as tables and plots.
+// Report formats the result as tables and plots.
 func (r Result) Report() experiment.Report {
 	report := experiment.Report{
 		Title: fmt.Sprintf("Load: %s arrivals at %g requests/s for %g s, seed %d", r.Arrivals.Shape, r.Arrivals.Rate, r.Duration, r.Seed),
@@ -25,29 +25,29 @@
 	return report
 }
 
-// namedSide is a side with its name for a reader.
-type namedSide struct {
+// namedPath is the result of one path with its name in reports.
+type namedPath struct {
 	name string
 	*PathResult
 }
 
-func (r Result) sides() []namedSide {
-	var sides []namedSide
+func (r Result) paths() []namedPath {
+	var paths []namedPath
 	if r.Entry != nil {
-		sides = append(sides, namedSide{"through the entry", r.Entry})
+		paths = append(paths, namedPath{"through the entry", r.Entry})
 	}
 	if r.Direct != nil {
-		sides = append(sides, namedSide{"straight to the engine", r.Direct})
+		paths = append(paths, namedPath{"directly to the engine", r.Direct})
 	}
-	return sides
+	return paths
 }
 
 func (r Result) throughputTable() experiment.Table {
 	table := experiment.Table{Title: "Throughput", Columns: []string{"way", "requests", "attempts", "whole/s", "tokens/s"}}
-	for _, side := range r.sides() {
+	for _, path := range r.paths() {
 		table.Rows = append(table.Rows, []string{
-			side.name, strconv.Itoa(side.Requests), strconv.Itoa(side.Attempts),
-			fmt.Sprintf("%.1f", side.RequestsPerSecond), fmt.Sprintf("%.0f", side.TokensPerSecond),
+			path.name, strconv.Itoa(path.Requests), strconv.Itoa(path.Attempts),
+			fmt.Sprintf("%.1f", path.RequestsPerSecond), fmt.Sprintf("%.0f", path.TokensPerSecond),
 		})
 	}
 	return table
@@ -58,17 +58,17 @@
 		Title:   "Latency from the intended start (ms)",
 		Columns: []string{"what", "count", "p50", "p95", "p99", "p99.9", "max"},
 	}
-	for _, side := range r.sides() {
+	for _, path := range r.paths() {
 		table.Rows = append(table.Rows,
-			quantileRow("first token, "+side.name, side.FirstToken),
-			quantileRow("between tokens, "+side.name, side.BetweenTokens),
-			quantileRow("between events, "+side.name, side.BetweenEvents),
-			quantileRow("whole chat, "+side.name, side.WholeChat),
+			quantileRow("first token, "+path.name, path.FirstToken),
+			quantileRow("between tokens, "+path.name, path.BetweenTokens),
+			quantileRow("between events, "+path.name, path.BetweenEvents),
+			quantileRow("complete chat, "+path.name, path.WholeChat),
 		)
-		if side.WholeCall.Count > 0 {
-			table.Rows = append(table.Rows, quantileRow("plain service call", side.WholeCall))
+		if path.WholeCall.Count > 0 {
+			table.Rows = append(table.Rows, quantileRow("plain service call", path.WholeCall))
 		}
-		table.Rows = append(table.Rows, quantileRow("start behind its time, "+side.name, side.StartDelay))
+		table.Rows = append(table.Rows, quantileRow("start delay, "+path.name, path.StartDelay))
 	}
 	return table
 }
@@ -80,10 +80,10 @@
 
 func (r Result) outcomeTable() experiment.Table {
 	table := experiment.Table{Title: "Outcomes", Columns: []string{"way", "outcome", "requests"}}
-	for _, side := range r.sides() {
+	for _, path := range r.paths() {
 		for _, kind := range []Outcome{Whole, Refused, Failed, Cut, Wrong, TimedOut, Transport, Dropped} {
-			if count := side.Outcomes[kind]; count > 0 || kind == Cut || kind == Wrong {
-				table.Rows = append(table.Rows, []string{side.name, string(kind), strconv.Itoa(count)})
+			if count := path.Outcomes[kind]; count > 0 || kind == Cut || kind == Wrong {
+				table.Rows = append(table.Rows, []string{path.name, string(kind), strconv.Itoa(count)})
 			}
 		}
 	}
@@ -92,16 +92,16 @@
 
 func (r Result) codeTable() experiment.Table {
 	table := experiment.Table{Title: "Result codes", Columns: []string{"way", "code", "final answers", "repeated"}}
-	for _, side := range r.sides() {
+	for _, path := range r.paths() {
 		seen := map[string]bool{}
-		for code := range side.Codes {
+		for code := range path.Codes {
 			seen[code] = true
 		}
-		for code := range side.RetriedCodes {
+		for code := range path.RetriedCodes {
 			seen[code] = true
 		}
 		for _, code := range sortedKeys(seen) {
-			table.Rows = append(table.Rows, []string{side.name, code, strconv.Itoa(side.Codes[code]), strconv.Itoa(side.RetriedCodes[code])})
+			table.Rows = append(table.Rows, []string{path.name, code, strconv.Itoa(path.Codes[code]), strconv.Itoa(path.RetriedCodes[code])})
 		}
 	}
 	return table
@@ -124,19 +124,19 @@
 }
 
 func (r Result) plots() []experiment.Plot {
-	answers := experiment.Plot{Name: "load-answers", Title: "Requests by the second of their arrival", XLabel: "time (s)", YLabel: "requests"}
-	first := experiment.Plot{Name: "load-first-token", Title: "Slowest first token by the second of arrival", XLabel: "time (s)", YLabel: "first token (ms)"}
-	for _, side := range r.sides() {
+	answers := experiment.Plot{Name: "load-answers", Title: "Requests by second of arrival", XLabel: "time (s)", YLabel: "requests"}
+	first := experiment.Plot{Name: "load-first-token", Title: "Slowest first token by second of arrival", XLabel: "time (s)", YLabel: "first token (ms)"}
+	for _, path := range r.paths() {
 		add := func(plot *experiment.Plot, name string, value func(Second) float64) {
-			line := experiment.Series{Name: name + side.name}
-			for _, second := range side.Timeline {
+			line := experiment.Series{Name: name + path.name}
+			for _, second := range path.Timeline {
 				line.X = append(line.X, float64(second.Second))
 				line.Y = append(line.Y, value(second))
 			}
 			plot.Series = append(plot.Series, line)
 		}
 		add(&answers, "arrived, ", func(s Second) float64 { return float64(s.Arrived) })
-		add(&answers, "whole, ", func(s Second) float64 { return float64(s.Whole) })
+		add(&answers, "complete, ", func(s Second) float64 { return float64(s.Whole) })
 		add(&answers, "refused, ", func(s Second) float64 { return float64(s.Refused) })
 		add(&first, "", func(s Second) float64 { return s.FirstTokenMS })
 	}
@@ -145,10 +145,10 @@
 
 func (r Result) notes() []string {
 	var notes []string
-	for _, side := range r.sides() {
+	for _, path := range r.paths() {
 		for _, kind := range []Outcome{Refused, Failed, Cut, Wrong, TimedOut, Transport} {
-			if example := side.Examples[kind]; example != "" {
-				notes = append(notes, fmt.Sprintf("%s, %s, one example: %s", side.name, kind, example))
+			if example := path.Examples[kind]; example != "" {
+				notes = append(notes, fmt.Sprintf("%s, %s, for example: %s", path.name, kind, example))
 			}
 		}
 	}
--- a/ctl/load/result.go
+++ b/ctl/load/result.go
@@ -7,38 +7,40 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Result is what a run measured. Latencies count from the intended start of a
-// request, so that a slow answer that holds up nothing is still seen.
+// Result is the outcome of a run. Latencies are measured from the intended start
+// of a request, not from its actual one, to avoid coordinated omission: a slow
+// answer is counted in full even if it delays no other request.
 type Result struct {
 	Seed         uint64        `json:"seed"`
 	Arrivals     Arrivals      `json:"arrivals"`
 	Workload     Workload      `json:"workload"`
-	Duration     float64       `json:"duration_s"` // Counted part: without the warm-up.
+	Duration     float64       `json:"duration_s"` // Measured period: from the end of the warm-up to the end of arrivals.
 	Entry        *PathResult   `json:"entry,omitempty"`
 	Direct       *PathResult   `json:"direct,omitempty"`
 	AddedLatency *AddedLatency `json:"added,omitempty"`
 }
 
-// PathResult is what one way to the engines measured.
+// PathResult is the result of one path to the engines: through the entries or
+// direct.
 type PathResult struct {
-	Requests          int                `json:"requests"` // Arrived after the warm-up.
+	Requests          int                `json:"requests"` // Requests that arrived after the warm-up.
 	Attempts          int                `json:"attempts"`
 	Outcomes          map[Outcome]int    `json:"outcomes"`
 	Codes             map[string]int     `json:"codes,omitempty"`         // Final answers by result code.
-	RetriedCodes      map[string]int     `json:"retried_codes,omitempty"` // Answers that were repeated.
+	RetriedCodes      map[string]int     `json:"retried_codes,omitempty"` // Attempts that were retried, by result code.
 	Examples          map[Outcome]string `json:"examples,omitempty"`
-	RequestsPerSecond float64            `json:"requests_per_s"` // Whole answers that ended while requests still arrived.
-	TokensPerSecond   float64            `json:"tokens_per_s"`   // Of answers that ended while requests still arrived.
+	RequestsPerSecond float64            `json:"requests_per_s"` // Complete answers that ended within the measured period.
+	TokensPerSecond   float64            `json:"tokens_per_s"`   // Tokens of chats that ended within the measured period.
 	FirstToken        Quantiles          `json:"first_token"`
-	BetweenTokens     Quantiles          `json:"between_tokens"` // Gap between events over the later one's tokens.
+	BetweenTokens     Quantiles          `json:"between_tokens"` // Time between two events divided by the tokens of the later one.
 	BetweenEvents     Quantiles          `json:"between_events"`
 	WholeChat         Quantiles          `json:"whole_chat"`
 	WholeCall         Quantiles          `json:"whole_call"`
-	StartDelay        Quantiles          `json:"start_late"` // The load generator's own delay.
+	StartDelay        Quantiles          `json:"start_late"` // Delay of the load generator itself.
 	Timeline          []Second           `json:"timeline"`
 }
 
-// Quantiles are of a distribution of times, in milliseconds.
+// Quantiles summarises a latency distribution, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -49,15 +51,15 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// AddedLatency is the time to first token that the load balancer adds: each quantile
-// through the entry less the same quantile straight to the engine.
+// AddedLatency is the time to first token that the load balancer adds: each
+// quantile through the entry minus the same quantile directly to the engine.
 type AddedLatency struct {
 	P50 float64 `json:"first_token_p50_ms"`
 	P95 float64 `json:"first_token_p95_ms"`
 	P99 float64 `json:"first_token_p99_ms"`
 }
 
-func (l latency) quantiles() Quantiles {
+func (l latencyHistogram) quantiles() Quantiles {
 	at := func(quantile float64) float64 { return microsToMS(l.histogram.ValueAtQuantile(quantile)) }
 	return Quantiles{
 		Count: l.histogram.TotalCount(), Mean: l.histogram.Mean() / 1000,
@@ -67,29 +69,29 @@
 
 func microsToMS(micros int64) float64 { return float64(micros) / 1000 }
 
-func (r *recorder) side(counted time.Duration) *PathResult {
+func (r *recorder) pathResult(period time.Duration) *PathResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	side := &PathResult{
-		Attempts: r.attempts, Outcomes: r.outcomes, Codes: named(r.codes), RetriedCodes: named(r.retriedCodes),
+	pathResult := &PathResult{
+		Attempts: r.attempts, Outcomes: r.outcomes, Codes: countsByName(r.codes), RetriedCodes: countsByName(r.retriedCodes),
 		Examples:          r.examples,
-		RequestsPerSecond: float64(r.served) / counted.Seconds(),
-		TokensPerSecond:   float64(r.servedTokens) / counted.Seconds(),
+		RequestsPerSecond: float64(r.served) / period.Seconds(),
+		TokensPerSecond:   float64(r.servedTokens) / period.Seconds(),
 		FirstToken:        r.firstToken.quantiles(),
 		BetweenTokens:     r.betweenTokens.quantiles(),
 		BetweenEvents:     r.betweenEvents.quantiles(),
 		WholeChat:         r.wholeChat.quantiles(),
 		WholeCall:         r.wholeCall.quantiles(),
-		StartDelay:        r.startLate.quantiles(),
+		StartDelay:        r.startDelay.quantiles(),
 		Timeline:          r.timeline.seconds,
 	}
 	for _, count := range r.outcomes {
-		side.Requests += count
+		pathResult.Requests += count
 	}
-	return side
+	return pathResult
 }
 
-func named(codes map[result.Code]int) map[string]int {
+func countsByName(codes map[result.Code]int) map[string]int {
 	names := make(map[string]int, len(codes))
 	for code, count := range codes {
 		names[fmt.Sprintf("%d %s", int(code), code)] += count
@@ -97,7 +99,7 @@
 	return names
 }
 
-func added(entry, direct *PathResult) *AddedLatency {
+func addedLatency(entry, direct *PathResult) *AddedLatency {
 	return &AddedLatency{
 		P50: entry.FirstToken.P50 - direct.FirstToken.P50,
 		P95: entry.FirstToken.P95 - direct.FirstToken.P95,
@@ -105,13 +107,13 @@
 	}
 }
 
-// InvalidAnswers returns the number of answers that a caller must never see: cut, or
-// another request's.
+// InvalidAnswers returns the number of answers that a caller must never see:
+// truncated ones and those that belong to another request.
 func (r Result) InvalidAnswers() int {
 	count := 0
-	for _, side := range []*PathResult{r.Entry, r.Direct} {
-		if side != nil {
-			count += side.Outcomes[Wrong] + side.Outcomes[Cut]
+	for _, pathResult := range []*PathResult{r.Entry, r.Direct} {
+		if pathResult != nil {
+			count += pathResult.Outcomes[Wrong] + pathResult.Outcomes[Cut]
 		}
 	}
 	return count
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -11,19 +11,20 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Streams of the random generator.
+// Stream numbers of the random number generators, so that arrivals and requests
+// are drawn independently from one seed.
 const (
 	streamArrivals = iota + 1
 	streamRequests
 )
 
-// runner is one run under way.
+// runner holds the state of one run.
 type runner struct {
-	options Options
-	entries []*entryClient
-	engines []*engineClient
-	entry   *recorder
-	direct  *recorder
+	options        Options
+	entries        []*entryClient
+	engines        []*engineClient
+	entryRecorder  *recorder
+	directRecorder *recorder
 
 	start    time.Time
 	group    sync.WaitGroup
@@ -32,15 +33,15 @@
 }
 
 // Run sends the workload and returns when every request has ended. report, if
-// not nil, is called about twice a second. When ctx ends, arrivals stop and
-// requests under way are given up.
+// not nil, is called about twice a second. When ctx is cancelled, arrivals stop
+// and requests in flight are cancelled.
 func Run(ctx context.Context, options Options, report func(Progress)) (Result, error) {
 	if err := options.Validate(); err != nil {
 		return Result{}, err
 	}
 	r := newRunner(options)
-	stop := r.reportEvery(report)
-	r.arrive(ctx)
+	stop := r.startProgressReports(report)
+	r.generateArrivals(ctx)
 	r.group.Wait()
 	stop()
 	if err := context.Cause(ctx); err != nil && !errors.Is(err, context.Canceled) {
@@ -51,9 +52,9 @@
 
 func newRunner(options Options) *runner {
 	client := newHTTPClient()
-	r := &runner{options: options, entry: newRecorder(), direct: newRecorder()}
+	r := &runner{options: options, entryRecorder: newRecorder(), directRecorder: newRecorder()}
 	for _, base := range options.Entries {
-		r.entries = append(r.entries, &entryClient{base: base, http: client, work: options.Workload})
+		r.entries = append(r.entries, &entryClient{base: base, http: client, workload: options.Workload})
 	}
 	for _, base := range options.Engines {
 		r.engines = append(r.engines, newEngineClient(base, options, client.Transport))
@@ -61,11 +62,11 @@
 	return r
 }
 
-// arrive starts each request at its intended time, whatever became of the
-// earlier ones.
-func (r *runner) arrive(ctx context.Context) {
+// generateArrivals starts each request at its intended time without waiting for
+// earlier ones (open loop).
+func (r *runner) generateArrivals(ctx context.Context) {
 	times := newSchedule(r.options.Arrivals, rand.New(rand.NewPCG(r.options.Seed, streamArrivals)))
-	requests := newDrawer(r.options, rand.New(rand.NewPCG(r.options.Seed, streamRequests)))
+	requests := newRequestGenerator(r.options, rand.New(rand.NewPCG(r.options.Seed, streamRequests)))
 	r.start = time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -74,7 +75,7 @@
 		if intended >= r.options.Duration {
 			return
 		}
-		drawn := requests.next()
+		req := requests.next()
 		if wait := time.Until(r.start.Add(intended)); wait > 0 {
 			timer.Reset(wait)
 			select {
@@ -83,95 +84,97 @@
 				return
 			}
 		}
-		r.launch(ctx, drawn, intended)
+		r.launch(ctx, req, intended)
 	}
 }
 
-func (r *runner) launch(ctx context.Context, drawn request, intended time.Duration) {
+func (r *runner) launch(ctx context.Context, req request, intended time.Duration) {
 	r.totals.arrived.Add(1)
-	d := done{drawn: drawn, intended: intended}
+	record := requestRecord{req: req, intended: intended}
 	if r.inFlight.Load() >= int64(r.options.MaxInFlight) {
-		d.failure = failed(Dropped, "%d requests were in flight", r.options.MaxInFlight)
-		r.finish(d, r.recorderOf(drawn))
+		record.failure = failuref(Dropped, "%d requests were in flight", r.options.MaxInFlight)
+		r.finish(record, r.recorderOf(req))
 		return
 	}
 	r.inFlight.Add(1)
 	r.group.Go(func() {
 		defer r.inFlight.Add(-1)
-		r.run(ctx, &d)
-		r.finish(d, r.recorderOf(drawn))
+		r.execute(ctx, &record)
+		r.finish(record, r.recorderOf(req))
 	})
 }
 
-// straight tells that the request goes straight to an engine.
-func (r *runner) straight(drawn request) bool {
-	if len(r.engines) == 0 || !drawn.chat {
+// isDirect reports whether the request is sent directly to an engine.
+func (r *runner) isDirect(req request) bool {
+	if len(r.engines) == 0 || !req.chat {
 		return false
 	}
 	share := r.options.DirectShare
 	if len(r.entries) == 0 {
 		share = 1
 	}
-	return int(float64(drawn.number)*share) > int(float64(drawn.number-1)*share)
+	return int(float64(req.number)*share) > int(float64(req.number-1)*share)
 }
 
-func (r *runner) recorderOf(drawn request) *recorder {
-	if r.straight(drawn) {
-		return r.direct
+func (r *runner) recorderOf(req request) *recorder {
+	if r.isDirect(req) {
+		return r.directRecorder
 	}
-	return r.entry
+	return r.entryRecorder
 }
 
-func (r *runner) run(ctx context.Context, d *done) {
-	intended := r.start.Add(d.intended)
-	d.late = time.Since(intended)
+func (r *runner) execute(ctx context.Context, record *requestRecord) {
+	intended := r.start.Add(record.intended)
+	record.delay = time.Since(intended)
 	ctx, cancel := context.WithDeadline(ctx, intended.Add(r.options.Timeout))
 	defer cancel()
 	for {
-		d.attempts++
-		d.seen = observer{}
-		d.failure = r.attempt(ctx, d)
-		if !r.repeats(ctx, d) {
+		record.attempts++
+		record.trace = answerTrace{}
+		record.failure = r.attempt(ctx, record)
+		if !r.shouldRetry(ctx, record) {
 			break
 		}
 	}
-	d.total = time.Since(intended)
-	if !d.seen.first.IsZero() {
-		d.first = d.seen.first.Sub(intended)
+	record.total = time.Since(intended)
+	if !record.trace.first.IsZero() {
+		record.first = record.trace.first.Sub(intended)
 	}
 }
 
-func (r *runner) attempt(ctx context.Context, d *done) *failure {
-	drawn := d.drawn
-	if !drawn.chat {
-		return r.entries[drawn.number%len(r.entries)].call(ctx, drawn, r.options.Verify)
+func (r *runner) attempt(ctx context.Context, record *requestRecord) *failure {
+	req := record.req
+	if !req.chat {
+		return r.entries[req.number%len(r.entries)].call(ctx, req, r.options.Verify)
 	}
 	var client chatClient
-	if r.straight(drawn) {
-		client = r.engines[drawn.number/2%len(r.engines)]
+	if r.isDirect(req) {
+		client = r.engines[req.number/2%len(r.engines)]
 	} else {
-		client = r.entries[drawn.number/2%len(r.entries)]
+		client = r.entries[req.number/2%len(r.entries)]
 	}
-	if f := client.chat(ctx, drawn, &d.seen); f != nil || !r.options.Verify {
+	if f := client.chat(ctx, req, &record.trace); f != nil || !r.options.Verify {
 		return f
 	}
-	return verifyChat(drawn, d.seen.content)
+	return verifyChat(req, record.trace.content)
 }
 
-// repeats waits, if asked to, and tells whether a refused request is repeated.
-func (r *runner) repeats(ctx context.Context, d *done) bool {
-	f := d.failure
-	if f == nil || f.kind != Refused || d.attempts > r.options.MaxRetries || !result.Describe(f.code).Retryable {
+// shouldRetry reports whether a refused request is to be retried. If
+// HonourRetryAfter is set, it first waits for the time that the refusal asks for.
+func (r *runner) shouldRetry(ctx context.Context, record *requestRecord) bool {
+	f := record.failure
+	if f == nil || f.kind != Refused || record.attempts > r.options.MaxRetries || !result.Describe(f.code).Retryable {
 		return false
 	}
 	if r.options.HonourRetryAfter && !sleep(ctx, f.retryAfter) {
 		return false
 	}
-	d.refusals = append(d.refusals, f.code)
+	record.retryCodes = append(record.retryCodes, f.code)
 	return true
 }
 
-// sleep waits; it returns false at once where ctx would end meanwhile.
+// sleep waits and returns true, or returns false if ctx ends first. If the
+// deadline of ctx is earlier than the end of the wait, it returns false at once.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < wait {
 		return false
@@ -184,32 +187,32 @@
 	}
 }
 
-func (r *runner) finish(d done, into *recorder) {
+func (r *runner) finish(record requestRecord, dest *recorder) {
 	switch {
-	case d.failure == nil:
+	case record.failure == nil:
 		r.totals.whole.Add(1)
-	case d.failure.kind == Refused:
+	case record.failure.kind == Refused:
 		r.totals.refused.Add(1)
 	default:
 		r.totals.other.Add(1)
 	}
-	r.totals.tokens.Add(int64(d.seen.tokens))
-	into.add(d, r.options)
+	r.totals.tokens.Add(int64(record.trace.tokens))
+	dest.add(record, r.options)
 }
 
 func (r *runner) result() Result {
-	counted := r.options.Duration - r.options.WarmUp
+	period := r.options.Duration - r.options.WarmUp
 	measured := Result{
-		Seed: r.options.Seed, Arrivals: r.options.Arrivals, Workload: r.options.Workload, Duration: counted.Seconds(),
+		Seed: r.options.Seed, Arrivals: r.options.Arrivals, Workload: r.options.Workload, Duration: period.Seconds(),
 	}
 	if len(r.entries) > 0 {
-		measured.Entry = r.entry.side(counted)
+		measured.Entry = r.entryRecorder.pathResult(period)
 	}
 	if len(r.engines) > 0 {
-		measured.Direct = r.direct.side(counted)
+		measured.Direct = r.directRecorder.pathResult(period)
 	}
 	if measured.Entry != nil && measured.Direct != nil {
-		measured.AddedLatency = added(measured.Entry, measured.Direct)
+		measured.AddedLatency = addedLatency(measured.Entry, measured.Direct)
 	}
 	return measured
 }
--- a/ctl/load/run_test.go
+++ b/ctl/load/run_test.go
@@ -18,17 +18,17 @@
 	"persimmonwind.dev/server/standin/engine"
 )
 
-// fakeEntry answers chats; handle may answer a request in its own way and
-// return true.
+// fakeEntry starts a server that answers chats correctly, unless handle answers
+// the request itself and returns true.
 func fakeEntry(t *testing.T, handle func(w http.ResponseWriter, r *http.Request, text string) bool) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var asked chatBody
-		_ = json.NewDecoder(r.Body).Decode(&asked)
-		text := asked.Messages[0].Content
+		var chat chatBody
+		_ = json.NewDecoder(r.Body).Decode(&chat)
+		text := chat.Messages[0].Content
 		if handle != nil && handle(w, r, text) {
 			return
 		}
-		writeChat(w, text, asked.MaxTokens)
+		writeChat(w, text, chat.MaxTokens)
 		fmt.Fprint(w, "data: [DONE]\n\n")
 	}))
 	t.Cleanup(server.Close)
@@ -66,13 +66,13 @@
 }
 
 func TestRun(t *testing.T) {
-	Convey("Whole answers are counted as such", t, func() {
+	Convey("Complete answers are counted as whole", t, func() {
 		side := runLoad(testOptions(fakeEntry(t, nil)))
 		So(side.Outcomes, ShouldResemble, map[Outcome]int{Whole: 19})
 		So(side.FirstToken.Count, ShouldEqual, 19)
 	})
 
-	Convey("Another request's answer is wrong, although it is well formed", t, func() {
+	Convey("A well-formed answer that belongs to another request is counted as wrong", t, func() {
 		side := runLoad(testOptions(fakeEntry(t, func(w http.ResponseWriter, _ *http.Request, text string) bool {
 			writeChat(w, text+"x", 5)
 			fmt.Fprint(w, "data: [DONE]\n\n")
@@ -81,7 +81,7 @@
 		So(side.Outcomes, ShouldResemble, map[Outcome]int{Wrong: 19})
 	})
 
-	Convey("An answer without its end mark is cut, one with an error event failed", t, func() {
+	Convey("An answer without its end marker is counted as cut, one with an error event as failed", t, func() {
 		var count atomic.Int64
 		side := runLoad(testOptions(fakeEntry(t, func(w http.ResponseWriter, _ *http.Request, text string) bool {
 			writeChat(w, text, 2)
@@ -95,7 +95,7 @@
 		So(side.Codes, ShouldResemble, map[string]int{"3002 cut_answer": 1})
 	})
 
-	Convey("A refusal is counted by its code; with retries it is repeated after the time it asks for", t, func() {
+	Convey("A refusal is counted by its code, and with retries it is retried after its Retry-After time", t, func() {
 		var mu sync.Mutex
 		refused := map[string]time.Time{}
 		early := 0
@@ -123,10 +123,10 @@
 		So(side.RetriedCodes, ShouldResemble, map[string]int{"2002 overloaded": 19})
 		So(side.Attempts, ShouldEqual, 38)
 		So(early, ShouldEqual, 0)
-		So(side.FirstToken.P50, ShouldBeGreaterThanOrEqualTo, milliseconds(wait))
+		So(side.FirstToken.P50, ShouldBeGreaterThanOrEqualTo, toMilliseconds(wait))
 	})
 
-	Convey("Arrivals do not wait for answers: a stalled entry gets all of them at once", t, func() {
+	Convey("Arrivals do not wait for answers: all requests are in flight at once at a stalled entry", t, func() {
 		var waiting atomic.Int64
 		release := make(chan struct{})
 		side := runLoad(testOptions(fakeEntry(t, func(http.ResponseWriter, *http.Request, string) bool {
@@ -140,7 +140,7 @@
 		So(side.FirstToken.Max, ShouldBeGreaterThan, 150)
 	})
 
-	Convey("An arrival beyond the bound is dropped and counted", t, func() {
+	Convey("An arrival beyond the in-flight limit is counted as dropped", t, func() {
 		options := testOptions(fakeEntry(t, func(w http.ResponseWriter, r *http.Request, _ string) bool {
 			<-r.Context().Done()
 			return true
@@ -149,7 +149,7 @@
 		So(runLoad(options).Outcomes, ShouldResemble, map[Outcome]int{TimedOut: 5, Dropped: 14})
 	})
 
-	Convey("A target that is not loopback needs the flag", t, func() {
+	Convey("A target that is not a loopback address requires AllowRemote", t, func() {
 		options := testOptions("http://192.0.2.1:80")
 		So(options.Validate(), ShouldWrap, ErrNotLoopback)
 		options.AllowRemote = true
--- a/ctl/load/timeline.go
+++ b/ctl/load/timeline.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Second is what one second of arrivals came to.
+// Second counts the requests whose intended start lies within one second.
 type Second struct {
-	Second       int     `json:"second"` // From the start of the run.
+	Second       int     `json:"second"` // Offset from the start of the run.
 	Arrived      int     `json:"arrived"`
 	Whole        int     `json:"whole"`
 	Refused      int     `json:"refused"`
-	Other        int     `json:"other"` // Neither whole nor refused.
+	Other        int     `json:"other"` // Neither complete nor refused.
 	Tokens       int     `json:"tokens"`
 	FirstTokenMS float64 `json:"first_token_ms_max"`
 }
 
-// timeline counts by the second of the intended start.
+// timeline counts requests by the second of their intended start.
 type timeline struct{ seconds []Second }
 
 func newTimeline() *timeline { return &timeline{} }
 
-func (t *timeline) add(d done) {
-	index := int(d.intended / time.Second)
+func (t *timeline) add(record requestRecord) {
+	index := int(record.intended / time.Second)
 	for len(t.seconds) <= index {
 		t.seconds = append(t.seconds, Second{Second: len(t.seconds)})
 	}
 	second := &t.seconds[index]
 	second.Arrived++
-	second.Tokens += d.seen.tokens
-	if !d.seen.first.IsZero() {
-		second.FirstTokenMS = max(second.FirstTokenMS, milliseconds(d.first))
+	second.Tokens += record.trace.tokens
+	if !record.trace.first.IsZero() {
+		second.FirstTokenMS = max(second.FirstTokenMS, toMilliseconds(record.first))
 	}
 	switch {
-	case d.failure == nil:
+	case record.failure == nil:
 		second.Whole++
-	case d.failure.kind == Refused:
+	case record.failure.kind == Refused:
 		second.Refused++
 	default:
 		second.Other++
 	}
 }
 
-func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/ctl/load/verify.go
+++ b/ctl/load/verify.go
@@ -10,16 +10,16 @@
 	"persimmonwind.dev/server/standin/service"
 )
 
-// enginePrompt returns the prompt that an entry gives to the engine for a chat
-// of one user message.
+// enginePrompt returns the prompt that an entry sends to the engine for a chat
+// with a single user message.
 func enginePrompt(text string) string { return "user: " + text + "\n" }
 
-// verifyChat compares the whole text with what the stand-in engine gives to
-// this prompt.
-func verifyChat(drawn request, text []byte) *failure {
-	digest := strings.TrimSuffix(engine.Token(enginePrompt(drawn.text), 0), "0 ")
+// verifyChat compares the complete text with the one that the stand-in engine
+// generates for this prompt.
+func verifyChat(req request, text []byte) *failure {
+	digest := strings.TrimSuffix(engine.Token(enginePrompt(req.text), 0), "0 ")
 	want := make([]byte, 0, len(text))
-	for index := range drawn.tokens {
+	for index := range req.tokens {
 		want = append(want, digest...)
 		want = strconv.AppendInt(want, int64(index), 10)
 		want = append(want, ' ')
@@ -27,17 +27,17 @@
 	if bytes.Equal(text, want) {
 		return nil
 	}
-	return failed(Wrong, "request %d: got %d bytes %.60q, want %d bytes %.60q", drawn.number, len(text), text, len(want), want)
+	return failuref(Wrong, "request %d: got %d bytes %.60q, want %d bytes %.60q", req.number, len(text), text, len(want), want)
 }
 
-// verifyCall checks that the stand-in service's answer names this call.
-func verifyCall(drawn request, answer []byte) *failure {
+// verifyCall checks that the answer of the stand-in service names this call.
+func verifyCall(req request, answer []byte) *failure {
 	var run service.Run
 	if err := json.Unmarshal(answer, &run); err != nil {
-		return failed(Wrong, "request %d: malformed answer: %v", drawn.number, err)
+		return failuref(Wrong, "request %d: malformed answer: %v", req.number, err)
 	}
-	if run.RunID == "" || run.Body != drawn.text || run.Service != drawn.service || run.Operation != drawn.operation {
-		return failed(Wrong, "request %d: answer is to %s/%s %q", drawn.number, run.Service, run.Operation, run.Body)
+	if run.RunID == "" || run.Body != req.text || run.Service != req.service || run.Operation != req.operation {
+		return failuref(Wrong, "request %d: answer belongs to call %s/%s %q", req.number, run.Service, run.Operation, run.Body)
 	}
 	return nil
 }
--- a/ctl/load/workload.go
+++ b/ctl/load/workload.go
@@ -10,23 +10,23 @@
 // Workload is the mix of requests.
 type Workload struct {
 	Model       string        `json:"model"`
-	MinTokens   int           `json:"min_tokens"` // Of an answer; drawn evenly up to MaxTokens.
+	MinTokens   int           `json:"min_tokens"` // Tokens of an answer are uniform from MinTokens to MaxTokens.
 	MaxTokens   int           `json:"max_tokens"`
-	PromptWords int           `json:"prompt_words"` // Of a prompt's own part.
-	Prefixes    int           `json:"prefixes"`     // Number of prompt prefixes that requests share.
+	PromptWords int           `json:"prompt_words"` // Words in the part of a prompt that is unique to it.
+	Prefixes    int           `json:"prefixes"`     // Number of distinct prompt prefixes shared by requests.
 	PrefixWords int           `json:"prefix_words"`
 	Calls       []ServiceCall `json:"calls,omitempty"`
 }
 
-// ServiceCall is a plain service's operation with its share of all requests.
+// ServiceCall is an operation of a plain service and its share of all requests.
 type ServiceCall struct {
 	Service   string  `json:"service"`
 	Operation string  `json:"operation"`
 	Share     float64 `json:"share"` // From 0 to 1.
 }
 
-// DefaultWorkload returns chats with few service calls among them, as the
-// development system carries them.
+// DefaultWorkload returns a mix of chats with a few service calls that the
+// development system can serve.
 func DefaultWorkload() Workload {
 	return Workload{
 		Model: "soap-assistant", MinTokens: 16, MaxTokens: 128,
@@ -38,7 +38,7 @@
 	}
 }
 
-// ParseServiceCall reads "service/operation=share".
+// ParseServiceCall parses "service/operation=share".
 func ParseServiceCall(text string) (ServiceCall, error) {
 	name, share, found := strings.Cut(text, "=")
 	service, operation, named := strings.Cut(name, "/")
@@ -60,14 +60,14 @@
 func (w Workload) validate() error {
 	for _, call := range w.Calls {
 		if call.Share < 0 {
-			return fmt.Errorf("share %v of %s/%s is below 0", call.Share, call.Service, call.Operation)
+			return fmt.Errorf("share %v of %s/%s must not be negative", call.Share, call.Service, call.Operation)
 		}
 	}
 	if share := w.callShare(); share > 1 {
-		return fmt.Errorf("shares of calls sum to %v, above 1", share)
+		return fmt.Errorf("sum %v of call shares must not exceed 1", share)
 	}
 	if w.MinTokens < 1 || w.MaxTokens < w.MinTokens {
-		return fmt.Errorf("answers of %d to %d tokens: need at least 1, and the most not below the least", w.MinTokens, w.MaxTokens)
+		return fmt.Errorf("minimum tokens %d must be at least 1 and maximum tokens %d not less than the minimum", w.MinTokens, w.MaxTokens)
 	}
 	if w.PromptWords < 0 || w.PrefixWords < 0 || w.Prefixes < 0 {
 		return fmt.Errorf("prompt words %d, prefix words %d and prefixes %d must not be negative", w.PromptWords, w.PrefixWords, w.Prefixes)
@@ -75,19 +75,20 @@
 	return nil
 }
 
-// request is one drawn request. Number makes its content unique in the run.
+// request is one generated request. Its number makes its content unique within
+// the run.
 type request struct {
 	number    int
 	key       string
 	chat      bool
-	text      string // A chat's message, or a call's body.
-	tokens    int    // Of a chat's answer.
+	text      string // Message of a chat or body of a call.
+	tokens    int    // Expected number of tokens in the answer of a chat.
 	service   string
 	operation string
 }
 
-// drawer draws the requests of one run.
-type drawer struct {
+// requestGenerator generates the random requests of one run.
+type requestGenerator struct {
 	workload Workload
 	keys     []string
 	seed     uint64
@@ -96,41 +97,41 @@
 	number   int
 }
 
-func newDrawer(options Options, random *rand.Rand) *drawer {
-	d := &drawer{workload: options.Workload, keys: options.Keys, seed: options.Seed, random: random}
+func newRequestGenerator(options Options, random *rand.Rand) *requestGenerator {
+	g := &requestGenerator{workload: options.Workload, keys: options.Keys, seed: options.Seed, random: random}
 	for range options.Workload.Prefixes {
-		d.prefixes = append(d.prefixes, d.words(options.Workload.PrefixWords))
+		g.prefixes = append(g.prefixes, g.words(options.Workload.PrefixWords))
 	}
-	return d
+	return g
 }
 
-func (d *drawer) next() request {
-	d.number++
-	drawn := request{number: d.number}
-	if len(d.keys) > 0 {
-		drawn.key = d.keys[d.random.IntN(len(d.keys))]
+func (g *requestGenerator) next() request {
+	g.number++
+	req := request{number: g.number}
+	if len(g.keys) > 0 {
+		req.key = g.keys[g.random.IntN(len(g.keys))]
 	}
-	point := d.random.Float64()
-	for _, call := range d.workload.Calls {
+	point := g.random.Float64()
+	for _, call := range g.workload.Calls {
 		if point < call.Share {
-			drawn.service, drawn.operation = call.Service, call.Operation
-			drawn.text = fmt.Sprintf(`{"seed":%d,"number":%d}`, d.seed, d.number)
-			return drawn
+			req.service, req.operation = call.Service, call.Operation
+			req.text = fmt.Sprintf(`{"seed":%d,"number":%d}`, g.seed, g.number)
+			return req
 		}
 		point -= call.Share
 	}
-	drawn.chat = true
-	drawn.tokens = d.workload.MinTokens + d.random.IntN(d.workload.MaxTokens-d.workload.MinTokens+1)
-	drawn.text = d.prompt()
-	return drawn
+	req.chat = true
+	req.tokens = g.workload.MinTokens + g.random.IntN(g.workload.MaxTokens-g.workload.MinTokens+1)
+	req.text = g.prompt()
+	return req
 }
 
-func (d *drawer) prompt() string {
-	own := fmt.Sprintf("request %d of seed %d %s", d.number, d.seed, d.words(d.workload.PromptWords))
-	if len(d.prefixes) == 0 {
-		return own
+func (g *requestGenerator) prompt() string {
+	unique := fmt.Sprintf("request %d of seed %d %s", g.number, g.seed, g.words(g.workload.PromptWords))
+	if len(g.prefixes) == 0 {
+		return unique
 	}
-	return d.prefixes[d.random.IntN(len(d.prefixes))] + own
+	return g.prefixes[g.random.IntN(len(g.prefixes))] + unique
 }
 
 var vocabulary = []string{
@@ -138,10 +139,10 @@
 	"roundabout", "safety", "summary", "draft", "check", "olive", "glycerine", "contract",
 }
 
-func (d *drawer) words(count int) string {
+func (g *requestGenerator) words(count int) string {
 	var text strings.Builder
 	for range count {
-		text.WriteString(vocabulary[d.random.IntN(len(vocabulary))])
+		text.WriteString(vocabulary[g.random.IntN(len(vocabulary))])
 		text.WriteByte(' ')
 	}
 	return text.String()
--- a/ctl/report/deployment.go
+++ b/ctl/report/deployment.go
@@ -13,12 +13,12 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Watch reads the metrics of a running deployment's processes a number of
-// times and reports on what happened in between. Addresses are base URLs of
-// entries' operators' sockets and agents' health sockets.
+// Watch scrapes the metrics of the processes of a running deployment a number of
+// times and reports what happened in between. The addresses are base URLs of the
+// operator listeners of entries and the health listeners of agents.
 func Watch(ctx context.Context, addresses []string, samples int, interval time.Duration) (Section, error) {
 	if samples < 2 {
-		return Section{}, fmt.Errorf("%d samples show no rates: take at least 2", samples)
+		return Section{}, fmt.Errorf("cannot compute rates from %d samples: at least 2 are required", samples)
 	}
 	var scrapes []scrape
 	for index := range samples {
@@ -45,7 +45,7 @@
 	}
 	for _, err := range last.errors {
 		if err != nil {
-			report.Notes = append(report.Notes, "No answer: "+err.Error())
+			report.Notes = append(report.Notes, "No response: "+err.Error())
 		}
 	}
 	return report
@@ -53,13 +53,13 @@
 
 func revisionTable(last scrape) experiment.Table {
 	counts := map[float64]int{}
-	silent := 0
+	unresponsive := 0
 	for _, process := range last.processes {
 		if process == nil {
-			silent++
+			unresponsive++
 			continue
 		}
-		counts[process.gauge(prefix+"revision")]++
+		counts[process.gauge(metricPrefix+"revision")]++
 	}
 	revisions := make([]float64, 0, len(counts))
 	for revision := range counts {
@@ -70,14 +70,14 @@
 	for _, revision := range revisions {
 		table.Rows = append(table.Rows, []string{fmt.Sprintf("%.0f", revision), strconv.Itoa(counts[revision])})
 	}
-	if silent > 0 {
-		table.Rows = append(table.Rows, []string{"no answer", strconv.Itoa(silent)})
+	if unresponsive > 0 {
+		table.Rows = append(table.Rows, []string{"no answer", strconv.Itoa(unresponsive)})
 	}
 	return table
 }
 
-// shownProcesses bounds the rows of the table of processes.
-const shownProcesses = 40
+// maxProcessRows limits the rows of the process table.
+const maxProcessRows = 40
 
 func processTable(addresses []string, last scrape) experiment.Table {
 	table := experiment.Table{
@@ -85,8 +85,8 @@
 		Columns: []string{"process", "revision", "in flight", "admitted", "limit", "queued", "state", "MB resident"},
 	}
 	for index, process := range last.processes {
-		if index == shownProcesses {
-			table.Rows = append(table.Rows, []string{fmt.Sprintf("and %d more", len(addresses)-shownProcesses), "", "", "", "", "", "", ""})
+		if index == maxProcessRows {
+			table.Rows = append(table.Rows, []string{fmt.Sprintf("and %d more", len(addresses)-maxProcessRows), "", "", "", "", "", "", ""})
 			break
 		}
 		table.Rows = append(table.Rows, processRow(addresses[index], process))
@@ -98,22 +98,22 @@
 	if process == nil {
 		return []string{address, "", "", "", "", "", "no answer", ""}
 	}
-	whole := func(name string) string { return fmt.Sprintf("%.0f", process.gauge(prefix+name)) }
+	rounded := func(name string) string { return fmt.Sprintf("%.0f", process.gauge(metricPrefix+name)) }
 	return []string{
-		address, whole("revision"), whole("in_flight_requests"), whole("admission_running"),
-		whole("admission_limit"), whole("admission_queued"), processState(process),
+		address, rounded("revision"), rounded("in_flight_requests"), rounded("admission_running"),
+		rounded("admission_limit"), rounded("admission_queued"), processState(process),
 		fmt.Sprintf("%.0f", process.gauge("process_resident_memory_bytes")/1e6),
 	}
 }
 
 func processState(process families) string {
-	agent := process.gauge(prefix+"admission_limit") > 0 // Entries admit nothing.
+	agent := process.gauge(metricPrefix+"admission_limit") > 0 // Entries have no admission limit.
 	switch {
-	case process.gauge(prefix+"leaving") > 0:
+	case process.gauge(metricPrefix+"leaving") > 0:
 		return "leaving"
-	case agent && process.gauge(prefix+"backend_down") > 0:
+	case agent && process.gauge(metricPrefix+"backend_down") > 0:
 		return "down"
-	case agent && process.gauge(prefix+"backend_cold") > 0:
+	case agent && process.gauge(metricPrefix+"backend_cold") > 0:
 		return "cold"
 	default:
 		return "ready"
@@ -148,7 +148,7 @@
 
 func firstByteTable(first, last scrape) experiment.Table {
 	table := experiment.Table{Title: "First byte of an answer (upper bound, ms)", Columns: []string{"p50", "p95", "p99"}}
-	counts := firstBytes(first, last)
+	counts := firstByteCounts(first, last)
 	row := make([]string, 0, len(table.Columns))
 	for _, share := range []float64{0.5, 0.95, 0.99} {
 		row = append(row, quantileText(counts, share))
@@ -157,7 +157,7 @@
 	return table
 }
 
-func quantileText(counts cumulative, share float64) string {
+func quantileText(counts bucketCounts, share float64) string {
 	bound, ok := counts.quantile(share)
 	switch {
 	case !ok:
@@ -169,35 +169,36 @@
 	}
 }
 
-// firstBytes returns the times to the first byte between two readings.
-func firstBytes(first, last scrape) cumulative {
-	counts := cumulative{}
+// firstByteCounts returns the histogram of the times to first byte between two
+// scrapes.
+func firstByteCounts(first, last scrape) bucketCounts {
+	counts := bucketCounts{}
 	for index := range last.processes {
-		counts.add(last.processes[index].histogram(prefix+"first_byte_seconds"), 1)
-		counts.add(first.processes[index].histogram(prefix+"first_byte_seconds"), -1)
+		counts.add(last.processes[index].histogram(metricPrefix+"first_byte_seconds"), 1)
+		counts.add(first.processes[index].histogram(metricPrefix+"first_byte_seconds"), -1)
 	}
 	return counts
 }
 
 func deploymentPlots(scrapes []scrape) []experiment.Plot {
-	rate := experiment.Series{Name: "whole answers"}
-	refused := experiment.Series{Name: "other answers"}
-	slow := experiment.Series{Name: "p95"}
+	completeRate := experiment.Series{Name: "complete answers"}
+	otherRate := experiment.Series{Name: "other answers"}
+	p95 := experiment.Series{Name: "p95"}
 	behind := experiment.Series{Name: "not at the newest revision"}
 	for index := 1; index < len(scrapes); index++ {
 		before, now := scrapes[index-1], scrapes[index]
 		at, seconds := now.at.Sub(scrapes[0].at).Seconds(), now.at.Sub(before.at).Seconds()
-		whole, other := answers(before, now)
-		appendPoint(&rate, at, whole/seconds)
-		appendPoint(&refused, at, other/seconds)
+		whole, other := answersBetween(before, now)
+		appendPoint(&completeRate, at, whole/seconds)
+		appendPoint(&otherRate, at, other/seconds)
 		appendPoint(&behind, at, float64(processesBehind(now)))
-		if bound, ok := firstBytes(before, now).quantile(0.95); ok && !math.IsInf(bound, 1) {
-			appendPoint(&slow, at, bound*1e3)
+		if bound, ok := firstByteCounts(before, now).quantile(0.95); ok && !math.IsInf(bound, 1) {
+			appendPoint(&p95, at, bound*1e3)
 		}
 	}
 	return []experiment.Plot{
-		{Name: "answers", Title: "Answers", XLabel: "time (s)", YLabel: "answers a second", Series: []experiment.Series{rate, refused}},
-		{Name: "first-byte", Title: "First byte of an answer", XLabel: "time (s)", YLabel: "upper bound (ms)", Series: []experiment.Series{slow}},
+		{Name: "answers", Title: "Answers", XLabel: "time (s)", YLabel: "answers per second", Series: []experiment.Series{completeRate, otherRate}},
+		{Name: "first-byte", Title: "First byte of an answer", XLabel: "time (s)", YLabel: "upper bound (ms)", Series: []experiment.Series{p95}},
 		{Name: "revisions", Title: "Processes behind", XLabel: "time (s)", YLabel: "processes", Series: []experiment.Series{behind}},
 	}
 }
@@ -207,11 +208,12 @@
 	line.Y = append(line.Y, y)
 }
 
-// answers returns the whole answers and the others between two readings.
-func answers(before, now scrape) (whole, other float64) {
+// answersBetween returns the number of complete answers, and of all others,
+// between two scrapes.
+func answersBetween(before, now scrape) (whole, other float64) {
 	okCode := strconv.Itoa(int(result.OK))
-	count := func(read scrape, sign float64) {
-		for _, process := range read.processes {
+	count := func(s scrape, sign float64) {
+		for _, process := range s.processes {
 			for code, answered := range process.requestsByCode() {
 				if code == okCode {
 					whole += sign * answered
@@ -226,16 +228,16 @@
 	return whole, other
 }
 
-// processesBehind counts the processes that don't have the newest revision in
-// force, or don't answer.
-func processesBehind(read scrape) int {
+// processesBehind counts the processes that do not have the newest revision in
+// force or do not respond.
+func processesBehind(s scrape) int {
 	newest := 0.0
-	for _, process := range read.processes {
-		newest = max(newest, process.gauge(prefix+"revision"))
+	for _, process := range s.processes {
+		newest = max(newest, process.gauge(metricPrefix+"revision"))
 	}
 	behind := 0
-	for _, process := range read.processes {
-		if process.gauge(prefix+"revision") < newest {
+	for _, process := range s.processes {
+		if process.gauge(metricPrefix+"revision") < newest {
 			behind++
 		}
 	}
--- a/ctl/report/file.go
+++ b/ctl/report/file.go
@@ -9,8 +9,8 @@
 	"persimmonwind.dev/ctl/load"
 )
 
-// ReadFile reads a result of `persimmonctl load --result` or a report of
-// `persimmonctl experiment --out`.
+// ReadFile reads a result written by `persimmonctl load --result` or a report
+// written by `persimmonctl experiment --out`.
 func ReadFile(path string) (Section, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -27,11 +27,11 @@
 		return Section{Source: path, Report: *kind.Report}, nil
 	}
 	if kind.Arrivals == nil {
-		return Section{}, fmt.Errorf("%s is neither an experiment's report nor a load result", path)
+		return Section{}, fmt.Errorf("%s is neither an experiment report nor a load result", path)
 	}
 	var result load.Result
 	if err := json.Unmarshal(text, &result); err != nil {
-		return Section{}, fmt.Errorf("load result %s: %w", path, err)
+		return Section{}, fmt.Errorf("decode load result %s: %w", path, err)
 	}
 	return Section{Source: path, Report: result.Report()}, nil
 }
--- a/ctl/report/page.go
+++ b/ctl/report/page.go
@@ -1,5 +1,5 @@
-// Package report makes one self-contained HTML page of experiments' reports,
-// load results and a running deployment.
+// Package report renders experiment reports, load results and the metrics of a
+// running deployment as one self-contained HTML page.
 package report
 
 import (
@@ -19,62 +19,63 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// Section is one report with where it comes from.
+// Section is one report and its source.
 type Section struct {
-	Source string // A file, or the addresses of a deployment.
+	Source string // File name or addresses of a deployment.
 	Report experiment.Report
 }
 
-// Page is what the HTML page shows.
+// Page is the content of the HTML page.
 type Page struct {
 	Title       string
 	GeneratedAt time.Time
 	Sections    []Section
 }
 
-// drawnPlot is a plot in both themes.
-type drawnPlot struct {
+// renderedPlot is a plot rendered in both themes.
+type renderedPlot struct {
 	Title string
 	Light template.HTML
 	Dark  template.HTML
 }
 
-type drawnSection struct {
+type renderedSection struct {
 	Section
 	ID    string
-	Plots []drawnPlot
+	Plots []renderedPlot
 }
 
-// Write writes the page.
+// Write writes the page as HTML.
 func Write(w io.Writer, page Page) error {
-	var sections []drawnSection
+	var sections []renderedSection
 	for index, section := range page.Sections {
-		drawn := drawnSection{Section: section, ID: fmt.Sprintf("section-%d", index+1)}
+		rendered := renderedSection{Section: section, ID: fmt.Sprintf("section-%d", index+1)}
 		for _, plot := range section.Report.Plots {
-			pictures, err := drawPlot(plot)
+			pictures, err := renderPlot(plot)
 			if err != nil {
 				return fmt.Errorf("report %q: %w", section.Report.Title, err)
 			}
-			drawn.Plots = append(drawn.Plots, pictures)
+			rendered.Plots = append(rendered.Plots, pictures)
 		}
-		sections = append(sections, drawn)
+		sections = append(sections, rendered)
 	}
 	return pageTemplate.Execute(w, map[string]any{
 		"Title": page.Title, "Made": page.GeneratedAt.UTC().Format("2006-01-02 15:04 UTC"), "Sections": sections,
 	})
 }
 
-func drawPlot(plot experiment.Plot) (drawnPlot, error) {
-	light, err := drawSVG(plot, chart.Light)
+func renderPlot(plot experiment.Plot) (renderedPlot, error) {
+	light, err := renderSVG(plot, chart.Light)
 	if err != nil {
-		return drawnPlot{}, err
+		return renderedPlot{}, err
 	}
-	dark, err := drawSVG(plot, chart.Dark)
-	return drawnPlot{Title: plot.Title, Light: light, Dark: dark}, err
+	dark, err := renderSVG(plot, chart.Dark)
+	return renderedPlot{Title: plot.Title, Light: light, Dark: dark}, err
 }
 
-// drawSVG returns the plot as an SVG element that scales with the page.
-func drawSVG(plot experiment.Plot, theme chart.Theme) (template.HTML, error) {
+// renderSVG returns the plot as an SVG element that scales with the page. It has a
+// transparent background and no XML prolog.
+func renderSVG(plot experiment.Plot, theme chart.Theme) (template.HTML, error) {
 	theme.Background = nil
 	var text strings.Builder
 	if err := chart.Write(&text, plot, theme, "svg"); err != nil {
@@ -82,7 +83,7 @@
 	}
 	_, element, found := strings.Cut(text.String(), "<svg ")
 	if !found {
-		return "", fmt.Errorf("plot %q: drawing has no svg element", plot.Name)
+		return "", fmt.Errorf("plot %q: output has no svg element", plot.Name)
 	}
-	return template.HTML("<svg " + element), nil // Texts in it are escaped by the drawing library.
+	return template.HTML("<svg " + element), nil // The plotting library escapes the texts in it.
 }
--- a/ctl/report/quantile.go
+++ b/ctl/report/quantile.go
@@ -2,11 +2,12 @@
 
 import "sort"
 
-// cumulative is a histogram's counts up to each bound, over all its labels.
-type cumulative map[float64]float64
+// bucketCounts maps the upper bound of each histogram bucket to its cumulative
+// count, summed over all label values.
+type bucketCounts map[float64]float64
 
-func (f families) histogram(name string) cumulative {
-	counts := cumulative{}
+func (f families) histogram(name string) bucketCounts {
+	counts := bucketCounts{}
 	for _, metric := range f[name].GetMetric() {
 		for _, bucket := range metric.GetHistogram().GetBucket() {
 			counts[bucket.GetUpperBound()] += float64(bucket.GetCumulativeCount())
@@ -15,16 +16,16 @@
 	return counts
 }
 
-// add adds sign times the other histogram.
-func (c cumulative) add(other cumulative, sign float64) {
+// add adds the counts of the other histogram multiplied by sign.
+func (c bucketCounts) add(other bucketCounts, sign float64) {
 	for bound, count := range other {
 		c[bound] += sign * count
 	}
 }
 
-// quantile returns the upper bound of the bucket that holds the quantile, and
-// false for an empty histogram.
-func (c cumulative) quantile(share float64) (float64, bool) {
+// quantile returns the upper bound of the bucket that contains the quantile. It
+// returns false for an empty histogram.
+func (c bucketCounts) quantile(share float64) (float64, bool) {
 	bounds := make([]float64, 0, len(c))
 	for bound := range c {
 		bounds = append(bounds, bound)
--- a/ctl/report/report_test.go
+++ b/ctl/report/report_test.go
@@ -20,7 +20,7 @@
 )
 
 func TestWrite(t *testing.T) {
-	Convey("A page holds its plots in both themes, loads nothing, and escapes texts", t, func() {
+	Convey("A page contains its plots in both themes, loads no external resources and escapes texts", t, func() {
 		line := experiment.Series{Name: "ours", X: []float64{0, 1}, Y: []float64{0, 0}}
 		section := Section{Source: "a.json", Report: experiment.Report{
 			Title:  "<script>alert(1)</script>",
@@ -38,7 +38,7 @@
 }
 
 func TestReadFile(t *testing.T) {
-	Convey("A load result reads as its report, another file is refused by name", t, func() {
+	Convey("A load result is read as a report, and the error for any other file names the file", t, func() {
 		path := filepath.Join(t.TempDir(), "load.json")
 		body, err := json.Marshal(load.Result{Seed: 7, Arrivals: load.Arrivals{Shape: load.Poisson, Rate: 3}})
 		So(err, ShouldBeNil)
@@ -52,8 +52,9 @@
 	})
 }
 
-// metricsOf serves metrics whose counters grow at each reading.
-func metricsOf(t *testing.T, revision int) string {
+// serveMetrics serves metrics whose counters grow with each scrape, and returns
+// the base URL.
+func serveMetrics(t *testing.T, revision int) string {
 	var readings atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		n := readings.Add(1)
@@ -71,8 +72,8 @@
 }
 
 func TestWatch(t *testing.T) {
-	Convey("A deployment's report counts what happened between the readings and names who is silent", t, func() {
-		addresses := []string{metricsOf(t, 4), metricsOf(t, 3), "http://127.0.0.1:1"}
+	Convey("A deployment report counts what happened between the scrapes and names the processes that do not respond", t, func() {
+		addresses := []string{serveMetrics(t, 4), serveMetrics(t, 3), "http://127.0.0.1:1"}
 		section, err := Watch(context.Background(), addresses, 3, time.Millisecond)
 		So(err, ShouldBeNil)
 		tables := map[string][][]string{}
--- a/ctl/report/scrape.go
+++ b/ctl/report/scrape.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	scrapeTimeout = 3 * time.Second
-	maxScrapes    = 32 // At a time.
-	prefix        = "persimmonwind_"
+	scrapeTimeout        = 3 * time.Second
+	maxConcurrentScrapes = 32 // Limit of concurrent requests.
+	metricPrefix         = "persimmonwind_"
 )
 
-// families are one process's metrics by name.
+// families holds the metric families of one process by name.
 type families map[string]*dto.MetricFamily
 
-// scrape is one reading of all processes.
+// scrape holds the metrics of all processes at one time.
 type scrape struct {
 	at        time.Time
-	processes []families // In the order of the addresses; nil where one did not answer.
+	processes []families // In the order of the addresses; nil for a process that did not respond.
 	errors    []error
 }
 
-// scrapeAll reads the metrics of all processes at once.
+// scrapeAll scrapes all processes, up to maxConcurrentScrapes at a time.
 func scrapeAll(ctx context.Context, addresses []string) scrape {
-	read := scrape{at: time.Now(), processes: make([]families, len(addresses)), errors: make([]error, len(addresses))}
-	limit := make(chan struct{}, maxScrapes)
+	result := scrape{at: time.Now(), processes: make([]families, len(addresses)), errors: make([]error, len(addresses))}
+	limit := make(chan struct{}, maxConcurrentScrapes)
 	var group sync.WaitGroup
 	for index, address := range addresses {
 		limit <- struct{}{}
 		group.Go(func() {
 			defer func() { <-limit }()
-			read.processes[index], read.errors[index] = scrapeOne(ctx, address)
+			result.processes[index], result.errors[index] = scrapeOne(ctx, address)
 		})
 	}
 	group.Wait()
-	return read
+	return result
 }
 
 func scrapeOne(ctx context.Context, address string) (families, error) {
@@ -60,14 +60,15 @@
 		return nil, fmt.Errorf("process %s: status %d", address, response.StatusCode)
 	}
 	parser := expfmt.NewTextParser(model.UTF8Validation)
-	read, err := parser.TextToMetricFamilies(response.Body)
+	metrics, err := parser.TextToMetricFamilies(response.Body)
 	if err != nil {
 		return nil, fmt.Errorf("process %s: %w", address, err)
 	}
-	return read, nil
+	return metrics, nil
 }
 
-// gauge returns the value of a metric without labels, 0 where it is missing.
+// gauge returns the value of a gauge or counter without labels, or 0 if it is
+// missing.
 func (f families) gauge(name string) float64 {
 	family := f[name]
 	if family == nil || len(family.Metric) == 0 {
@@ -76,10 +77,10 @@
 	return family.Metric[0].GetGauge().GetValue() + family.Metric[0].GetCounter().GetValue()
 }
 
-// requestsByCode returns the answered requests by result code.
+// requestsByCode returns the number of answered requests by result code.
 func (f families) requestsByCode() map[string]float64 {
 	counts := map[string]float64{}
-	for _, metric := range f[prefix+"requests_total"].GetMetric() {
+	for _, metric := range f[metricPrefix+"requests_total"].GetMetric() {
 		for _, label := range metric.Label {
 			if label.GetName() == "code" {
 				counts[label.GetValue()] += metric.GetCounter().GetValue()
