--- a/ctl/cmd/persimmonctl/load.go
+++ b/ctl/cmd/persimmonctl/load.go
@@ -65,7 +65,7 @@
 	set.Uint64Var(&options.Seed, "seed", options.Seed, "random seed of arrivals and requests")
 	set.StringVar((*string)(&arrivals.Shape), "arrivals", string(arrivals.Shape), "arrival shape: constant, poisson or surge")
 	set.Float64Var(&arrivals.Rate, "rate", arrivals.Rate, "requests per second")
-	set.DurationVar(&arrivals.SurgeAt, "surge-at", 0, "start of the surge, from the start of the run")
+	set.DurationVar(&arrivals.SurgeStart, "surge-at", 0, "start of the surge, from the start of the run")
 	set.DurationVar(&arrivals.SurgeDuration, "surge-for", 0, "duration of the surge")
 	set.Float64Var(&arrivals.SurgeFactor, "surge-factor", arrivals.SurgeFactor, "factor by which the surge multiplies the rate")
 	set.DurationVar(&options.Duration, "duration", options.Duration, "time during which requests arrive")
--- a/ctl/load/arrivals.go
+++ b/ctl/load/arrivals.go
@@ -20,7 +20,7 @@
 type Arrivals struct {
 	Shape         Shape         `json:"shape"`
 	Rate          float64       `json:"rate"` // Requests per second.
-	SurgeAt       time.Duration `json:"surge_at,omitempty"`
+	SurgeStart    time.Duration `json:"surge_at,omitempty"`
 	SurgeDuration time.Duration `json:"surge_for,omitempty"`
 	SurgeFactor   float64       `json:"surge_factor,omitempty"` // Multiplies Rate during the surge.
 }
@@ -82,7 +82,7 @@
 // that rate ends.
 func (s *schedule) rateAt(seconds float64) (rate, end float64, bounded bool) {
 	a := s.arrivals
-	start, stop := a.SurgeAt.Seconds(), (a.SurgeAt + a.SurgeDuration).Seconds()
+	start, stop := a.SurgeStart.Seconds(), (a.SurgeStart + a.SurgeDuration).Seconds()
 	switch {
 	case a.Shape != Surge || seconds >= stop:
 		return a.Rate, 0, false
--- a/ctl/load/arrivals_test.go
+++ b/ctl/load/arrivals_test.go
@@ -12,9 +12,9 @@
 	s := newSchedule(a, rand.New(rand.NewPCG(seed, streamArrivals)))
 	for at := s.next(); at < until; at = s.next() {
 		switch {
-		case at < a.SurgeAt:
+		case at < a.SurgeStart:
 			before++
-		case at < a.SurgeAt+a.SurgeDuration:
+		case at < a.SurgeStart+a.SurgeDuration:
 			during++
 		default:
 			after++
@@ -25,7 +25,7 @@
 
 func TestSchedule(t *testing.T) {
 	Convey("A surge multiplies the rate only while it lasts", t, func() {
-		a := Arrivals{Shape: Surge, Rate: 1000, SurgeAt: 10 * time.Second, SurgeDuration: 10 * time.Second, SurgeFactor: 3}
+		a := Arrivals{Shape: Surge, Rate: 1000, SurgeStart: 10 * time.Second, SurgeDuration: 10 * time.Second, SurgeFactor: 3}
 		before, during, after := countArrivals(a, 1, 30*time.Second)
 		// The tolerances are five standard deviations of a Poisson count.
 		So(before, ShouldAlmostEqual, 10000, 500)
--- a/ctl/load/report.go
+++ b/ctl/load/report.go
@@ -138,7 +138,7 @@
 		add(&answers, "arrived, ", func(s Second) float64 { return float64(s.Arrived) })
 		add(&answers, "complete, ", func(s Second) float64 { return float64(s.Whole) })
 		add(&answers, "refused, ", func(s Second) float64 { return float64(s.Refused) })
-		add(&first, "", func(s Second) float64 { return s.FirstTokenMS })
+		add(&first, "", func(s Second) float64 { return s.MaxFirstTokenMS })
 	}
 	return []experiment.Plot{answers, first}
 }
--- a/ctl/load/timeline.go
+++ b/ctl/load/timeline.go
@@ -4,13 +4,13 @@
 
 // Second counts the requests whose intended start lies within one second.
 type Second struct {
-	Second       int     `json:"second"` // Offset from the start of the run.
-	Arrived      int     `json:"arrived"`
-	Whole        int     `json:"whole"`
-	Refused      int     `json:"refused"`
-	Other        int     `json:"other"` // Neither complete nor refused.
-	Tokens       int     `json:"tokens"`
-	FirstTokenMS float64 `json:"first_token_ms_max"`
+	Second          int     `json:"second"` // Offset from the start of the run.
+	Arrived         int     `json:"arrived"`
+	Whole           int     `json:"whole"`
+	Refused         int     `json:"refused"`
+	Other           int     `json:"other"` // Neither complete nor refused.
+	Tokens          int     `json:"tokens"`
+	MaxFirstTokenMS float64 `json:"first_token_ms_max"`
 }
 
 // timeline counts requests by the second of their intended start.
@@ -27,7 +27,7 @@
 	second.Arrived++
 	second.Tokens += record.trace.tokens
 	if !record.trace.first.IsZero() {
-		second.FirstTokenMS = max(second.FirstTokenMS, toMilliseconds(record.first))
+		second.MaxFirstTokenMS = max(second.MaxFirstTokenMS, toMilliseconds(record.first))
 	}
 	switch {
 	case record.failure == nil:
