--- a/ctl/load/answer_trace.go
+++ b/ctl/load/answer_trace.go
@@ -7,8 +7,8 @@
 
 // gap is the time between two consecutive parts of one answer.
 type gap struct {
-	wait   time.Duration
-	tokens int // Number of tokens in the later part.
+	duration time.Duration
+	tokens   int // Number of tokens in the later part.
 }
 
 // answerTrace records the arrival times and the text of the parts of one answer.
@@ -31,7 +31,7 @@
 	if o.first.IsZero() {
 		o.first = now
 	} else {
-		o.gaps = append(o.gaps, gap{wait: now.Sub(o.last), tokens: tokens})
+		o.gaps = append(o.gaps, gap{duration: now.Sub(o.last), tokens: tokens})
 	}
 	o.last = now
 	o.tokens += tokens
--- a/ctl/load/recorder.go
+++ b/ctl/load/recorder.go
@@ -134,9 +134,9 @@
 		r.firstToken.add(record.first, 1)
 	}
 	for _, gap := range record.trace.gaps {
-		r.betweenEvents.add(gap.wait, 1)
+		r.betweenEvents.add(gap.duration, 1)
 		if gap.tokens > 0 {
-			r.betweenTokens.add(gap.wait/time.Duration(gap.tokens), int64(gap.tokens))
+			r.betweenTokens.add(gap.duration/time.Duration(gap.tokens), int64(gap.tokens))
 		}
 	}
 	if record.failure != nil {
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -142,6 +142,10 @@
 	}
 }
 
+// attempt sends the request once. The target of a chat is selected by half of
+// its number, because with the default DirectShare of 0.5 all chats with an even
+// number are direct, and number modulo targets would skip half of an even number
+// of targets.
 func (r *runner) attempt(ctx context.Context, record *requestRecord) *failure {
 	req := record.req
 	if !req.chat {
