--- a/server/soak/callers_test.go
+++ b/server/soak/callers_test.go
@@ -18,46 +18,49 @@
 )
 
 const (
-	callers        = 24
+	callerCount    = 24
 	callerDeadline = 3 * time.Second
-	// touchTime is how long a process must be unharmed for rules with a bound.
-	touchTime = 3 * time.Second
-	// applyTime is the bound for configurations, drainTime that for servers that
-	// leave.
-	applyTime = 2 * time.Second
-	drainTime = 2 * time.Second
+	// settleTime is how long a process must have been free of faults before rules
+	// with a time limit apply to it.
+	settleTime = 3 * time.Second
+	// applyLimit is the time within which a new configuration takes effect,
+	// drainLimit the time after which a leaving server gets no new requests.
+	applyLimit = 2 * time.Second
+	drainLimit = 2 * time.Second
 )
 
-// attempt is one request and what its caller saw.
+// attempt is one request and its outcome as seen by the caller.
 type attempt struct {
-	id      string
-	path    string
-	entry   *machine
-	began   time.Time
-	ended   time.Time
-	status  int // 0 where no answer came.
-	refused bool
-	whole   bool
-	problem string
+	id       string
+	path     string
+	entry    *machine
+	started  time.Time
+	ended    time.Time
+	status   int // 0 if no response arrived.
+	refused  bool
+	complete bool
+	failure  string
 }
 
-// watch collects what callers and backend servers see.
-type watch struct {
-	w        *world
+// checker records the outcomes that callers see and the violations found in them
+// and in the ledger of the backend servers.
+type checker struct {
+	d        *deployment
 	mu       sync.Mutex
 	attempts []attempt
-	broken   []string
-	asked    atomic.Int64
+	violated []string // One text for each violated guarantee.
+	sent     atomic.Int64
 }
 
-func (k *watch) report(format string, arguments ...any) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.broken = append(k.broken, fmt.Sprintf(format, arguments...))
+func (c *checker) report(format string, arguments ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violated = append(c.violated, fmt.Sprintf(format, arguments...))
 }
 
-// call runs one caller until ctx ends. It keeps its connections until they break.
-func (k *watch) call(ctx context.Context, seed, number uint64) {
+// runCaller sends requests as one caller until ctx ends. It reuses its connections
+// until they break.
+func (c *checker) runCaller(ctx context.Context, seed, number uint64) {
 	random := rand.New(rand.NewPCG(seed, 100+number))
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -65,62 +68,62 @@
 	paths := []string{"/stream/a", "/stream/b", "/book/a", "/book/b", "/look/a"}
 	for ctx.Err() == nil {
 		a := attempt{
-			id: fmt.Sprintf("%d-%d-%d", seed, number, k.asked.Add(1)), path: paths[random.IntN(len(paths))],
-			entry: k.w.machines[random.IntN(entries)], began: time.Now(),
+			id: fmt.Sprintf("%d-%d-%d", seed, number, c.sent.Add(1)), path: paths[random.IntN(len(paths))],
+			entry: c.d.machines[random.IntN(entries)], started: time.Now(),
 		}
-		k.ask(client, &a)
+		c.send(client, &a)
 		a.ended = time.Now()
-		k.mu.Lock()
-		k.attempts = append(k.attempts, a)
-		k.mu.Unlock()
+		c.mu.Lock()
+		c.attempts = append(c.attempts, a)
+		c.mu.Unlock()
 		time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 	}
 }
 
-// ask sends the request and checks its answer.
-func (k *watch) ask(client *http.Client, a *attempt) {
+// send sends the request of the attempt and checks the response.
+func (c *checker) send(client *http.Client, a *attempt) {
 	method, body := http.MethodPost, "body of "+a.id
 	if strings.HasPrefix(a.path, "/look") {
 		method, body = http.MethodGet, ""
 	}
-	request, err := http.NewRequest(method, "http://"+a.entry.front()+a.path, strings.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+a.entry.frontAddress()+a.path, strings.NewReader(body))
 	if err != nil {
-		k.report("make request: %v", err)
+		c.report("make request: %v", err)
 		return
 	}
 	request.Host = "soak.example"
-	request.GetBody = nil // Every attempt is sent once.
+	request.GetBody = nil // Keeps the transport from resending the request: every attempt is sent once.
 	request.Header.Set(header.AttemptID, a.id)
 	request.Header.Set(header.Deadline, fmt.Sprint(callerDeadline.Milliseconds()))
 	response, err := client.Do(request)
 	if err != nil {
-		a.problem = err.Error()
+		a.failure = err.Error()
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	a.status = response.StatusCode
 	a.refused = slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}, a.status)
 	if echo := response.Header.Get(header.AttemptID); echo != a.id {
-		k.report("%s: the answer bears the id %q", a.id, echo)
+		c.report("%s: response has the attempt ID %q", a.id, echo)
 	}
 	if a.status == http.StatusOK {
-		k.checkAnswer(a, response)
+		c.checkResponse(a, response)
 	}
 	if a.status >= 300 && a.status < 500 && !a.refused {
-		k.report("%s: proper request to %s was answered %d", a.id, a.path, a.status)
+		c.report("%s: valid request to %s got status %d", a.id, a.path, a.status)
 	}
 }
 
-func (k *watch) checkAnswer(a *attempt, response *http.Response) {
+func (c *checker) checkResponse(a *attempt, response *http.Response) {
 	stamp := response.Header.Get(header.Stamp)
 	if stamp == "" {
-		k.report("%s: success without a server's signature", a.id)
+		c.report("%s: status 200 without a server stamp", a.id)
 	}
 	if !strings.HasPrefix(a.path, "/stream") {
 		body, err := io.ReadAll(response.Body)
-		a.whole = err == nil
+		a.complete = err == nil
 		if err == nil && string(body) != platformtest.Answer(a.id, stamp) {
-			k.report("%s: an answer that looks whole has other bytes", a.id)
+			c.report("%s: complete response body differs from the expected body", a.id)
 		}
 		return
 	}
@@ -129,18 +132,18 @@
 	for {
 		event, err := readEvent(reader)
 		if err == io.EOF && event == "" {
-			a.whole = true
+			a.complete = true
 			if next <= platformtest.StreamEvents {
-				k.report("%s: the stream looks whole after %d events", a.id, next-1)
+				c.report("%s: stream ended without an error after %d events", a.id, next-1)
 			}
 			return
 		}
 		if err != nil {
-			a.problem = err.Error()
-			return // The stream is shown as cut.
+			a.failure = err.Error()
+			return // The caller can tell that the stream was cut off.
 		}
 		if event != platformtest.Event(a.id, next) {
-			k.report("%s: event %d is %q", a.id, next, event)
+			c.report("%s: unexpected event %d: %q", a.id, next, event)
 			return
 		}
 		next++
@@ -158,67 +161,69 @@
 	}
 }
 
-// lookAtConfiguration asks each entry in touch whether the route that comes and
-// goes is there, until ctx ends.
-func (k *watch) lookAtConfiguration(ctx context.Context) {
+// checkConfiguration polls each settled entry until ctx ends and checks that it
+// serves the extra route exactly while the configuration has it.
+func (c *checker) checkConfiguration(ctx context.Context) {
 	client := &http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
 		time.Sleep(150 * time.Millisecond)
-		for _, m := range k.w.machines[:entries] {
-			k.w.mu.Lock()
-			extra, changed := k.w.extra, k.w.changed
-			k.w.mu.Unlock()
+		for _, m := range c.d.machines[:entries] {
+			c.d.mu.Lock()
+			extraRoute, changedAt := c.d.extraRoute, c.d.changedAt
+			c.d.mu.Unlock()
 			now := time.Now()
-			if now.Sub(changed) < applyTime {
+			if now.Sub(changedAt) < applyLimit {
 				continue
 			}
-			request, err := http.NewRequest(http.MethodGet, "http://"+m.front()+"/extra/x", nil)
+			request, err := http.NewRequest(http.MethodGet, "http://"+m.frontAddress()+"/extra/x", nil)
 			if err != nil {
-				k.report("make request: %v", err)
+				c.report("make request: %v", err)
 				return
 			}
 			request.Host = "soak.example"
-			request.Header.Set(header.AttemptID, fmt.Sprintf("look-%d", k.asked.Add(1)))
+			request.Header.Set(header.AttemptID, fmt.Sprintf("look-%d", c.sent.Add(1)))
 			request.Header.Set(header.Deadline, "1000")
 			response, err := client.Do(request)
 			if err != nil {
 				continue
 			}
 			_ = response.Body.Close()
-			if there := response.StatusCode != http.StatusNotFound; there != extra && k.w.inTouch(m, now) {
-				k.w.mu.Lock()
-				same := k.w.changed.Equal(changed)
-				k.w.mu.Unlock()
-				if same {
-					k.report("%s: %v after a change the extra route is there: %t (status %d)", m.name, now.Sub(changed), there, response.StatusCode)
+			if served := response.StatusCode != http.StatusNotFound; served != extraRoute && c.d.settled(m, now) {
+				c.d.mu.Lock()
+				unchanged := c.d.changedAt.Equal(changedAt)
+				c.d.mu.Unlock()
+				if unchanged {
+					c.report("%s: %v after a configuration change: extra route served: %t (status %d)", m.name, now.Sub(changedAt), served, response.StatusCode)
 				}
 			}
 		}
 	}
 }
 
-// judge checks what is known only at the end.
-func (k *watch) judge() {
+// checkLedger checks the runs at the backend servers once all attempts have ended:
+// no request that must not be repeated ran twice, no refused request ran, no request
+// ran at more than two servers, and all ranks used the same map in each pass.
+func (c *checker) checkLedger() {
 	byID := map[string]*attempt{}
-	for i := range k.attempts {
-		byID[k.attempts[i].id] = &k.attempts[i]
+	for i := range c.attempts {
+		byID[c.attempts[i].id] = &c.attempts[i]
 	}
-	k.w.ledger.Each(func(id string, runs []platformtest.Run) {
+	c.d.ledger.Each(func(id string, runs []platformtest.Run) {
 		a := byID[id]
 		if a == nil {
-			return // A look at the configuration, or a caller that was stopped.
+			return // A request of checkConfiguration, or of a caller that was stopped.
 		}
 		if strings.HasPrefix(a.path, "/book") && len(runs) > 1 {
-			k.broken = append(k.broken, fmt.Sprintf("%s: ran %d times: %v", id, len(runs), runs))
+			c.violated = append(c.violated, fmt.Sprintf("%s: ran %d times: %v", id, len(runs), runs))
 		}
 		if a.refused && !strings.HasPrefix(a.path, "/look") {
-			k.broken = append(k.broken, fmt.Sprintf("%s: was answered %d and ran: %v", id, a.status, runs))
+			c.violated = append(c.violated, fmt.Sprintf("%s: refused with status %d but ran: %v", id, a.status, runs))
 		}
 		if len(runs) > 2 {
-			k.broken = append(k.broken, fmt.Sprintf("%s: ran at %d servers, allowed are 2", id, len(runs)))
+			c.violated = append(c.violated, fmt.Sprintf("%s: ran at %d servers, at most 2 are allowed", id, len(runs)))
 		}
 	})
-	for _, passes := range k.w.group.Broken() {
-		k.broken = append(k.broken, "two maps in one pass: "+passes)
+	for _, pass := range c.d.group.Broken() {
+		c.violated = append(c.violated, "ranks used different maps in one pass: "+pass)
 	}
 }
--- a/server/soak/proxy_test.go
+++ b/server/soak/proxy_test.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// linkMode is what a proxy does with the bytes of its connections.
+// linkMode is how a proxy handles the bytes of its connections.
 type linkMode int
 
 const (
 	passBytes linkMode = iota
 	delayBytes
-	resetConnections // Those that are open, and new ones.
-	silenceBoth      // Connections stay open; no byte comes through.
-	silenceAnswers   // Bytes reach the target; its answers don't come back.
+	resetConnections // Resets open and new connections.
+	dropBoth         // Connections stay open; bytes are dropped in both directions.
+	dropAnswers      // Bytes reach the target; its responses are dropped.
 )
 
 const linkDelay = 150 * time.Millisecond
 
-// proxy carries connections to a target on loopback and harms them on demand. A
-// connection that was silenced never delivers a byte again.
+// proxy forwards TCP connections to a target on loopback and injects link faults. A
+// connection whose bytes were dropped once drops all later bytes of that direction
+// too.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -34,26 +35,26 @@
 
 type link struct {
 	caller, target net.Conn
-	lost           [2]bool // By direction, towards the target first.
+	dropped        [2]bool // By direction: index 0 is towards the target, 1 towards the caller.
 }
 
 func newProxy(t *testing.T, address, target string) *proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		t.Fatalf("proxy: %v", err)
+		t.Fatalf("start proxy: %v", err)
 	}
 	p := &proxy{listener: listener, target: target, links: map[*link]bool{}}
 	go p.accept()
 	t.Cleanup(func() {
 		_ = listener.Close()
-		p.set(resetConnections)
+		p.setMode(resetConnections)
 	})
 	return p
 }
 
-// set changes the mode, also for open connections.
-func (p *proxy) set(mode linkMode) {
+// setMode sets the mode for new connections and applies it to the open ones.
+func (p *proxy) setMode(mode linkMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
@@ -61,10 +62,10 @@
 		switch mode {
 		case resetConnections:
 			l.reset()
-		case silenceBoth:
-			l.lost = [2]bool{true, true}
-		case silenceAnswers:
-			l.lost[1] = true
+		case dropBoth:
+			l.dropped = [2]bool{true, true}
+		case dropAnswers:
+			l.dropped[1] = true
 		}
 	}
 }
@@ -75,11 +76,11 @@
 		if err != nil {
 			return // The listener is closed.
 		}
-		go p.carry(caller)
+		go p.forward(caller)
 	}
 }
 
-func (p *proxy) carry(caller net.Conn) {
+func (p *proxy) forward(caller net.Conn) {
 	target, err := net.Dial("tcp", p.target)
 	if err != nil {
 		resetConn(caller)
@@ -89,15 +90,15 @@
 	p.mu.Lock()
 	p.links[l] = true
 	mode := p.mode
-	l.lost = [2]bool{mode == silenceBoth, mode == silenceBoth || mode == silenceAnswers}
+	l.dropped = [2]bool{mode == dropBoth, mode == dropBoth || mode == dropAnswers}
 	p.mu.Unlock()
 	if mode == resetConnections {
 		l.reset()
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(l, 0, target, caller) })
-	both.Go(func() { p.copy(l, 1, caller, target) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copy(l, 0, target, caller) })
+	copies.Go(func() { p.copy(l, 1, caller, target) })
+	copies.Wait()
 	p.mu.Lock()
 	delete(p.links, l)
 	p.mu.Unlock()
@@ -108,23 +109,23 @@
 	for {
 		n, err := from.Read(buffer)
 		p.mu.Lock()
-		lost, mode := l.lost[direction], p.mode
+		dropped, mode := l.dropped[direction], p.mode
 		p.mu.Unlock()
 		if mode == delayBytes {
 			time.Sleep(linkDelay)
 		}
-		if n > 0 && !lost {
+		if n > 0 && !dropped {
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				l.reset()
 				return
 			}
 		}
 		switch {
-		case err == io.EOF && !lost:
-			_ = to.(*net.TCPConn).CloseWrite() // The other direction shows a broken connection.
+		case err == io.EOF && !dropped:
+			_ = to.(*net.TCPConn).CloseWrite() // A broken connection is detected by the copy in the other direction.
 			return
 		case err != nil:
-			if !lost {
+			if !dropped {
 				l.reset()
 			}
 			return
@@ -139,6 +140,6 @@
 
 // resetConn closes a connection so that its peer sees a reset.
 func resetConn(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // A closed connection needs no reset.
+	_ = conn.(*net.TCPConn).SetLinger(0) // Fails only on a closed connection, which needs no reset.
 	_ = conn.Close()
 }
--- a/server/soak/soak_test.go
+++ b/server/soak/soak_test.go
@@ -1,6 +1,6 @@
-// Package soak runs the real programs of the users' platform as separate
-// processes on loopback, harms them and their links at random from outside, and
-// checks the project's promises from what callers and backend servers see.
+// Package soak runs the platform's programs as separate processes on loopback,
+// injects random faults into the processes and their links from outside, and checks
+// the system's guarantees from what callers and backend servers see.
 package soak
 
 import (
@@ -21,17 +21,18 @@
 )
 
 var (
-	firstSeed = flag.Uint64("soak.seed", 0, "first seed; 0 for the regression cases and one seed more")
-	seedCount = flag.Uint64("soak.seeds", 1, "number of seeds from -soak.seed on")
-	duration  = flag.Duration("soak.time", 8*time.Second, "time of faults for each seed")
-	keepLogs  = flag.String("soak.logs", "", "folder for the logs of seeds that fail")
+	firstSeed = flag.Uint64("soak.seed", 0, "first seed; 0 for the default seed and the regression seeds")
+	seedCount = flag.Uint64("soak.seeds", 1, "number of consecutive seeds, starting at -soak.seed")
+	duration  = flag.Duration("soak.time", 8*time.Second, "time during which faults are injected, per seed")
+	keepLogs  = flag.String("soak.logs", "", "directory for the logs of failing seeds")
 )
 
-// regressionSeeds are those that ever failed, each with its cause.
+// regressionSeeds are the seeds that have failed once, each with the cause of the
+// failure.
 var regressionSeeds = []uint64{}
 
-// usualSeed is played in every run of the tests.
-const usualSeed = 1
+// defaultSeed runs whenever no seed is given.
+const defaultSeed = 1
 
 var binary string
 
@@ -40,7 +41,7 @@
 }
 
 func TestSoak(t *testing.T) {
-	seeds := append([]uint64{usualSeed}, regressionSeeds...)
+	seeds := append([]uint64{defaultSeed}, regressionSeeds...)
 	if *firstSeed != 0 {
 		seeds = nil
 		for i := range *seedCount {
@@ -48,253 +49,260 @@
 		}
 	}
 	for number, seed := range seeds {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { soak(t, seed, number) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSeed(t, seed, number) })
 	}
 }
 
-// soak plays one seed.
-func soak(t *testing.T, seed uint64, number int) {
-	w := newWorld(t, seed, number)
-	k := &watch{w: w}
+// runSeed runs the deployment with the faults of one seed and checks the outcome.
+func runSeed(t *testing.T, seed uint64, number int) {
+	d := newDeployment(t, seed, number)
+	c := &checker{d: d}
 	ctx, stop := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	for i := range callers {
-		all.Go(func() { k.call(ctx, seed, uint64(i)) })
+	var running sync.WaitGroup
+	for i := range callerCount {
+		running.Go(func() { c.runCaller(ctx, seed, uint64(i)) })
 	}
-	all.Go(func() { k.lookAtConfiguration(ctx) })
-	time.Sleep(time.Second) // A calm start: maps and connections are there.
-	faults := &faults{k: k, w: w, random: rand.New(rand.NewPCG(seed, 2))}
-	faults.run(time.Now().Add(*duration))
-	w.group.LoseOrders(0)
-	time.Sleep(touchTime)
-	calmFrom, passBefore := time.Now(), w.pass()
+	running.Go(func() { c.checkConfiguration(ctx) })
+	time.Sleep(time.Second) // Lets maps and connections be established before the first fault.
+	faultInjector := &faultInjector{c: c, d: d, random: rand.New(rand.NewPCG(seed, 2))}
+	faultInjector.run(time.Now().Add(*duration))
+	d.group.LoseOrders(0)
+	time.Sleep(settleTime)
+	recoveredAt, passBefore := time.Now(), d.pass()
 	time.Sleep(2 * time.Second)
-	passAfter := w.pass()
+	passAfter := d.pass()
 	stop()
-	all.Wait()
-	k.judge()
-	k.judgeCalm(calmFrom)
+	running.Wait()
+	c.checkLedger()
+	c.checkRecovery(recoveredAt)
 	if passAfter == passBefore {
-		k.report("the group rests after all faults have ended")
+		c.report("the group runs no passes after all faults have ended")
 	}
-	version, _ := w.group.Version()
-	t.Logf("%d requests, %d faults, map version %d", len(k.attempts), faults.count, version)
-	for i, broken := range k.broken {
+	version, _ := d.group.Version()
+	t.Logf("%d requests, %d faults, map version %d", len(c.attempts), faultInjector.count, version)
+	for i, violated := range c.violated {
 		if i == 10 {
-			t.Errorf("and %d more", len(k.broken)-i)
+			t.Errorf("%d more violations", len(c.violated)-i)
 			break
 		}
-		t.Error(broken)
+		t.Error(violated)
 	}
 	if t.Failed() && *keepLogs != "" {
-		w.saveLogs(filepath.Join(*keepLogs, fmt.Sprint("seed-", seed)))
+		d.saveLogs(filepath.Join(*keepLogs, fmt.Sprint("seed-", seed)))
 	}
 }
 
-func (w *world) pass() int64 {
-	_, pass := w.group.Version()
+func (d *deployment) pass() int64 {
+	_, pass := d.group.Version()
 	return pass
 }
 
-func (w *world) saveLogs(dir string) {
+func (d *deployment) saveLogs(dir string) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		w.t.Error(err)
+		d.t.Error(err)
 		return
 	}
-	for _, m := range w.machines {
+	for _, m := range d.machines {
 		data, err := os.ReadFile(m.log.Name())
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, m.name+".log"), data, 0o600)
 		}
 		if err != nil {
-			w.t.Error(err)
+			d.t.Error(err)
 		}
 	}
 }
 
-// judgeCalm checks that nearly all requests are served again once all faults have
-// ended.
-func (k *watch) judgeCalm(from time.Time) {
-	asked, served := 0, 0
-	for _, a := range k.attempts {
-		if a.began.After(from) {
-			asked++
-			if a.whole {
-				served++
+// checkRecovery checks that at least 90 % of the requests that start after from,
+// when all faults have ended, are answered completely.
+func (c *checker) checkRecovery(from time.Time) {
+	sent, completed := 0, 0
+	for _, a := range c.attempts {
+		if a.started.After(from) {
+			sent++
+			if a.complete {
+				completed++
 			}
 		}
 	}
-	if asked == 0 || served < asked*9/10 {
-		k.report("after all faults %d of %d requests are served", served, asked)
+	if sent == 0 || completed < sent*9/10 {
+		c.report("after all faults have ended %d of %d requests were answered completely", completed, sent)
 	}
 }
 
-// faults harms a world; several faults overlap.
-type faults struct {
-	k      *watch
-	w      *world
-	random *rand.Rand
-	count  int
-	all    sync.WaitGroup
+// faultInjector injects faults into a deployment; several faults may overlap.
+type faultInjector struct {
+	c       *checker
+	d       *deployment
+	random  *rand.Rand
+	count   int
+	pending sync.WaitGroup
 }
 
-// run harms the world until the time comes, and waits for the last fault to end.
-func (f *faults) run(until time.Time) {
+// run injects random faults until the given time and waits for the last one to end.
+func (f *faultInjector) run(until time.Time) {
 	kinds := []func(*machine, time.Duration){
-		f.kill, f.kill, f.freeze, f.terminate, f.terminate, f.hangUp, f.cutStore, f.cutStore, f.cutBackend, f.cutBackend, f.cutBackend, f.configure, f.configure,
-		f.drain, f.takeOut, f.forget, f.loseOrders, f.form,
+		f.kill, f.kill, f.freeze, f.terminate, f.terminate, f.hangup, f.disturbStoreLink, f.disturbStoreLink, f.disturbBackendLink, f.disturbBackendLink, f.disturbBackendLink, f.configure, f.configure,
+		f.drain, f.takeOut, f.loseHistory, f.loseOrders, f.reformGroup,
 	}
 	for time.Now().Before(until) {
 		kind := kinds[f.random.IntN(len(kinds))]
-		m := f.w.machines[f.random.IntN(len(f.w.machines))]
-		lasts := time.Duration(300+f.random.IntN(1700)) * time.Millisecond
+		m := f.d.machines[f.random.IntN(len(f.d.machines))]
+		period := time.Duration(300+f.random.IntN(1700)) * time.Millisecond
 		f.count++
-		kind(m, lasts)
-		// Series come close together, with gaps in between.
+		kind(m, period)
+		// Some faults follow closely on each other, others after a gap.
 		time.Sleep(time.Duration(f.random.IntN(600)) * time.Millisecond)
 	}
-	f.all.Wait()
+	f.pending.Wait()
 }
 
-// later ends a fault.
-func (f *faults) later(after time.Duration, do func()) {
-	f.all.Go(func() {
+// endAfter calls do, which ends a fault, after the given time.
+func (f *faultInjector) endAfter(after time.Duration, do func()) {
+	f.pending.Go(func() {
 		time.Sleep(after)
 		do()
 	})
 }
 
-// kill ends a process at once and starts it again.
-func (f *faults) kill(m *machine, lasts time.Duration) {
-	f.w.harm(m, lasts+time.Second)
+// kill kills a process and restarts it after a quarter of the period.
+func (f *faultInjector) kill(m *machine, period time.Duration) {
+	f.d.fault(m, period+time.Second)
 	m.kill()
-	f.later(lasts/4, func() { m.start(f.w.t) })
+	f.endAfter(period/4, func() { m.start(f.d.t) })
 }
 
-// freeze lets a process stand still.
-func (f *faults) freeze(m *machine, lasts time.Duration) {
-	f.w.harm(m, lasts)
+// freeze suspends a process for the period.
+func (f *faultInjector) freeze(m *machine, period time.Duration) {
+	f.d.fault(m, period)
 	m.signal(syscall.SIGSTOP)
-	f.later(lasts, func() { m.signal(syscall.SIGCONT) })
+	f.endAfter(period, func() { m.signal(syscall.SIGCONT) })
 }
 
-// terminate asks a process to end and starts it again. Requests that it has
-// taken are finished, if nothing else happens meanwhile.
-func (f *faults) terminate(m *machine, _ time.Duration) {
-	f.w.harm(m, exitLimit+time.Second)
-	asked := time.Now()
+// terminate sends SIGTERM to a process and restarts it once it has exited. The
+// process must finish the requests it has accepted unless another fault occurs
+// meanwhile.
+func (f *faultInjector) terminate(m *machine, _ time.Duration) {
+	f.d.fault(m, exitLimit+time.Second)
+	signalled := time.Now()
 	m.signal(syscall.SIGTERM)
-	f.all.Go(func() {
+	f.pending.Go(func() {
 		if !m.awaitExit() {
-			f.k.report("%s has not ended %v after it was asked to", m.name, exitLimit)
+			f.c.report("%s has not exited %v after SIGTERM", m.name, exitLimit)
 			m.kill()
 		}
-		f.k.judgeTermination(m, asked)
-		m.start(f.w.t)
+		f.c.checkTermination(m, signalled)
+		m.start(f.d.t)
 	})
 }
 
-// judgeTermination checks that no request was cut that the process had taken
-// before it was asked to end.
-func (k *watch) judgeTermination(m *machine, asked time.Time) {
-	time.Sleep(200 * time.Millisecond) // Callers take their answers in.
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, a := range k.attempts {
-		under := a.entry == m && a.began.Before(asked.Add(-50*time.Millisecond)) && a.ended.After(asked)
-		if under && a.status == 0 && !k.w.harmedBetween(a.began, a.ended, func(other *machine) bool { return other != m }) {
-			k.broken = append(k.broken, fmt.Sprintf("%s: cut by the end of %s: %s", a.id, m.name, a.problem))
+// checkTermination checks that no request was cut off that the process had accepted
+// before SIGTERM.
+func (c *checker) checkTermination(m *machine, signalled time.Time) {
+	time.Sleep(200 * time.Millisecond) // Lets callers record the responses that have just arrived.
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, a := range c.attempts {
+		inFlight := a.entry == m && a.started.Before(signalled.Add(-50*time.Millisecond)) && a.ended.After(signalled)
+		if inFlight && a.status == 0 && !c.d.faultBetween(a.started, a.ended, func(other *machine) bool { return other != m }) {
+			c.violated = append(c.violated, fmt.Sprintf("%s: cut off by the termination of %s: %s", a.id, m.name, a.failure))
 		}
 	}
 }
 
-func (f *faults) hangUp(m *machine, _ time.Duration) { m.signal(syscall.SIGHUP) }
+// hangup sends SIGHUP to a process.
+func (f *faultInjector) hangup(m *machine, _ time.Duration) { m.signal(syscall.SIGHUP) }
 
-// cutStore harms the link of a process to the store.
-func (f *faults) cutStore(m *machine, lasts time.Duration) {
-	f.cut(m, m.store, lasts)
+// disturbStoreLink disturbs the link between a process and the store.
+func (f *faultInjector) disturbStoreLink(m *machine, period time.Duration) {
+	f.disturb(m, m.storeLink, period)
 }
 
-// cutBackend harms the link between entries and a backend server.
-func (f *faults) cutBackend(_ *machine, lasts time.Duration) {
-	f.cut(nil, f.w.backends[f.random.IntN(len(f.w.backends))].link, lasts)
+// disturbBackendLink disturbs the link between the entries and a backend server.
+func (f *faultInjector) disturbBackendLink(_ *machine, period time.Duration) {
+	f.disturb(nil, f.d.backends[f.random.IntN(len(f.d.backends))].link, period)
 }
 
-func (f *faults) cut(m *machine, p *proxy, lasts time.Duration) {
-	f.w.harm(m, lasts)
+func (f *faultInjector) disturb(m *machine, p *proxy, period time.Duration) {
+	f.d.fault(m, period)
 	switch f.random.IntN(7) {
 	default:
-		f.pulse(p, lasts)
+		f.resetRepeatedly(p, period)
 		return
 	case 1:
-		p.set(delayBytes)
+		p.setMode(delayBytes)
 	case 2:
-		p.set(resetConnections)
+		p.setMode(resetConnections)
 	case 3:
-		p.set(silenceBoth)
+		p.setMode(dropBoth)
 	case 4:
-		p.set(silenceAnswers)
+		p.setMode(dropAnswers)
 	}
-	f.later(lasts, func() { p.set(passBytes) })
+	f.endAfter(period, func() { p.setMode(passBytes) })
 }
 
-// pulse resets the open connections again and again; new ones work.
-func (f *faults) pulse(p *proxy, lasts time.Duration) {
+// resetRepeatedly resets the open connections at an interval; new ones work until
+// the next reset.
+func (f *faultInjector) resetRepeatedly(p *proxy, period time.Duration) {
 	const interval = 150 * time.Millisecond
-	f.all.Go(func() {
-		for range lasts / interval {
-			p.set(resetConnections)
-			p.set(passBytes)
+	f.pending.Go(func() {
+		for range period / interval {
+			p.setMode(resetConnections)
+			p.setMode(passBytes)
 			time.Sleep(interval)
 		}
 	})
 }
 
-// configure changes the configuration, twice in quick succession at times.
-func (f *faults) configure(_ *machine, _ time.Duration) {
+// configure changes the configuration once, or twice in immediate succession.
+func (f *faultInjector) configure(_ *machine, _ time.Duration) {
 	for range 1 + f.random.IntN(2) {
-		f.w.configure(f.random.IntN(2) == 0)
+		f.d.configure(f.random.IntN(2) == 0)
 	}
 }
 
-// drain lets a plain backend server leave and come back.
-func (f *faults) drain(_ *machine, lasts time.Duration) {
-	b := f.w.backends[ranks+f.random.IntN(plainServers-1)]
-	f.w.list(b, true)
+// drain marks a plain backend server as leaving, and later as serving again.
+func (f *faultInjector) drain(_ *machine, period time.Duration) {
+	b := f.d.backends[ranks+f.random.IntN(plainServers-1)]
+	f.d.putServer(b, true)
 	left := time.Now()
-	f.later(drainTime+lasts, func() {
-		f.k.judgeDrained(b, left, time.Now())
-		f.w.list(b, false)
+	f.endAfter(drainLimit+period, func() {
+		f.c.checkDrained(b, left, time.Now())
+		f.d.putServer(b, false)
 	})
 }
 
-// judgeDrained checks that entries in touch sent the server nothing new.
-func (k *watch) judgeDrained(b *backend, left, back time.Time) {
-	if k.w.harmedBetween(left.Add(-touchTime), back, func(*machine) bool { return true }) {
+// checkDrained checks that entries sent the server no new request later than
+// drainLimit after it was marked as leaving. It checks nothing if there was a fault
+// between settleTime before the mark and the return, as entries may then lag behind.
+func (c *checker) checkDrained(b *backend, left, returned time.Time) {
+	if c.d.faultBetween(left.Add(-settleTime), returned, func(*machine) bool { return true }) {
 		return
 	}
-	k.w.ledger.Each(func(id string, runs []platformtest.Run) {
+	c.d.ledger.Each(func(id string, runs []platformtest.Run) {
 		for _, run := range runs {
-			if run.Server == b.server.ID && run.At.After(left.Add(drainTime)) && run.At.Before(back) {
-				k.report("%s: ran at %s %v after it began to leave", id, run.Server, run.At.Sub(left))
+			if run.Server == b.server.ID && run.At.After(left.Add(drainLimit)) && run.At.Before(returned) {
+				c.report("%s: ran at %s %v after it was marked as leaving", id, run.Server, run.At.Sub(left))
 			}
 		}
 	})
 }
 
-// takeOut takes a data centre out and back.
-func (f *faults) takeOut(_ *machine, lasts time.Duration) {
-	f.w.put(platform.TableOperators, platformtest.TakenOutKey("dc-1"), map[string]any{})
-	f.later(lasts, func() { f.w.store.Remove(platform.TableOperators, platformtest.TakenOutKey("dc-1")) })
+// takeOut takes a data centre out and returns it after the period.
+func (f *faultInjector) takeOut(_ *machine, period time.Duration) {
+	f.d.put(platform.TableOperators, platformtest.TakenOutKey("dc-1"), map[string]any{})
+	f.endAfter(period, func() { f.d.store.Remove(platform.TableOperators, platformtest.TakenOutKey("dc-1")) })
 }
 
-func (f *faults) forget(*machine, time.Duration) { f.w.store.Forget() }
+// loseHistory makes the store drop its history of changes.
+func (f *faultInjector) loseHistory(*machine, time.Duration) { f.d.store.Forget() }
 
-// loseOrders lets engines carry orders out late, without an answer.
-func (f *faults) loseOrders(_ *machine, lasts time.Duration) {
-	f.w.group.LoseOrders(0.3)
-	f.later(lasts, func() { f.w.group.LoseOrders(0) })
+// loseOrders makes the engines leave 30 % of the orders unanswered and execute them
+// late.
+func (f *faultInjector) loseOrders(_ *machine, period time.Duration) {
+	f.d.group.LoseOrders(0.3)
+	f.endAfter(period, func() { f.d.group.LoseOrders(0) })
 }
 
-// form lets the group form again, as after the crash of a rank.
-func (f *faults) form(*machine, time.Duration) { f.w.group.Form() }
+// reformGroup starts a new epoch of the group, as after the crash of a rank.
+func (f *faultInjector) reformGroup(*machine, time.Duration) { f.d.group.Form() }
