--- a/server/e2e/coldstart_test.go
+++ b/server/e2e/coldstart_test.go
@@ -11,9 +11,10 @@
 	"time"
 )
 
-// Several entries at once, unannounced cold turns and restarts of the engines,
-// and a killed agent: no engine falls over by overload, and every answer is
-// whole.
+// TestColdTurnsUnderLoadFromSeveralEntries sends load through several entries while
+// engines turn cold and restart unannounced and an agent is killed. It guards against
+// admission at the warm limit of an engine that has turned cold: no engine may be
+// overloaded, and every answer must be complete.
 func TestColdTurnsUnderLoadFromSeveralEntries(t *testing.T) {
 	s := newSystem(t)
 	engines := []string{"engine-1", "engine-2"}
@@ -25,57 +26,58 @@
 	}
 	load := s.startLoad(8)
 	time.Sleep(4 * time.Second)
-	s.call(http.MethodPost, s.backend["engine-1"]+"/test/cold")
+	s.send(http.MethodPost, s.backendURLs["engine-1"]+"/test/cold")
 	time.Sleep(3 * time.Second)
-	s.call(http.MethodPost, s.backend["engine-2"]+"/test/restart")
-	s.call(http.MethodPost, s.backend["engine-1"]+"/test/cold")
+	s.send(http.MethodPost, s.backendURLs["engine-2"]+"/test/restart")
+	s.send(http.MethodPost, s.backendURLs["engine-1"]+"/test/cold")
 	time.Sleep(time.Second)
-	s.Agents["engine-1"].kill()
-	s.call(http.MethodPost, s.backend["engine-1"]+"/test/cold")
+	s.agents["engine-1"].kill()
+	s.send(http.MethodPost, s.backendURLs["engine-1"]+"/test/cold")
 	s.startAgent("engine-1", "dc-1", "engine")
 	time.Sleep(2 * time.Second)
 	load.stop()
-	t.Logf("%d answered, %d refused, %d broken", load.answered.Load(), load.refused.Load(), load.broken.Load())
+	t.Logf("%d answered, %d refused, %d failed", load.answered.Load(), load.refused.Load(), load.failed.Load())
 	if load.answered.Load() == 0 {
 		t.Error("no request was answered")
 	}
-	if load.wrong.Load() != 0 {
-		t.Errorf("%d answers were not whole", load.wrong.Load())
+	if load.incorrect.Load() != 0 {
+		t.Errorf("%d answers were incomplete or wrong", load.incorrect.Load())
 	}
 	for _, name := range engines {
 		if overloads := s.overloads(name); overloads != 0 {
-			t.Errorf("engine %s fell over %d times", name, overloads)
+			t.Errorf("engine %s was overloaded %d times", name, overloads)
 		}
 	}
 }
 
-// load is callers that ask all entries.
+// load is a set of callers at all entries, with counts of the outcomes.
 type load struct {
-	answered, refused, broken, wrong atomic.Int64
-	ended                            chan struct{}
-	group                            sync.WaitGroup
+	answered, refused, failed, incorrect atomic.Int64
+	stopped                              chan struct{}
+	group                                sync.WaitGroup
 }
 
-// startLoad starts callers at each entry, each with one request at a time.
+// startLoad starts the given number of callers at each entry, each with one request
+// in flight.
 func (s *system) startLoad(callers int) *load {
-	l := &load{ended: make(chan struct{})}
-	for entry := range s.Entries {
+	l := &load{stopped: make(chan struct{})}
+	for entry := range s.entries {
 		for caller := range callers {
-			l.group.Go(func() { l.callAgain(s, entry, caller) })
+			l.group.Go(func() { l.callRepeatedly(s, entry, caller) })
 		}
 	}
 	return l
 }
 
 func (l *load) stop() {
-	close(l.ended)
+	close(l.stopped)
 	l.group.Wait()
 }
 
-func (l *load) callAgain(s *system, entry string, caller int) {
+func (l *load) callRepeatedly(s *system, entry string, caller int) {
 	for number := 0; ; number++ {
 		select {
-		case <-l.ended:
+		case <-l.stopped:
 			return
 		default:
 		}
@@ -92,7 +94,7 @@
 	switch {
 	case status == http.StatusOK:
 		if err := json.Unmarshal([]byte(body), &answer); err != nil || len(answer.Choices) != 1 || answer.Choices[0].Text != want {
-			l.wrong.Add(1)
+			l.incorrect.Add(1)
 			return
 		}
 		l.answered.Add(1)
@@ -100,12 +102,12 @@
 		l.refused.Add(1)
 		time.Sleep(50 * time.Millisecond)
 	default:
-		l.broken.Add(1)
+		l.failed.Add(1)
 	}
 }
 
-// call sends a request without a body.
-func (s *system) call(method, url string) {
+// send sends a request without a body.
+func (s *system) send(method, url string) {
 	s.t.Helper()
 	request, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -120,10 +122,10 @@
 
 func (s *system) overloads(name string) int {
 	s.t.Helper()
-	return s.number(s.backend[name] + "/test/overloads")
+	return s.number(s.backendURLs[name] + "/test/overloads")
 }
 
-// number returns the number that the URL answers with.
+// number returns the number in the response to a GET of the URL.
 func (s *system) number(url string) int {
 	s.t.Helper()
 	response, err := http.Get(url)
--- a/server/e2e/configuration_test.go
+++ b/server/e2e/configuration_test.go
@@ -23,10 +23,10 @@
 
 const shortChat = `{"model":"soap-assistant","max_tokens":4,"messages":[{"role":"user","content":"Check this recipe."}]}`
 
-// order calls the administration API of an entry as the operator and decodes
-// the answer into out, unless it is nil. It returns 0 where the answer did not
-// come in whole.
-func (s *system) order(entry, token, method, path string, revision uint64, body, out any) int {
+// callAdmin calls the administration API of an entry with the operator's token and
+// decodes the response into out, unless out is nil. It returns the status, or 0 if no
+// complete response arrived.
+func (s *system) callAdmin(entry, token, method, path string, revision uint64, body, out any) int {
 	s.t.Helper()
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -51,7 +51,7 @@
 		return response.StatusCode
 	}
 	if err := json.Unmarshal(answer, out); err != nil {
-		s.t.Errorf("answer of %s: %v", path, err)
+		s.t.Errorf("decode response of %s: %v", path, err)
 	}
 	return response.StatusCode
 }
@@ -65,25 +65,26 @@
 		suffix = adminapi.SuffixTakeOut
 	}
 	var accepted adminapi.Accepted
-	status := s.order(entry, "boris-token", http.MethodPost, adminapi.PathDataCentres+dataCentre+suffix, 0, adminapi.TargetRequest{}, &accepted)
+	status := s.callAdmin(entry, "boris-token", http.MethodPost, adminapi.PathDataCentres+dataCentre+suffix, 0, adminapi.TargetRequest{}, &accepted)
 	if status != http.StatusOK {
 		s.t.Fatalf("take out %s: status %d", dataCentre, status)
 	}
 	return accepted.Revision
 }
 
-// awaitRevision waits until every process that runs has the revision in force.
+// awaitRevision waits until the given number of processes have the revision, or a
+// later one, in force.
 func (s *system) awaitRevision(entry string, revision uint64, processes int) {
 	s.t.Helper()
 	s.await(fmt.Sprintf("revision %d in %d processes", revision, processes), func() bool {
-		return s.inForce(entry, revision) == processes
+		return s.countInForce(entry, revision) == processes
 	})
 }
 
-// inForce returns how many processes have the revision in force.
-func (s *system) inForce(entry string, revision uint64) int {
+// countInForce returns how many processes have the revision, or a later one, in force.
+func (s *system) countInForce(entry string, revision uint64) int {
 	var status adminapi.Status
-	s.order(entry, "vera-token", http.MethodGet, adminapi.PathStatus, 0, nil, &status)
+	s.callAdmin(entry, "vera-token", http.MethodGet, adminapi.PathStatus, 0, nil, &status)
 	count := 0
 	for _, process := range status.Processes {
 		if process.Answered && process.Revision >= revision {
@@ -93,12 +94,12 @@
 	return count
 }
 
-func (s *system) setStore(faults fault.Faults) { s.put(s.storeURL+"/faults", faults) }
+func (s *system) setStoreFaults(faults fault.Faults) { s.put(s.storeURL+"/faults", faults) }
 
-// count reads a number of a stand-in.
-func (s *system) count(server, path string) int {
+// readCount returns a counter of a stand-in backend server.
+func (s *system) readCount(server, path string) int {
 	s.t.Helper()
-	response, err := http.Get(s.backend[server] + path)
+	response, err := http.Get(s.backendURLs[server] + path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -110,9 +111,9 @@
 	return number
 }
 
-// newThreeDataCentres starts an engine with its agent in each of three data
+// newThreeDataCentreSystem starts an engine with its agent in each of three data
 // centres and entries in the first two.
-func newThreeDataCentres(t *testing.T) *system {
+func newThreeDataCentreSystem(t *testing.T) *system {
 	s := newSystem(t)
 	for number := 1; number <= 3; number++ {
 		s.addBackend(fmt.Sprintf("engine-%d", number), fmt.Sprintf("dc-%d", number), "engine")
@@ -124,16 +125,17 @@
 	return s
 }
 
-// TestRacingOperators sends changes against one revision through two entries
-// while the store loses answers.
+// TestRacingOperators sends concurrent changes against one revision through two entries
+// while the store loses responses. It guards against a lost update and against a
+// response that differs from the outcome: exactly one change per round is accepted.
 func TestRacingOperators(t *testing.T) {
-	s := newThreeDataCentres(t)
+	s := newThreeDataCentreSystem(t)
 	text := func(region int) []byte {
 		return fmt.Appendf(nil, `{"data_centres": [{"name": "dc-1", "region": "r-%d"}, {"name": "dc-2", "region": "r"}, {"name": "dc-3", "region": "r"}]}`, region)
 	}
 	const rounds = 5
 	for round := range uint64(rounds) {
-		s.setStore(fault.Faults{LoseAnswers: int(round)})
+		s.setStoreFaults(fault.Faults{LoseAnswers: int(round)})
 		statuses := make([]int, 4)
 		var group sync.WaitGroup
 		for racer := range statuses {
@@ -143,15 +145,15 @@
 					ID:    fmt.Sprintf("round-%d-racer-%d", round, racer),
 					Files: config.Files{config.FileDataCentres: text(10*int(round) + racer)},
 				}
-				statuses[racer] = s.order(entry, "boris-token", http.MethodPost, adminapi.PathApply, round+1, request, nil)
+				statuses[racer] = s.callAdmin(entry, "boris-token", http.MethodPost, adminapi.PathApply, round+1, request, nil)
 			})
 		}
 		group.Wait()
 		won := 0
 		for racer, status := range statuses {
-			outcome := s.order("entry-1", "vera-token", http.MethodGet, fmt.Sprintf("%sround-%d-racer-%d", adminapi.PathApplies, round, racer), 0, nil, nil)
+			outcome := s.callAdmin("entry-1", "vera-token", http.MethodGet, fmt.Sprintf("%sround-%d-racer-%d", adminapi.PathApplies, round, racer), 0, nil, nil)
 			if (status == http.StatusOK) != (outcome == http.StatusOK) {
-				t.Errorf("round %d, racer %d: the answer was %d, the outcome is %d", round, racer, status, outcome)
+				t.Errorf("round %d, racer %d: status of the apply is %d, of its recorded outcome %d", round, racer, status, outcome)
 			}
 			if status == http.StatusOK {
 				won++
@@ -163,17 +165,17 @@
 			t.Errorf("round %d: %d changes were accepted", round, won)
 		}
 	}
-	s.setStore(fault.Faults{})
+	s.setStoreFaults(fault.Faults{})
 	s.awaitRevision("entry-1", rounds+1, 5)
-	if status := s.order("entry-2", "vera-token", http.MethodGet, adminapi.PathVerify, 0, nil, nil); status != http.StatusOK {
-		t.Errorf("the audit chain is broken: status %d", status)
+	if status := s.callAdmin("entry-2", "vera-token", http.MethodGet, adminapi.PathVerify, 0, nil, nil); status != http.StatusOK {
+		t.Errorf("verification of the audit chain failed: status %d", status)
 	}
-	if status := s.order("entry-2", "vera-token", http.MethodPost, adminapi.PathApply, 1, adminapi.ApplyRequest{}, nil); status != http.StatusForbidden {
-		t.Errorf("a viewer's apply has status %d", status)
+	if status := s.callAdmin("entry-2", "vera-token", http.MethodPost, adminapi.PathApply, 1, adminapi.ApplyRequest{}, nil); status != http.StatusForbidden {
+		t.Errorf("apply by a viewer: status %d", status)
 	}
 }
 
-// TestFileByPut applies one file as the body of a PUT.
+// TestFileByPut applies one configuration file sent as the body of a PUT request.
 func TestFileByPut(t *testing.T) {
 	s := newSystem(t)
 	s.addEntry("entry-1", "dc-1")
@@ -193,7 +195,7 @@
 		return response.StatusCode, failure
 	}
 	const text = `{"data_centres": [{"name": "dc-1", "region": "%s"}, {"name": "dc-2", "region": "r"}, {"name": "dc-3", "region": "r"}]}`
-	Convey("The revision is required, well formed, and the accepted one", t, func() {
+	Convey("The If-Match header must be present, well formed and equal to the accepted revision", t, func() {
 		changed := strings.Replace(text, "%s", "new", 1)
 		status, failure := put("boris-token", "", "", changed)
 		So(status, ShouldEqual, http.StatusPreconditionRequired)
@@ -212,36 +214,38 @@
 	})
 }
 
-// TestFrozenProcessesStartNoWork freezes an entry and an agent while their
-// data centre is taken out, and lets them run again where they hear nobody.
+// TestFrozenProcessesStartNoWork suspends an entry and an agent while their data centre
+// is taken out, and resumes them where neither the store nor a peer answers. It guards
+// against processes that start work on an outdated configuration.
 func TestFrozenProcessesStartNoWork(t *testing.T) {
-	s := newThreeDataCentres(t)
-	frozen := []*process{s.Entries["entry-1"], s.Agents["engine-1"]}
-	others := []*process{s.Entries["entry-2"], s.Agents["engine-2"], s.Agents["engine-3"]}
+	s := newThreeDataCentreSystem(t)
+	frozen := []*process{s.entries["entry-1"], s.agents["engine-1"]}
+	others := []*process{s.entries["entry-2"], s.agents["engine-2"], s.agents["engine-3"]}
 	for _, p := range frozen {
 		p.signal(syscall.SIGSTOP)
 	}
 	s.takeOut("entry-2", "dc-1", true)
 	time.Sleep(evidence.MaxStoreAge + time.Second)
-	s.setStore(fault.Faults{Down: true})
+	s.setStoreFaults(fault.Faults{Down: true})
 	for _, p := range others {
 		p.signal(syscall.SIGSTOP)
 	}
-	before := s.count("engine-1", "/test/started")
+	before := s.readCount("engine-1", "/test/started")
 	for _, p := range frozen {
 		p.signal(syscall.SIGCONT)
 	}
 	for range 5 {
 		if status, answer := s.post("entry-1", "/v1/chat/completions", shortChat); status == http.StatusOK {
-			t.Fatalf("answered: %s", answer)
+			t.Fatalf("chat was answered with an outdated configuration: %s", answer)
 		}
 	}
-	if after := s.count("engine-1", "/test/started"); after != before {
-		t.Errorf("%d generations started in the data centre that is out", after-before)
+	if after := s.readCount("engine-1", "/test/started"); after != before {
+		t.Errorf("%d generations started in the data centre that was taken out", after-before)
 	}
 
-	// Reached again, they learn the newer configuration and serve elsewhere.
-	s.setStore(fault.Faults{})
+	// Once the store and the peers answer again, both processes get the newer
+	// configuration, and the entry sends work to the other data centres.
+	s.setStoreFaults(fault.Faults{})
 	for _, p := range others {
 		p.signal(syscall.SIGCONT)
 	}
@@ -250,32 +254,32 @@
 		status, _ := s.post("entry-1", "/v1/chat/completions", shortChat)
 		return status == http.StatusOK
 	})
-	if after := s.count("engine-1", "/test/started"); after != before {
-		t.Errorf("%d generations started in the data centre that is out", after-before)
+	if after := s.readCount("engine-1", "/test/started"); after != before {
+		t.Errorf("%d generations started in the data centre that was taken out", after-before)
 	}
 }
 
-// TestStoreOutage takes the store down: work goes on, a killed agent that
-// starts again learns the newest configuration from its peers, and no change
-// is accepted.
+// TestStoreOutage takes the store down and checks that work goes on, that a killed and
+// restarted agent gets the latest configuration from its peers, and that no change is
+// accepted.
 func TestStoreOutage(t *testing.T) {
-	s := newThreeDataCentres(t)
+	s := newThreeDataCentreSystem(t)
 	revision := s.takeOut("entry-2", "dc-3", true)
 	s.awaitRevision("entry-1", revision, 5)
-	s.setStore(fault.Faults{Down: true})
+	s.setStoreFaults(fault.Faults{Down: true})
 	time.Sleep(evidence.MaxStoreAge + time.Second)
 	Convey("During an outage of the store", t, func() {
 		status, answer := s.post("entry-1", "/v1/chat/completions", shortChat)
 		So(answer, ShouldContainSubstring, "choices")
 		So(status, ShouldEqual, http.StatusOK)
 		var failure adminapi.Error
-		s.order("entry-1", "anna-token", http.MethodPost, adminapi.PathDataCentres+"dc-1"+adminapi.SuffixTakeOut, 0, adminapi.TargetRequest{}, &failure)
+		s.callAdmin("entry-1", "anna-token", http.MethodPost, adminapi.PathDataCentres+"dc-1"+adminapi.SuffixTakeOut, 0, adminapi.TargetRequest{}, &failure)
 		So(failure.Error.Code, ShouldEqual, result.StoreUnavailable)
 	})
-	s.Agents["engine-1"].kill()
-	s.startAgent("engine-1", "dc-1", "engine") // Waits until it is ready.
-	s.Agents["engine-3"].kill()
-	started := s.count("engine-3", "/test/started")
+	s.agents["engine-1"].kill()
+	s.startAgent("engine-1", "dc-1", "engine") // Returns once the agent is ready.
+	s.agents["engine-3"].kill()
+	started := s.readCount("engine-3", "/test/started")
 	s.launchAgent("engine-3", "dc-3", "engine")
 	s.awaitRevision("entry-1", revision, 5)
 	for range 10 {
@@ -283,10 +287,10 @@
 			t.Errorf("status %d: %s", status, answer)
 		}
 	}
-	if after := s.count("engine-3", "/test/started"); after != started {
-		t.Errorf("%d generations started in the data centre that is out", after-started)
+	if after := s.readCount("engine-3", "/test/started"); after != started {
+		t.Errorf("%d generations started in the data centre that was taken out", after-started)
 	}
-	if answer := s.Agents["engine-1"].log.String(); strings.Contains(answer, `"revision":1,`) {
+	if answer := s.agents["engine-1"].log.String(); strings.Contains(answer, `"revision":1,`) {
 		t.Errorf("the restarted agent installed an older revision:\n%s", answer)
 	}
 }
--- a/server/e2e/data_centre_test.go
+++ b/server/e2e/data_centre_test.go
@@ -13,25 +13,25 @@
 
 const (
 	dataCentreCallers = 7
-	phaseChats        = 48 // Answers awaited in each phase.
-	// outBound is the time after which a data centre that was taken out gets no
+	phaseAnswers      = 48 // Answers to wait for in each phase.
+	// takeOutBound is the time after which a data centre that was taken out must get no
 	// new work.
-	outBound = 5 * time.Second
+	takeOutBound = 5 * time.Second
 )
 
-// orderStandIn sends an order without a body to a stand-in.
-func (s *system) orderStandIn(server, path string) {
+// postStandIn sends a POST request without a body to a stand-in backend server.
+func (s *system) postStandIn(server, path string) {
 	s.t.Helper()
-	response, err := http.Post(s.backend[server]+path, "application/json", nil)
+	response, err := http.Post(s.backendURLs[server]+path, "application/json", nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	response.Body.Close()
 }
 
-// newSmallEngines is newThreeDataCentres with engines that bear little, so that
-// two of them can just carry the callers.
-func newSmallEngines(t *testing.T) *system {
+// newSmallEngineSystem is like newThreeDataCentreSystem, with engines of such low limits
+// that two of them just suffice for the callers.
+func newSmallEngineSystem(t *testing.T) *system {
 	s := newSystem(t)
 	files, err := dev.ReadFiles("")
 	if err != nil {
@@ -48,9 +48,9 @@
 	return s
 }
 
-// broken returns the failures that are no refusals with the promise that the
+// withoutNotRunRefusals returns the failures except refusals that guarantee that the
 // work did not run.
-func broken(failed []string) []string {
+func withoutNotRunRefusals(failed []string) []string {
 	var others []string
 	for _, failure := range failed {
 		if !strings.Contains(failure, "done false") || !strings.Contains(failure, `"not_run":true`) {
@@ -60,33 +60,35 @@
 	return others
 }
 
-// TestDataCentreLeavesAndReturns takes a data centre out under load, restarts
-// its engine and returns it cold.
+// TestDataCentreLeavesAndReturns takes a data centre out under load, restarts its
+// engine, and returns the data centre with the engine cold. No new work may start there
+// while it is out, the cold engine must not be overloaded after the return, and no
+// request may be cut off or lost.
 func TestDataCentreLeavesAndReturns(t *testing.T) {
-	s := newSmallEngines(t)
+	s := newSmallEngineSystem(t)
 	load := startCallers(s, dataCentreCallers, false)
-	load.awaitMore(phaseChats)
+	load.awaitAnswers(phaseAnswers)
 
 	revision := s.takeOut("entry-2", "dc-3", true)
 	s.awaitRevision("entry-2", revision, 5)
-	time.Sleep(outBound)
-	started := s.count("engine-3", "/test/started")
-	load.awaitMore(phaseChats)
-	if after := s.count("engine-3", "/test/started"); after != started {
-		t.Errorf("%d generations started in the data centre that is out", after-started)
+	time.Sleep(takeOutBound)
+	started := s.readCount("engine-3", "/test/started")
+	load.awaitAnswers(phaseAnswers)
+	if after := s.readCount("engine-3", "/test/started"); after != started {
+		t.Errorf("%d generations started in the data centre that was taken out", after-started)
 	}
-	s.await("what is in flight to end", func() bool { return s.count("engine-3", "/test/running") == 0 })
+	s.await("end of the generations in flight", func() bool { return s.readCount("engine-3", "/test/running") == 0 })
 
-	s.orderStandIn("engine-3", "/test/restart")
+	s.postStandIn("engine-3", "/test/restart")
 	revision = s.takeOut("entry-1", "dc-3", false)
 	s.awaitRevision("entry-2", revision, 5)
-	s.await("work in the returned data centre", func() bool { return s.count("engine-3", "/test/started") > started+phaseChats/4 })
-	if overloads := s.count("engine-3", "/test/overloads"); overloads > 0 {
-		t.Errorf("the returned engine fell over %d times", overloads)
+	s.await("work in the returned data centre", func() bool { return s.readCount("engine-3", "/test/started") > started+phaseAnswers/4 })
+	if overloads := s.readCount("engine-3", "/test/overloads"); overloads > 0 {
+		t.Errorf("the returned engine was overloaded %d times", overloads)
 	}
 	failed := load.stop()
-	t.Logf("%d requests, %d refused before their start", load.done.Load(), len(failed)-len(broken(failed)))
-	if lost := broken(failed); len(lost) > 0 {
-		t.Errorf("%d of %d requests were cut or lost, first: %s", len(lost), load.done.Load(), lost[0])
+	t.Logf("%d requests, %d refused without being run", load.done.Load(), len(failed)-len(withoutNotRunRefusals(failed)))
+	if lost := withoutNotRunRefusals(failed); len(lost) > 0 {
+		t.Errorf("%d of %d requests were cut off or lost, first: %s", len(lost), load.done.Load(), lost[0])
 	}
 }
--- a/server/e2e/expertmap_test.go
+++ b/server/e2e/expertmap_test.go
@@ -22,7 +22,7 @@
 // group is a system with one group of ranks.
 type group struct {
 	*system
-	url string // Of the stand-in ranks.
+	url string // Base URL of the stand-in ranks.
 }
 
 func newGroup(t *testing.T, options ...string) *group {
@@ -35,7 +35,7 @@
 	s.addEntry("entry-1", "dc-1")
 	for rank := range groupRanks {
 		name := rankName(rank)
-		s.backend[name] = fmt.Sprintf("%s/rank/%d", g.url, rank)
+		s.backendURLs[name] = fmt.Sprintf("%s/rank/%d", g.url, rank)
 		s.launchAgent(name, "dc-1", "engine")
 	}
 	return g
@@ -65,7 +65,7 @@
 	return oracle
 }
 
-func (g *group) order(method, path string) {
+func (g *group) postRanks(method, path string) {
 	g.t.Helper()
 	request, err := http.NewRequest(method, g.url+path, nil)
 	if err != nil {
@@ -78,16 +78,17 @@
 	response.Body.Close()
 }
 
-// awaitSteps waits until the group has run more steps.
+// awaitSteps waits until the ranks of the group have together run 10 more steps per
+// rank.
 func (g *group) awaitSteps() {
 	g.t.Helper()
 	before := g.oracle().Steps
 	g.await("more steps", func() bool { return g.oracle().Steps >= before+10*groupRanks })
 }
 
-// shift makes the experts from the given one on popular and waits for the map
-// that follows.
-func (g *group) shift(first int) {
+// shiftPopularity makes three experts, starting at first, 40 times as popular as the
+// others and waits until another map is in force.
+func (g *group) shiftPopularity(first int) {
 	g.t.Helper()
 	before := g.oracle().InForce
 	popularity := make([][]float64, 2)
@@ -101,30 +102,30 @@
 		}
 	}
 	g.put(g.url+"/test/popularity", popularity)
-	g.await("another map", func() bool { return g.oracle().InForce != before })
+	g.await("new map", func() bool { return g.oracle().InForce != before })
 }
 
 func TestExpertMapAsSeparateProcesses(t *testing.T) {
 	for _, options := range [][]string{nil, {"--ignore-fence"}} {
 		Convey(fmt.Sprintf("Given a group of agents as separate processes, ranks with options %v", options), t, func() {
 			g := newGroup(t, options...)
-			g.await("a first map", func() bool { return g.oracle().InForce != expertmap.Change{} })
+			g.await("first map", func() bool { return g.oracle().InForce != expertmap.Change{} })
 			g.awaitSteps()
 
-			g.shift(0)
+			g.shiftPopularity(0)
 			g.awaitSteps()
 
-			g.order(http.MethodPost, "/test/rank/2/lose")
+			g.postRanks(http.MethodPost, "/test/rank/2/lose")
 			g.awaitSteps()
 
 			g.put(g.storeURL+"/faults", fault.Faults{Down: true})
 			g.awaitSteps()
 			g.put(g.storeURL+"/faults", fault.Faults{})
 
-			g.Agents[rankName(1)].kill()
+			g.agents[rankName(1)].kill()
 			g.launchAgent(rankName(1), "dc-1", "engine")
 			g.put(g.storeURL+"/faults", fault.Faults{LoseAnswers: 3})
-			g.shift(8)
+			g.shiftPopularity(8)
 			g.awaitSteps()
 			So(g.oracle().Violations, ShouldBeEmpty)
 			So(g.decision().Reason, ShouldNotBeEmpty)
@@ -132,7 +133,7 @@
 	}
 }
 
-// decision reads the planner's last decision from the administration API.
+// decision returns the planner's latest decision from the administration API.
 func (g *group) decision() mapgroup.Decision {
 	g.t.Helper()
 	request, err := http.NewRequest(http.MethodGet, g.admin["entry-1"]+adminapi.PathGroups+"g1", nil)
--- a/server/e2e/hostile_test.go
+++ b/server/e2e/hostile_test.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	tooLargeBytes   = 9 << 20
-	manyHeaderBytes = 1 << 20
+	tooLargeBytes        = 9 << 20
+	oversizedHeaderBytes = 1 << 20
 )
 
-// runs returns what a stand-in service has run.
+// runs returns the runs recorded by a stand-in service.
 func (s *system) runs(name string) []service.Run {
 	s.t.Helper()
-	response, err := http.Get(s.backend[name] + "/runs")
+	response, err := http.Get(s.backendURLs[name] + "/runs")
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -41,7 +41,8 @@
 	return runs
 }
 
-// errorOf decodes an error's body.
+// errorOf returns the detail of an error body, or the zero detail if the body has
+// another form.
 func errorOf(body string) openai.ErrorDetail {
 	var decoded openai.ErrorBody
 	_ = json.Unmarshal([]byte(body), &decoded)
@@ -65,8 +66,8 @@
 	}{
 		{"an oversized body", stamp, strings.Repeat("x", tooLargeBytes), nil, 413, "body_too_large"},
 		{"broken JSON", chat, `{"model":`, nil, 400, "bad_request"},
-		{"JSON of another shape", chat, `[1,2,3]`, nil, 400, "bad_request"},
-		{"very deep JSON", chat, strings.Repeat("[", 1<<20), nil, 400, "bad_request"},
+		{"JSON of the wrong type", chat, `[1,2,3]`, nil, 400, "bad_request"},
+		{"deeply nested JSON", chat, strings.Repeat("[", 1<<20), nil, 400, "bad_request"},
 		{"no messages", chat, `{"model":"soap-assistant"}`, nil, 400, "bad_request"},
 		{"an image part", chat, `{"model":"soap-assistant","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, nil, 400, "bad_request"},
 		{"too many tokens", chat, `{"model":"soap-assistant","max_tokens":1000000000,"messages":[{"role":"user","content":"a"}]}`, nil, 400, "bad_request"},
@@ -76,9 +77,9 @@
 		{"an unknown path", "/v1/secrets", `{}`, nil, 404, "unknown_path"},
 		{"a wrong key", stamp, `{}`, []string{"Authorization", "Bearer wrong"}, 401, "unauthorized"},
 		{"no key", stamp, `{}`, []string{"Authorization", ""}, 401, "unauthorized"},
-		{"a time limit that is no number", stamp, `{}`, []string{"Request-Timeout", "NaN"}, 400, "bad_request"},
+		{"a timeout that is not a number", stamp, `{}`, []string{"Request-Timeout", "NaN"}, 400, "bad_request"},
 	}
-	Convey("Each hostile request gets a clear error that says the work was not run", t, func() {
+	Convey("Each hostile request gets the expected error, marked as not run", t, func() {
 		for _, row := range rows {
 			Convey(row.name, func() {
 				status, body := s.post("entry-1", row.path, row.body, row.headers...)
@@ -95,16 +96,16 @@
 		request, err := http.NewRequest(http.MethodPost, s.callers["entry-1"]+stamp, strings.NewReader(`{}`))
 		So(err, ShouldBeNil)
 		request.Header.Set("Authorization", "Bearer dev-key")
-		request.Header.Set("X-Large", strings.Repeat("x", manyHeaderBytes))
+		request.Header.Set("X-Large", strings.Repeat("x", oversizedHeaderBytes))
 		response, err := http.DefaultClient.Do(request)
-		if err == nil { // The connection may also be closed while the headers are sent.
+		if err == nil { // The entry may also close the connection while the headers are being sent.
 			response.Body.Close()
 			So(response.StatusCode, ShouldEqual, http.StatusRequestHeaderFieldsTooLarge)
 		}
 		So(s.runs("certifications-1"), ShouldBeEmpty)
 	})
 
-	Convey("A sender that stops in its body is refused and holds nobody up", t, func() {
+	Convey("A client that stalls in its body times out and does not delay other callers", t, func() {
 		address, err := url.Parse(s.callers["entry-1"])
 		So(err, ShouldBeNil)
 		connection, err := net.Dial("tcp", address.Host)
@@ -132,7 +133,7 @@
 		So(body, ShouldNotContainSubstring, `"request_id":"forged"`)
 	})
 
-	Convey("An agent takes no work that is not from this system", t, func() {
+	Convey("An agent refuses work from outside the system", t, func() {
 		before := len(s.runs("certifications-1"))
 		forged, err := wire.Work{RequestID: "forged", Service: "certifications", Operation: "stamp", Deadline: time.Now().Add(time.Minute)}.Encode()
 		So(err, ShouldBeNil)
--- a/server/e2e/leaving_test.go
+++ b/server/e2e/leaving_test.go
@@ -23,22 +23,22 @@
 	leavingTokens  = 60
 )
 
-// callers sends streamed chats through the ready entries until stopped and
-// counts those that were not answered in whole.
+// callers sends streamed chats through the ready entries until stopped and records
+// those that were not answered completely.
 type callers struct {
-	system  *system
-	patient bool // Come back after a refusal that says not run and when.
-	refused atomic.Int64
-	stopped atomic.Bool
-	done    atomic.Int64
-	group   sync.WaitGroup
+	system        *system
+	retryRefusals bool // Retry after a refusal that has not_run set and a retry delay.
+	refused       atomic.Int64
+	stopped       atomic.Bool
+	done          atomic.Int64
+	group         sync.WaitGroup
 
 	mu     sync.Mutex
 	failed []string
 }
 
-func startCallers(s *system, count int, patient bool) *callers {
-	c := &callers{system: s, patient: patient}
+func startCallers(s *system, count int, retryRefusals bool) *callers {
+	c := &callers{system: s, retryRefusals: retryRefusals}
 	for caller := range count {
 		c.group.Go(func() { c.loop(caller) })
 	}
@@ -48,7 +48,7 @@
 func (c *callers) loop(caller int) {
 	for number := 0; !c.stopped.Load(); number++ {
 		prompt := fmt.Sprintf("caller %d request %d", caller, number)
-		if err := c.chatUntilTaken(caller+number, prompt); err != nil {
+		if err := c.chatWithRetries(caller+number, prompt); err != nil {
 			c.mu.Lock()
 			c.failed = append(c.failed, fmt.Sprintf("%s: %v", prompt, err))
 			c.mu.Unlock()
@@ -57,13 +57,13 @@
 	}
 }
 
-// chatUntilTaken sends one chat; a patient caller sends it again after each
-// definite refusal.
-func (c *callers) chatUntilTaken(start int, prompt string) error {
+// chatWithRetries sends one chat. With retryRefusals it sends the chat again after
+// the delay of each refusal that guarantees that the work did not run.
+func (c *callers) chatWithRetries(start int, prompt string) error {
 	for {
 		err := c.chat(c.readyEntry(start), prompt)
 		var refusal *refusedError
-		if !c.patient || !errors.As(err, &refusal) || !refusal.detail.NotRun || refusal.detail.RetryAfterMS <= 0 {
+		if !c.retryRefusals || !errors.As(err, &refusal) || !refusal.detail.NotRun || refusal.detail.RetryAfterMS <= 0 {
 			return err
 		}
 		c.refused.Add(1)
@@ -71,12 +71,13 @@
 	}
 }
 
-// refusedError is an answer that is an error from its first byte on.
+// refusedError is a response with an error status instead of a stream.
 type refusedError struct{ detail openai.ErrorDetail }
 
 func (e *refusedError) Error() string { return fmt.Sprintf("refused: %+v", e.detail) }
 
-// readyEntry acts as the platform's balancer: it takes an entry that is ready.
+// readyEntry acts as the load balancer in front of the entries: it returns the URL of
+// a ready one.
 func (c *callers) readyEntry(start int) string {
 	names := []string{"entry-1", "entry-2"}
 	for {
@@ -95,7 +96,7 @@
 	}
 }
 
-// chat sends one streamed chat and checks that the answer is whole.
+// chat sends one streamed chat and checks that the answer is complete.
 func (c *callers) chat(url, prompt string) error {
 	body := fmt.Sprintf(`{"model":"soap-assistant","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, leavingTokens, prompt)
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", bytes.NewBufferString(body))
@@ -121,7 +122,7 @@
 
 func newScanner(body io.Reader) *bufio.Scanner { return bufio.NewScanner(body) }
 
-// readEvents returns the text of a streamed chat and whether [DONE] came.
+// readEvents returns the text of a streamed chat and whether it ended with [DONE].
 func readEvents(scanner *bufio.Scanner) (text string, done bool) {
 	var joined strings.Builder
 	for scanner.Scan() {
@@ -139,8 +140,8 @@
 	return joined.String(), false
 }
 
-// awaitMore waits until count more requests have been answered.
-func (c *callers) awaitMore(count int64) {
+// awaitAnswers waits until count more requests have ended.
+func (c *callers) awaitAnswers(count int64) {
 	c.system.t.Helper()
 	target := c.done.Load() + count
 	c.system.await("more answers", func() bool { return c.done.Load() >= target })
@@ -152,8 +153,9 @@
 	return c.failed
 }
 
-// TestLeavingCutsOffNothing stops an entry, an agent and a backend server,
-// each told twice, while callers stream through them.
+// TestLeavingCutsOffNothing sends SIGTERM twice to each of an entry, an agent and a
+// backend server while callers stream through them. It guards against a process that
+// exits before its streams have ended, also at a second signal.
 func TestLeavingCutsOffNothing(t *testing.T) {
 	s := newSystem(t)
 	for i, name := range []string{"engine-1", "engine-2", "engine-3"} {
@@ -162,27 +164,27 @@
 	s.addEntry("entry-1", "dc-1")
 	s.addEntry("entry-2", "dc-2")
 	load := startCallers(s, leavingCallers, false)
-	load.awaitMore(leavingCallers)
+	load.awaitAnswers(leavingCallers)
 
 	leaving := []struct {
 		name    string
 		process *process
 	}{
-		{"entry", s.Entries["entry-1"]},
-		{"agent", s.Agents["engine-1"]},
-		{"backend server", s.Backends["engine-2"]},
+		{"entry", s.entries["entry-1"]},
+		{"agent", s.agents["engine-1"]},
+		{"backend server", s.backends["engine-2"]},
 	}
 	for _, row := range leaving {
 		row.process.signal(syscall.SIGTERM)
-		load.awaitMore(1)
-		row.process.signalAgain(syscall.SIGTERM)
+		load.awaitAnswers(1)
+		row.process.signalIfRunning(syscall.SIGTERM)
 		if err := row.process.wait(); err != nil {
-			t.Errorf("%s did not stop clean: %v\n%s", row.name, err, row.process.log.String())
+			t.Errorf("%s did not exit cleanly: %v\n%s", row.name, err, row.process.log.String())
 		}
-		load.awaitMore(leavingCallers)
+		load.awaitAnswers(leavingCallers)
 	}
 	if failed := load.stop(); len(failed) > 0 {
-		t.Errorf("%d of %d requests were not answered in whole, first: %s", len(failed), load.done.Load(), failed[0])
+		t.Errorf("%d of %d requests were not answered completely, first: %s", len(failed), load.done.Load(), failed[0])
 	}
 	t.Logf("%d requests answered", load.done.Load())
 }
--- a/server/e2e/limits_test.go
+++ b/server/e2e/limits_test.go
@@ -15,8 +15,9 @@
 	"persimmonwind.dev/server/dev"
 )
 
-// The rate limit of an organisation holds across entries, and the refusals say
-// when to come back.
+// TestARateLimitHoldsAcrossEntries checks that the requests admitted by all entries
+// together stay within 10 % of the organisation's rate limit, and that the others are
+// refused as rate limited.
 func TestARateLimitHoldsAcrossEntries(t *testing.T) {
 	const rate, burst = 20, 20
 	s := newSystem(t)
@@ -35,7 +36,7 @@
 	started := time.Now()
 	admitted, refused := 0, 0
 	for time.Since(started) < 4*time.Second {
-		for entry := range s.Entries {
+		for entry := range s.entries {
 			status, body := s.post(entry, "/v1/services/registry/lookup", "{}")
 			switch status {
 			case http.StatusOK:
@@ -51,10 +52,10 @@
 	limit := rate*time.Since(started).Seconds() + burst
 	t.Logf("%d admitted, %d refused, limit %.0f", admitted, refused, limit)
 	if float64(admitted) > 1.1*limit || float64(admitted) < 0.9*(limit-burst) {
-		t.Errorf("%d admitted, limit %.0f with the burst of %d", admitted, limit, burst)
+		t.Errorf("%d admitted, limit %.0f including the burst of %d", admitted, limit, burst)
 	}
 	if refused == 0 {
-		t.Error("nothing was refused")
+		t.Error("no request was refused")
 	}
 }
 
@@ -62,18 +63,19 @@
 	t.Helper()
 	var answer struct{ Error struct{ Code string } }
 	if err := json.Unmarshal([]byte(body), &answer); err != nil || answer.Error.Code != "rate_limited" {
-		t.Fatalf("refusal %s", body)
+		t.Fatalf("refusal is not rate_limited: %s", body)
 	}
 }
 
-// A burst that comes at once, below the organisation's rate, is not limited.
-func TestABurstBelowTheRateIsNotLimited(t *testing.T) {
+// TestBurstBelowRateIsNotLimited checks that a burst of concurrent requests below the
+// organisation's rate is not limited.
+func TestBurstBelowRateIsNotLimited(t *testing.T) {
 	const burst = 300
 	s := newSystem(t)
 	s.addBackend("registry-1", "dc-3", "service", "--work-time", "1ms")
 	s.addEntry("entry-1", "dc-1")
 	s.addEntry("entry-2", "dc-2")           // One of the two is the organisation's home.
-	time.Sleep(share.SlotTTL + time.Second) // Leases of an earlier home are over.
+	time.Sleep(share.SlotTTL + time.Second) // Slots leased by an earlier home have expired.
 	var limited atomic.Int64
 	var group sync.WaitGroup
 	for number := range burst {
--- a/server/e2e/once_test.go
+++ b/server/e2e/once_test.go
@@ -19,10 +19,10 @@
 	"persimmonwind.dev/server/standin/store"
 )
 
-// queueTime is the time in which a request reaches the agent's queue.
+// queueTime is the time within which a request reaches the agent's queue.
 const queueTime = 600 * time.Millisecond
 
-// pauseTime is longer than an entry's patience with a silent agent.
+// pauseTime exceeds the time after which an entry gives up on an unresponsive agent.
 const pauseTime = 4 * time.Second
 
 const (
@@ -32,7 +32,7 @@
 	completion     = `{"model":"soap-assistant","prompt":"count","max_tokens":2}`
 )
 
-// keyedServers has two backend servers that take one certification at a time.
+// keyedServers has two backend servers that each run one certification at a time.
 const keyedServers = `{"backend_servers": [
 	{"name": "certifications-1", "data_centre": "dc-1", "service": "certifications", "full_limit": 1, "cold_limit": 1},
 	{"name": "certifications-2", "data_centre": "dc-2", "service": "certifications", "full_limit": 1, "cold_limit": 1},
@@ -40,7 +40,7 @@
 	{"name": "engine-1", "data_centre": "dc-1", "model": "soap-assistant", "full_limit": 4, "cold_limit": 1},
 ]}`
 
-// reply is what a caller got.
+// reply is the response that a caller got; it is zero if none arrived.
 type reply struct {
 	status int
 	body   string
@@ -57,8 +57,8 @@
 	return refusal.Error.Code
 }
 
-// keyedSystem has one certification backend server and two entries.
-func keyedSystem(t *testing.T, workTime time.Duration) *system {
+// newKeyedSystem starts a system with one certification backend server and two entries.
+func newKeyedSystem(t *testing.T, workTime time.Duration) *system {
 	s := newSystem(t)
 	files, err := dev.ReadFiles("")
 	if err != nil {
@@ -81,8 +81,8 @@
 	return reply{status: status, body: answer}
 }
 
-// stampAsync sends a certification and hands its reply to the channel; an entry
-// that dies brings the zero reply.
+// stampAsync sends a certification and returns a channel for its reply, which is zero
+// if the connection to the entry breaks.
 func (s *system) stampAsync(entry, key, body string) <-chan reply {
 	answered := make(chan reply, 1)
 	request, err := http.NewRequest(http.MethodPost, s.callers[entry]+stampPath, strings.NewReader(body))
@@ -104,11 +104,11 @@
 	return answered
 }
 
-// runsOf counts the runs with the body at all backend servers.
-func (s *system) runsOf(body string) int {
+// countRuns returns the number of runs with the body at all backend servers.
+func (s *system) countRuns(body string) int {
 	s.t.Helper()
 	count := 0
-	for _, url := range s.backend {
+	for _, url := range s.backendURLs {
 		var runs []service.Run
 		s.getJSON(url+"/runs", &runs)
 		for _, run := range runs {
@@ -132,16 +132,16 @@
 	}
 }
 
-func (s *system) storeFaults(faults fault.Faults) { s.put(s.storeURL+"/faults", faults) }
+func (s *system) injectStoreFaults(faults fault.Faults) { s.put(s.storeURL+"/faults", faults) }
 
-// startRun sends a certification and returns once it runs. While the agents
-// refuse, after an outage of the store, it is repeated.
+// startRun sends a certification and returns once it runs. It repeats the request
+// while the agents refuse it, as they do for some time after an outage of the store.
 func (s *system) startRun(entry, key, body string) <-chan reply {
 	s.t.Helper()
 	answered := make(chan reply, 1)
 	refused := s.stampAsync(entry, key, body)
 	s.await("run of "+body, func() bool {
-		if s.runsOf(body) > 0 {
+		if s.countRuns(body) > 0 {
 			return true
 		}
 		select {
@@ -161,106 +161,106 @@
 	return refused
 }
 
-// awaitStamp repeats a certification until it is answered.
-func (s *system) awaitStamp(entry, key, body string) {
+// stampUntilOK repeats a certification until it returns status 200.
+func (s *system) stampUntilOK(entry, key, body string) {
 	s.t.Helper()
 	s.await("answer to "+body, func() bool { return s.stamp(entry, key, body).status == http.StatusOK })
 }
 
 func TestKeyedWorkAgainstKilledEntryAndStore(t *testing.T) {
-	s := keyedSystem(t, time.Second)
+	s := newKeyedSystem(t, time.Second)
 
-	Convey("Given keyed work under way", t, func() {
-		Convey("a repeat with the key gets the stored answer, another body is refused", func() {
+	Convey("Given a system for work with idempotency keys", t, func() {
+		Convey("a repeat with the same key gets the stored answer, and another body is refused", func() {
 			first := s.stamp("entry-1", "plain", `"plain"`)
 			So(first.status, ShouldEqual, http.StatusOK)
 			So(s.stamp("entry-2", "plain", `"plain"`), ShouldResemble, first)
 			So(s.stamp("entry-2", "plain", `"other"`).code(), ShouldEqual, "key_reused")
-			So(s.runsOf(`"other"`), ShouldEqual, 0)
+			So(s.countRuns(`"other"`), ShouldEqual, 0)
 		})
 
-		Convey("a refusal that comes before the key is looked at promises nothing", func() {
+		Convey("a refusal before the key is read does not claim that the keyed work was not run", func() {
 			_, refused := s.post("entry-1", stampPath, `"early"`, "Request-Timeout", "soon")
 			So(refused, ShouldContainSubstring, `"not_run":true`)
 			_, refused = s.post("entry-1", stampPath, `"early"`, "Request-Timeout", "soon", "Idempotency-Key", "early")
 			So(refused, ShouldContainSubstring, `"not_run":false`)
 		})
 
-		Convey("a lost answer of the table service changes nothing", func() {
+		Convey("a lost response of the table service causes neither a second run nor another answer", func() {
 			for lost := range 4 {
 				body := fmt.Sprintf(`"lost-%d"`, lost)
-				s.storeFaults(fault.Faults{LoseAnswers: lost})
+				s.injectStoreFaults(fault.Faults{LoseAnswers: lost})
 				first := s.stamp("entry-1", body, body)
-				s.storeFaults(fault.Faults{})
+				s.injectStoreFaults(fault.Faults{})
 				So(first.status == http.StatusOK || first.code() == "store_unavailable", ShouldBeTrue)
 				again := s.stamp("entry-2", body, body)
 				So(again.status, ShouldEqual, http.StatusOK)
 				So(first.status != http.StatusOK || first == again, ShouldBeTrue)
-				So(s.runsOf(body), ShouldEqual, 1)
+				So(s.countRuns(body), ShouldEqual, 1)
 			}
 		})
 
-		Convey("an outage before the start refuses truly", func() {
-			s.storeFaults(fault.Faults{Down: true})
+		Convey("an outage before the start refuses the work, which has not run", func() {
+			s.injectStoreFaults(fault.Faults{Down: true})
 			So(s.stamp("entry-1", "", `"down-generated"`).code(), ShouldEqual, "store_unavailable")
 			So(s.stamp("entry-1", "down", `"down"`).code(), ShouldEqual, "key_state_unknown")
-			s.storeFaults(fault.Faults{})
-			So(s.runsOf(`"down-generated"`), ShouldEqual, 0)
-			So(s.runsOf(`"down"`), ShouldEqual, 0)
-			s.awaitStamp("entry-1", "down", `"down"`)
-			So(s.runsOf(`"down"`), ShouldEqual, 1)
+			s.injectStoreFaults(fault.Faults{})
+			So(s.countRuns(`"down-generated"`), ShouldEqual, 0)
+			So(s.countRuns(`"down"`), ShouldEqual, 0)
+			s.stampUntilOK("entry-1", "down", `"down"`)
+			So(s.countRuns(`"down"`), ShouldEqual, 1)
 		})
 
-		Convey("an outage after the start loses no answer", func() {
+		Convey("an outage after the start loses no answer of the run", func() {
 			answered := s.startRun("entry-1", "after", `"after"`)
-			s.storeFaults(fault.Faults{Down: true})
+			s.injectStoreFaults(fault.Faults{Down: true})
 			first := <-answered
 			So(first.status, ShouldEqual, http.StatusOK)
 			So(s.stamp("entry-2", "after", `"after"`).code(), ShouldEqual, "key_state_unknown")
-			s.storeFaults(fault.Faults{})
+			s.injectStoreFaults(fault.Faults{})
 			So(s.stamp("entry-2", "after", `"after"`), ShouldResemble, first)
-			So(s.runsOf(`"after"`), ShouldEqual, 1)
+			So(s.countRuns(`"after"`), ShouldEqual, 1)
 		})
 
-		Convey("a repeat elsewhere after the entry was killed gets the only run's answer", func() {
+		Convey("a repeat at another entry after the first was killed gets the answer of the only run", func() {
 			answered := s.startRun("entry-1", "killed", `"killed"`)
-			s.Entries["entry-1"].kill()
+			s.entries["entry-1"].kill()
 			So((<-answered).status, ShouldEqual, 0)
 			again := s.stamp("entry-2", "killed", `"killed"`)
 			So(again.status, ShouldEqual, http.StatusOK)
 			So(s.stamp("entry-2", "killed", `"killed"`), ShouldResemble, again)
-			So(s.runsOf(`"killed"`), ShouldEqual, 1)
+			So(s.countRuns(`"killed"`), ShouldEqual, 1)
 		})
 
 		Convey("an agent killed during the run leaves the outcome unknown", func() {
 			answered := s.startRun("entry-2", "lost", `"lost"`)
-			s.Agents["certifications-1"].kill()
+			s.agents["certifications-1"].kill()
 			s.startAgent("certifications-1", "dc-1", "service")
 			So((<-answered).code(), ShouldEqual, "outcome_unknown")
 			So(s.stamp("entry-2", "lost", `"lost"`).code(), ShouldEqual, "outcome_unknown")
-			So(s.runsOf(`"lost"`), ShouldEqual, 1)
+			So(s.countRuns(`"lost"`), ShouldEqual, 1)
 		})
 
 		Convey("an agent that leaves during an outage stores its answer first", func() {
 			answered := s.startRun("entry-2", "leaving", `"leaving"`)
-			s.storeFaults(fault.Faults{Down: true})
+			s.injectStoreFaults(fault.Faults{Down: true})
 			first := <-answered
 			So(first.status, ShouldEqual, http.StatusOK)
-			s.Agents["certifications-1"].signal(syscall.SIGTERM)
+			s.agents["certifications-1"].signal(syscall.SIGTERM)
 			time.Sleep(time.Second)
-			s.storeFaults(fault.Faults{})
-			So(s.Agents["certifications-1"].wait(), ShouldBeNil)
+			s.injectStoreFaults(fault.Faults{})
+			So(s.agents["certifications-1"].wait(), ShouldBeNil)
 			So(s.stamp("entry-2", "leaving", `"leaving"`), ShouldResemble, first)
 		})
 	})
 }
 
 func TestKeyedWorkAgainstPausedAgent(t *testing.T) {
-	s := keyedSystem(t, 1500*time.Millisecond)
-	agent := s.Agents["certifications-1"]
+	s := newKeyedSystem(t, 1500*time.Millisecond)
+	agent := s.agents["certifications-1"]
 
 	Convey("Given an agent that is paused while work waits in its queue", t, func() {
-		Convey("a refusal of the repeat elsewhere stays true", func() {
+		Convey("a repeat that another entry refuses as not run is not run by the resumed agent", func() {
 			occupied := s.startRun("entry-1", "occupant-1", `"occupant-1"`)
 			waiting := s.stampAsync("entry-1", "trap", `"trap"`)
 			time.Sleep(queueTime)
@@ -270,9 +270,9 @@
 			So(refused.body, ShouldContainSubstring, `"not_run":true`)
 			So((<-occupied).status, ShouldEqual, http.StatusOK)
 			So((<-waiting).body, ShouldContainSubstring, `"not_run":true`)
-			So(s.runsOf(`"trap"`), ShouldEqual, 0)
+			So(s.countRuns(`"trap"`), ShouldEqual, 0)
 			So(s.stamp("entry-2", "trap", `"trap"`).status, ShouldEqual, http.StatusOK)
-			So(s.runsOf(`"trap"`), ShouldEqual, 1)
+			So(s.countRuns(`"trap"`), ShouldEqual, 1)
 		})
 
 		Convey("a run that outlasts a pause of its agent is answered", func() {
@@ -283,12 +283,12 @@
 			first := <-waiting
 			So(first.status, ShouldEqual, http.StatusOK)
 			So(s.stamp("entry-2", "paused", `"paused"`), ShouldResemble, first)
-			So(s.runsOf(`"paused"`), ShouldEqual, 1)
+			So(s.countRuns(`"paused"`), ShouldEqual, 1)
 		})
 
-		Convey("past the entry's patience the work runs once, or was truly not run", func() {
+		Convey("after the entry has given up on the agent, the work runs once or is correctly reported as not run", func() {
 			s.addBackend("certifications-2", "dc-2", "service")
-			other := s.Agents["certifications-2"]
+			other := s.agents["certifications-2"]
 			other.signal(syscall.SIGSTOP)
 			occupied := s.startRun("entry-1", "occupant-2", `"occupant-2"`)
 			waiting := s.stampAsync("entry-1", "moved", `"moved"`)
@@ -297,23 +297,23 @@
 			agent.signal(syscall.SIGSTOP)
 			moved := <-waiting
 			agent.signal(syscall.SIGCONT)
-			ran := s.runsOf(`"moved"`)
-			t.Logf("the waiting caller got %d %s", moved.status, moved.code())
+			ran := s.countRuns(`"moved"`)
+			t.Logf("reply to the waiting caller: %d %s", moved.status, moved.code())
 			So(moved.status == http.StatusOK || ran == 0 && strings.Contains(moved.body, `"not_run":true`), ShouldBeTrue)
 			<-occupied
-			s.awaitStamp("entry-2", "moved", `"moved"`)
+			s.stampUntilOK("entry-2", "moved", `"moved"`)
 			So(moved.status != http.StatusOK || s.stamp("entry-2", "moved", `"moved"`) == moved, ShouldBeTrue)
-			So(s.runsOf(`"moved"`), ShouldEqual, 1)
-			So(s.runsOf(`"occupant-2"`), ShouldEqual, 1)
+			So(s.countRuns(`"moved"`), ShouldEqual, 1)
+			So(s.countRuns(`"occupant-2"`), ShouldEqual, 1)
 		})
 	})
 }
 
-// TestTableRequestsOfKeyedWork counts what a call costs the table service. The
-// reads include the processes' polling.
+// TestTableRequestsOfKeyedWork checks how many reads and writes of the table service a
+// call costs. The reads include the polling of the processes.
 func TestTableRequestsOfKeyedWork(t *testing.T) {
 	const calls = 20
-	s := keyedSystem(t, time.Millisecond)
+	s := newKeyedSystem(t, time.Millisecond)
 	s.addBackend("registry-1", "dc-1", "service", "--work-time", "1ms")
 	s.addBackend("engine-1", "dc-1", "engine", "--token-time", "1ms")
 	cost := func(name string, work func(call int)) (reads, writes float64) {
@@ -324,7 +324,7 @@
 		}
 		s.getJSON(s.storeURL+"/counts", &after)
 		reads, writes = float64(after.Reads-before.Reads)/calls, float64(after.Writes-before.Writes)/calls
-		t.Logf("%s: %.2f reads and %.2f writes a call, polling included", name, reads, writes)
+		t.Logf("%s: %.2f reads and %.2f writes per call, including polling", name, reads, writes)
 		return reads, writes
 	}
 	s.await("idempotent work", func() bool {
@@ -353,15 +353,15 @@
 		So(reads, ShouldBeLessThan, 1)
 	})
 
-	Convey("Given no backend server, refusals write within their budget and promise nothing beyond it", t, func() {
-		s.Agents["certifications-1"].kill()
-		told := map[string]int{}
-		begun := time.Now()
+	Convey("Given no backend server, refusals write only within their budget and are answered key_state_unknown beyond it", t, func() {
+		s.agents["certifications-1"].kill()
+		codes := map[string]int{}
+		started := time.Now()
 		_, writes := cost("refusal", func(call int) {
-			told[s.stamp("entry-1", fmt.Sprint("refused-", call), `"refused"`).code()]++
+			codes[s.stamp("entry-1", fmt.Sprint("refused-", call), `"refused"`).code()]++
 		})
-		t.Logf("refusals in %v: %v", time.Since(begun), told)
-		So(told["no_backend_server"]+told["key_state_unknown"], ShouldEqual, calls)
-		So(writes*calls, ShouldEqual, told["no_backend_server"])
+		t.Logf("refusals in %v: %v", time.Since(started), codes)
+		So(codes["no_backend_server"]+codes["key_state_unknown"], ShouldEqual, calls)
+		So(writes*calls, ShouldEqual, codes["no_backend_server"])
 	})
 }
--- a/server/e2e/path_test.go
+++ b/server/e2e/path_test.go
@@ -16,6 +16,7 @@
 	"persimmonwind.dev/server/standin/service"
 )
 
+// wantAnswer returns the text that a stand-in engine generates for the prompt.
 func wantAnswer(prompt string, tokens int) string {
 	var text strings.Builder
 	for index := range tokens {
@@ -39,7 +40,7 @@
 		}
 		want := wantAnswer("user: Check this recipe.\n", 20)
 
-		Convey("a well-known client gets a whole chat answer with its usage", func() {
+		Convey("the OpenAI client gets a complete chat answer with its usage", func() {
 			answer, err := client.Chat.Completions.New(context.Background(), params)
 			So(err, ShouldBeNil)
 			So(answer.Choices[0].Message.Content, ShouldEqual, want)
@@ -63,7 +64,7 @@
 			So(page.Data[0].ID, ShouldEqual, "soap-assistant")
 		})
 
-		Convey("it understands an error", func() {
+		Convey("it decodes an error", func() {
 			params.Model = "no-such-model"
 			_, err := client.Chat.Completions.New(context.Background(), params)
 			var coded *openai.Error
@@ -82,10 +83,10 @@
 		})
 	})
 
-	for name, p := range map[string]*process{"entry": s.Entries["entry-1"], "agent": s.Agents["engine-1"]} {
+	for name, p := range map[string]*process{"entry": s.entries["entry-1"], "agent": s.agents["engine-1"]} {
 		p.signal(syscall.SIGTERM)
 		if err := p.wait(); err != nil {
-			t.Errorf("%s did not stop clean on SIGTERM: %v\n%s", name, err, p.log.String())
+			t.Errorf("%s did not exit cleanly after SIGTERM: %v\n%s", name, err, p.log.String())
 		}
 	}
 }
--- a/server/e2e/processes_test.go
+++ b/server/e2e/processes_test.go
@@ -52,8 +52,8 @@
 type process struct {
 	t       *testing.T
 	command *exec.Cmd
-	exited  chan struct{} // Closed once the process has ended.
-	err     error         // How it ended; valid after exited is closed.
+	exited  chan struct{} // Closed once the process has exited.
+	err     error         // Result of Wait; valid once exited is closed.
 	log     lockedBuffer
 }
 
@@ -80,56 +80,56 @@
 	}
 }
 
-// signalAgain sends the signal to a process that leaves because of the first one; it
-// may end at any moment.
-func (p *process) signalAgain(signal syscall.Signal) {
+// signalIfRunning sends the signal to a process that may already have exited because
+// of an earlier one.
+func (p *process) signalIfRunning(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.command.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		p.t.Fatalf("signal %v: %v", signal, err)
 	}
 }
 
-// kill ends the process at once, also when it is stopped.
+// kill kills the process, even if it is suspended, and waits for its exit.
 func (p *process) kill() {
 	_ = p.command.Process.Kill()
 	<-p.exited
 }
 
-// wait waits for the process to end by itself and returns how it ended.
+// wait waits up to stopTimeout for the process to exit by itself and returns the
+// result of its Wait.
 func (p *process) wait() error {
 	select {
 	case <-p.exited:
 		return p.err
 	case <-time.After(stopTimeout):
-		return errors.New("process did not end in time")
+		return errors.New("process did not exit within the stop timeout")
 	}
 }
 
-// system is a whole system as separate processes.
+// system is a complete system of separate processes.
 type system struct {
-	t         *testing.T
-	store     *httpapi.Store
-	storeURL  string
-	Store     *process
-	Entries   map[string]*process
-	Agents    map[string]*process // By backend server.
-	Backends  map[string]*process // By backend server.
-	callers   map[string]string   // Entry to its base URL for callers.
-	admin     map[string]string   // Entry to its base URL for operators.
-	backend   map[string]string   // Backend server to its base URL.
-	traffic   map[string]string   // Backend server to its agent's traffic address.
-	transport *http.Transport
-	keys      keys.Files
-	peers     []string // Control addresses of the entries.
+	t           *testing.T
+	store       *httpapi.Store
+	storeURL    string
+	Store       *process
+	entries     map[string]*process
+	agents      map[string]*process // By backend server.
+	backends    map[string]*process // By backend server.
+	callers     map[string]string   // By entry: base URL for callers.
+	admin       map[string]string   // By entry: base URL for operators.
+	backendURLs map[string]string   // By backend server: its base URL.
+	traffic     map[string]string   // By backend server: traffic address of its agent.
+	transport   *http.Transport
+	keys        keys.Files
+	peers       []string // Control addresses of the entries.
 }
 
-// newSystem starts a store with the embedded development configuration and
-// nothing else.
+// newSystem starts only a store, with the embedded development configuration.
 func newSystem(t *testing.T) *system {
 	s := &system{
 		t: t, transport: httpapi.NewTransport(),
-		Entries: map[string]*process{}, Agents: map[string]*process{}, Backends: map[string]*process{},
-		callers: map[string]string{}, admin: map[string]string{}, backend: map[string]string{}, traffic: map[string]string{},
+		entries: map[string]*process{}, agents: map[string]*process{}, backends: map[string]*process{},
+		callers: map[string]string{}, admin: map[string]string{}, backendURLs: map[string]string{}, traffic: map[string]string{},
 	}
 	generated, err := keys.Generate()
 	if err != nil {
@@ -162,14 +162,15 @@
 	}
 }
 
-// addBackend starts a stand-in backend server of the kind and its agent.
+// addBackend starts a stand-in backend server of the kind and its agent, and waits
+// until the agent is ready.
 func (s *system) addBackend(name, dataCentre, kind string, options ...string) {
 	s.t.Helper()
 	address := freeAddress(s.t)
-	s.backend[name] = "http://" + address
+	s.backendURLs[name] = "http://" + address
 	arguments := append([]string{"standin", kind, "--listen", address}, options...)
-	s.Backends[name] = start(s.t, arguments...)
-	s.awaitOK(s.backend[name] + "/faults")
+	s.backends[name] = start(s.t, arguments...)
+	s.awaitOK(s.backendURLs[name] + "/faults")
 	s.startAgent(name, dataCentre, kind)
 }
 
@@ -178,8 +179,8 @@
 	s.awaitOK("http://" + s.launchAgent(name, dataCentre, kind) + "/readyz")
 }
 
-// launchAgent starts the backend server's agent, which need not become ready,
-// and returns the address of its health server.
+// launchAgent starts the agent of the backend server without waiting for it to become
+// ready, and returns the address of its health endpoint.
 func (s *system) launchAgent(name, dataCentre, kind string) string {
 	s.t.Helper()
 	control, traffic, health := freeAddress(s.t), freeAddress(s.t), freeAddress(s.t)
@@ -191,13 +192,13 @@
 	})
 	path := s.writeSettings(id, settings.Agent{
 		Process: settings.Process{ID: id, DataCentre: dataCentre, Control: control, Store: s.storeURL, TLS: s.keys, LeaveDelayMS: leaveDelayMS, Peers: s.peers},
-		Traffic: traffic, Health: health, BackendServer: name, Kind: kind, Backend: s.backend[name],
+		Traffic: traffic, Health: health, BackendServer: name, Kind: kind, Backend: s.backendURLs[name],
 	})
-	s.Agents[name] = start(s.t, "agent", "--settings", path)
+	s.agents[name] = start(s.t, "agent", "--settings", path)
 	return health
 }
 
-// addEntry starts an entry instance.
+// addEntry starts an entry instance and waits until it is ready.
 func (s *system) addEntry(id, dataCentre string) {
 	s.t.Helper()
 	control, callers, admin := freeAddress(s.t), freeAddress(s.t), freeAddress(s.t)
@@ -210,7 +211,7 @@
 	})
 	s.peers = append(s.peers, control)
 	s.callers[id], s.admin[id] = "http://"+callers, "http://"+admin
-	s.Entries[id] = start(s.t, "entry", "--settings", path)
+	s.entries[id] = start(s.t, "entry", "--settings", path)
 	s.awaitOK(s.callers[id] + "/readyz")
 }
 
@@ -219,7 +220,7 @@
 	s.put(s.storeURL+"/instances/"+instance.ID, instance)
 }
 
-// put sends the value as JSON with PUT; it serves /faults as well.
+// put sends the value as JSON in a PUT request, to /instances or /faults.
 func (s *system) put(url string, value any) {
 	s.t.Helper()
 	body, err := json.Marshal(value)
@@ -250,7 +251,7 @@
 	return path
 }
 
-// awaitOK waits until the URL answers with status 200.
+// awaitOK waits until a GET of the URL returns status 200.
 func (s *system) awaitOK(url string) {
 	s.t.Helper()
 	s.await("status 200 of "+url, func() bool {
@@ -263,19 +264,20 @@
 	})
 }
 
-// await waits until the condition holds.
+// await polls the condition until it holds and fails the test after readyTimeout.
 func (s *system) await(what string, condition func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(readyTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("%s did not come within %v", what, readyTimeout)
+			s.t.Fatalf("timed out waiting for %s after %v", what, readyTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// post sends one caller's request and returns the status and the body.
+// post sends a caller's request to the entry and returns the status and the body of
+// the response. Headers are pairs of name and value.
 func (s *system) post(entry, path, body string, headers ...string) (int, string) {
 	s.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, s.callers[entry]+path, bytes.NewBufferString(body))
@@ -298,8 +300,8 @@
 	return response.StatusCode, string(answer)
 }
 
-// Ports for the processes lie below the range that the system gives to
-// outgoing connections, so that none is taken between the choice and its use.
+// The ports of the processes lie below the ephemeral port range, so that no outgoing
+// connection takes a port between its choice and its use.
 const (
 	firstPort = 20000
 	lastPort  = 32000
@@ -307,7 +309,7 @@
 
 var nextPort = firstPort + os.Getpid()%40*300
 
-// freeAddress returns a loopback address that no other process listens on.
+// freeAddress returns a loopback address on which no process is listening.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range lastPort - firstPort {
--- a/server/e2e/retries_test.go
+++ b/server/e2e/retries_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Half of the engines are killed under load: the attempts per request stay
-// under the bound, and the rest goes on answering.
+// TestHalfOfTheEnginesKilled kills one of two engines under load. It guards against
+// retries that multiply the load on the remaining engine: the attempts per request stay
+// under a limit, and the remaining engine goes on answering.
 func TestHalfOfTheEnginesKilled(t *testing.T) {
 	const maxAttemptsPerRequest = 1.2
 	s := newSystem(t)
@@ -19,31 +20,31 @@
 	}
 	load := s.startLoad(6)
 	time.Sleep(3 * time.Second)
-	s.Backends["engine-2"].kill()
-	answered, begun, requests := load.answered.Load(), s.started("engine-1"), load.finished()
+	s.backends["engine-2"].kill()
+	answered, attempts, requests := load.answered.Load(), s.startedGenerations("engine-1"), load.finished()
 	time.Sleep(3 * time.Second)
-	begun, requests = s.started("engine-1")-begun, load.finished()-requests
+	attempts, requests = s.startedGenerations("engine-1")-attempts, load.finished()-requests
 	load.stop()
-	t.Logf("%d attempts at the engine that is left for %d requests; %d answered, %d refused, %d broken in all",
-		begun, requests, load.answered.Load(), load.refused.Load(), load.broken.Load())
+	t.Logf("%d attempts at the remaining engine for %d requests; in total %d answered, %d refused, %d failed",
+		attempts, requests, load.answered.Load(), load.refused.Load(), load.failed.Load())
 	if load.answered.Load() == answered {
-		t.Error("nothing was answered after the kill")
+		t.Error("no request was answered after the kill")
 	}
-	if float64(begun) >= maxAttemptsPerRequest*float64(requests) {
-		t.Errorf("%d attempts for %d requests", begun, requests)
+	if float64(attempts) >= maxAttemptsPerRequest*float64(requests) {
+		t.Errorf("%d attempts at the remaining engine for %d requests", attempts, requests)
 	}
-	if load.wrong.Load() != 0 {
-		t.Errorf("%d answers were not whole", load.wrong.Load())
+	if load.incorrect.Load() != 0 {
+		t.Errorf("%d answers were incomplete or wrong", load.incorrect.Load())
 	}
 }
 
-// started returns how many generations the engine has begun.
-func (s *system) started(name string) int64 {
+// startedGenerations returns how many generations the engine has started.
+func (s *system) startedGenerations(name string) int64 {
 	s.t.Helper()
-	return int64(s.number(s.backend[name] + "/test/started"))
+	return int64(s.number(s.backendURLs[name] + "/test/started"))
 }
 
-// finished counts the requests that were answered in any way.
+// finished returns the number of requests that have ended, whatever their outcome.
 func (l *load) finished() int64 {
-	return l.answered.Load() + l.refused.Load() + l.broken.Load() + l.wrong.Load()
+	return l.answered.Load() + l.refused.Load() + l.failed.Load() + l.incorrect.Load()
 }
