--- a/ctl/wholepath/doc.go
+++ b/ctl/wholepath/doc.go
@@ -1,5 +1,6 @@
-// Package wholepath measures a whole system of separate processes on loopback:
-// what an entry and an agent add to a request, what one entry carries, and the
-// slopes of each process's memory, processor time and messages. It holds
-// benchmarks only; docs/measurements names the command for each figure.
+// Package wholepath benchmarks a complete system of separate processes on loopback:
+// the latency that an entry and an agent add to a request, the throughput of one entry,
+// and how the memory, processor time and messages of each process grow with the load
+// and the configuration. It holds benchmarks only; docs/measurements gives the command
+// for each figure.
 package wholepath
--- a/ctl/wholepath/path_test.go
+++ b/ctl/wholepath/path_test.go
@@ -15,27 +15,27 @@
 )
 
 var (
-	rate         = flag.Float64("rate", 2700, "requests a second in all")
-	direct       = flag.Float64("direct", 0.05, "share of requests that go straight to the engines")
-	engines      = flag.Int("engines", 8, "model engines, each with its agent")
-	tokens       = flag.Int("tokens", 370, "tokens of each answer")
-	pieceTokens  = flag.Int("piece-tokens", 16, "tokens in each event of a stream")
-	tokenTime    = flag.Duration("token-time", 2*time.Millisecond, "time between two tokens of the stand-in engines")
-	duration     = flag.Duration("duration", 12*time.Second, "time during which requests arrive")
-	warmUp       = flag.Duration("warm-up", 3*time.Second, "first part of the duration, not counted")
-	seed         = flag.Uint64("seed", 1, "seed of arrivals and requests")
-	processors   = flag.Int("processors", 10, "processors that each process may use at a time, as on a small instance")
-	frozen       = flag.Int("frozen", 0, "agents that are stopped by SIGSTOP before the requests arrive")
-	secure       = flag.Bool("tls", true, "TLS between the system's processes")
-	profileTo    = flag.String("profiles", "", "directory for processor profiles of each process")
-	profileAfter = 2 * time.Second
+	rate             = flag.Float64("rate", 2700, "total requests per second")
+	directShare      = flag.Float64("direct", 0.05, "share of requests sent directly to the engines")
+	engines          = flag.Int("engines", 8, "number of model engines, each with its agent")
+	tokens           = flag.Int("tokens", 370, "tokens per answer")
+	pieceTokens      = flag.Int("piece-tokens", 16, "tokens per event of a stream")
+	tokenTime        = flag.Duration("token-time", 2*time.Millisecond, "time between two tokens of the stand-in engines")
+	duration         = flag.Duration("duration", 12*time.Second, "time during which requests arrive")
+	warmUp           = flag.Duration("warm-up", 3*time.Second, "initial part of the duration that is not counted")
+	seed             = flag.Uint64("seed", 1, "random seed of arrivals and requests")
+	processors       = flag.Int("processors", 10, "GOMAXPROCS of each process, as on a small instance")
+	frozenAgents     = flag.Int("frozen", 0, "number of agents suspended by SIGSTOP before the requests arrive")
+	useTLS           = flag.Bool("tls", true, "TLS between the system's processes")
+	profileDirectory = flag.String("profiles", "", "directory for processor profiles of the entry, the first agent and the first engine")
+	profileDelay     = 2 * time.Second
 )
 
 func loadOptions(s *system) load.Options {
 	options := load.DefaultOptions()
 	options.Entries = []string{s.entryURL}
 	options.Engines = s.engineURLs
-	options.Direct = *direct
+	options.Direct = *directShare
 	options.Keys = []string{key}
 	options.Seed = *seed
 	options.Arrivals = load.Arrivals{Shape: load.Poisson, Rate: *rate}
@@ -46,21 +46,22 @@
 	return options
 }
 
-// BenchmarkWholePath sends chats through one entry and its agents, and a share
-// of them straight to the stand-in engines, in one run.
+// BenchmarkWholePath sends chats through one entry and its agents and, in the same run,
+// a share of them directly to the stand-in engines. The difference is the latency that
+// the system adds.
 func BenchmarkWholePath(b *testing.B) {
 	for range b.N {
-		s := startSystem(b, size{engines: *engines},
+		s := startSystem(b, systemSize{engines: *engines},
 			"--tokens-per-piece", fmt.Sprint(*pieceTokens), "--token-time", tokenTime.String())
-		s.freeze(b, *frozen)
+		s.freezeAgents(b, *frozenAgents)
 		before := usages(b, s)
-		saved := s.saveProfiles(b)
+		waitForProfiles := s.saveProfiles(b)
 		started := time.Now()
 		result, err := load.Run(context.Background(), loadOptions(s), nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		saved()
+		waitForProfiles()
 		var text strings.Builder
 		if err := result.Report().WriteText(&text); err != nil {
 			b.Fatal(err)
@@ -82,8 +83,9 @@
 	}
 }
 
-// freeze stops the last agents without a word to anybody.
-func (s *system) freeze(b *testing.B, count int) {
+// freezeAgents suspends the last count agents by SIGSTOP, without notice to any other
+// process.
+func (s *system) freezeAgents(b *testing.B, count int) {
 	b.Helper()
 	for _, p := range s.agents[len(s.agents)-count:] {
 		if err := p.command.Process.Signal(syscall.SIGSTOP); err != nil {
@@ -92,17 +94,18 @@
 	}
 }
 
-// saveProfiles profiles every process during the run, if asked to.
+// saveProfiles starts to record processor profiles of the entry, the first agent and
+// the first engine if -profiles is set. The returned function waits for their end.
 func (s *system) saveProfiles(b *testing.B) (wait func()) {
 	b.Helper()
-	if *profileTo == "" {
+	if *profileDirectory == "" {
 		return func() {}
 	}
 	var group sync.WaitGroup
 	for _, p := range []*process{s.entry, s.agents[0], s.engines[0]} {
 		group.Go(func() {
-			time.Sleep(profileAfter)
-			if err := p.saveProfile(*profileTo, int((*duration - profileAfter).Seconds())); err != nil {
+			time.Sleep(profileDelay)
+			if err := p.saveProfile(*profileDirectory, int((*duration - profileDelay).Seconds())); err != nil {
 				b.Errorf("profile %s: %v", p.name, err)
 			}
 		})
@@ -110,7 +113,7 @@
 	return group.Wait
 }
 
-// usages returns what each role has used, and this process as "client".
+// usages returns the resources used so far by role; "client" is this process.
 func usages(b *testing.B, s *system) map[string]usage {
 	b.Helper()
 	sums := map[string]usage{"client": usageOf(b, os.Getpid())}
@@ -127,7 +130,7 @@
 	return sums
 }
 
-// usageTable shows what each role used since before.
+// usageTable formats the resources that each role has used since before.
 func usageTable(b *testing.B, s *system, before map[string]usage, elapsed time.Duration) string {
 	b.Helper()
 	after := usages(b, s)
--- a/ctl/wholepath/processes_test.go
+++ b/ctl/wholepath/processes_test.go
@@ -19,8 +19,8 @@
 const (
 	readyTimeout = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
-	stopTimeout  = 5 * time.Second // Longer than a process without work takes.
-	clockTicks   = 100             // Of /proc/PID/stat, a second.
+	stopTimeout  = 5 * time.Second // Longer than an idle process takes to exit.
+	clockTicks   = 100             // Per second, in /proc/PID/stat.
 )
 
 // buildBinary builds persimmonwind once for the benchmark.
@@ -36,16 +36,16 @@
 
 // process is one running process of the system.
 type process struct {
-	name     string
-	command  *exec.Cmd
-	profiles string // host:port of the runtime's profiles.
-	stopOnce sync.Once
+	name           string
+	command        *exec.Cmd
+	profileAddress string // host:port of the pprof endpoint.
+	stopOnce       sync.Once
 }
 
 func startProcess(b *testing.B, binary, name string, arguments ...string) *process {
 	b.Helper()
-	p := &process{name: name, profiles: freeAddress(b)}
-	p.command = exec.Command(binary, append([]string{"--pprof", p.profiles}, arguments...)...)
+	p := &process{name: name, profileAddress: freeAddress(b)}
+	p.command = exec.Command(binary, append([]string{"--pprof", p.profileAddress}, arguments...)...)
 	log, err := os.Create(filepath.Join(b.TempDir(), name+".log"))
 	if err != nil {
 		b.Fatal(err)
@@ -59,23 +59,23 @@
 	return p
 }
 
-// stop ends the process; it may be called again.
+// stop stops the process. Further calls do nothing.
 func (p *process) stop() {
-	p.stopOnce.Do(p.end)
+	p.stopOnce.Do(p.terminate)
 }
 
-func (p *process) end() {
+func (p *process) terminate() {
 	_ = p.command.Process.Signal(syscall.SIGTERM)
 	killer := time.AfterFunc(stopTimeout, func() { _ = p.command.Process.Kill() })
 	defer killer.Stop()
 	_ = p.command.Wait()
 }
 
-// usage is what a process has used since its start.
+// usage is the resources that a process has used since its start.
 type usage struct {
 	cpu      time.Duration
-	bytes    int64 // Read and written by system calls, sockets included.
-	resident int64 // Bytes of memory now.
+	bytes    int64 // Read and written by system calls, including sockets.
+	resident int64 // Current resident memory in bytes.
 }
 
 func (u usage) since(earlier usage) usage {
@@ -105,18 +105,18 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	const userField, systemField = 11, 12 // After the command's name.
+	const userField, systemField = 11, 12 // Indices of utime and stime among the fields after the command name.
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
 	user, userErr := strconv.Atoi(fields[userField])
 	system, systemErr := strconv.Atoi(fields[systemField])
 	if userErr != nil || systemErr != nil {
-		b.Fatalf("malformed %s: %s", path, text)
+		b.Fatalf("malformed processor times in %s: %s", path, text)
 	}
 	return time.Duration(user+system) * time.Second / clockTicks
 }
 
-// procFields reads a file of "name: number" lines.
+// procFields returns the numbers in a file of "name: number" lines.
 func procFields(b *testing.B, path string) map[string]int64 {
 	b.Helper()
 	text, err := os.ReadFile(path)
@@ -136,9 +136,10 @@
 	return fields
 }
 
-// saveProfile saves the processor profile of the next seconds.
+// saveProfile records a processor profile over the given number of seconds and writes
+// it to the directory.
 func (p *process) saveProfile(directory string, seconds int) error {
-	response, err := http.Get(fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", p.profiles, seconds))
+	response, err := http.Get(fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", p.profileAddress, seconds))
 	if err != nil {
 		return err
 	}
@@ -152,7 +153,8 @@
 	return err
 }
 
-// freeAddress returns a loopback address that was free a moment ago.
+// freeAddress returns a loopback address on which no process was listening a moment
+// ago.
 func freeAddress(b *testing.B) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -163,7 +165,7 @@
 	return listener.Addr().String()
 }
 
-// awaitOK waits until the URL answers with status 200.
+// awaitOK waits until a GET of the URL returns status 200.
 func awaitOK(b *testing.B, url string) {
 	b.Helper()
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
--- a/ctl/wholepath/system_test.go
+++ b/ctl/wholepath/system_test.go
@@ -25,20 +25,21 @@
 	service      = "certifications"
 	operation    = "stamp"
 	key          = "load-key"
-	engineLimit  = 8192 // Generations at a time; never the bound here.
-	orgRate      = 1e6  // Requests a second; never the bound here.
-	orgLimit     = 1e5  // Requests at a time; never the bound here.
+	engineLimit  = 8192 // Concurrent generations; high enough never to be reached.
+	orgRate      = 1e6  // Requests per second; high enough never to be reached.
+	orgLimit     = 1e5  // Concurrent requests; high enough never to be reached.
 	dataCentre   = "dc-1"
 	entryName    = "entry-1"
 	leaveDelayMS = 1
-	warmRequests = 1 // Completed generations until a stand-in engine is warm.
+	warmRequests = 1 // Completed generations after which a stand-in engine is warm.
 )
 
-// size is what the configuration of a system holds.
-type size struct {
+// systemSize gives the numbers of backend servers and organisations in the
+// configuration of a system.
+type systemSize struct {
 	engines       int // Running, each with its agent.
 	services      int // Running plain services, each with its agent.
-	idleServers   int // Only in the configuration and the instance list.
+	idleServers   int // Not running; only in the configuration and the instance list.
 	organisations int
 }
 
@@ -51,34 +52,34 @@
 
 	services []*process
 
-	keys       keys.Files // Between the system's processes; none without -tls.
+	keys       keys.Files // For TLS between the processes; empty without -tls.
 	storeURL   string
 	entryURL   string
 	engineURLs []string
 }
 
-func startSystem(b *testing.B, sized size, engineFlags ...string) *system {
+func startSystem(b *testing.B, size systemSize, engineFlags ...string) *system {
 	b.Helper()
 	binary := buildBinary(b)
 	address := freeAddress(b)
 	s := &system{storeURL: "http://" + address}
 	s.store = startProcess(b, binary, "store", "standin", "store", "--listen", address)
 	awaitOK(b, s.storeURL+"/counts")
-	s.apply(b, configuration(sized))
-	if *secure {
+	s.apply(b, configuration(size))
+	if *useTLS {
 		s.keys = newKeys(b)
 	}
 	limits := []string{
 		"--full-limit", fmt.Sprint(engineLimit), "--cold-limit", fmt.Sprint(engineLimit), "--warm-after", fmt.Sprint(warmRequests),
 	}
-	for index := range sized.engines {
+	for index := range size.engines {
 		s.addBackend(b, binary, engineName(index), settings.KindEngine, append(limits, engineFlags...))
 	}
-	for index := range sized.services {
+	for index := range size.services {
 		s.addBackend(b, binary, serviceName(index), settings.KindService, nil)
 	}
-	for index := range sized.idleServers {
-		s.addIdle(b, index)
+	for index := range size.idleServers {
+		s.addIdleAgent(b, index)
 	}
 	s.addEntry(b, binary)
 	return s
@@ -112,7 +113,7 @@
 
 func idleName(index int) string { return fmt.Sprintf("idle-%d", index+1) }
 
-func configuration(sized size) config.Files {
+func configuration(size systemSize) config.Files {
 	var servers []map[string]any
 	add := func(name string, extra map[string]any) {
 		server := map[string]any{"name": name, "data_centre": dataCentre, "full_limit": engineLimit, "cold_limit": engineLimit}
@@ -121,17 +122,17 @@
 		}
 		servers = append(servers, server)
 	}
-	for index := range sized.engines {
+	for index := range size.engines {
 		add(engineName(index), map[string]any{"model": model})
 	}
-	for index := range sized.services {
+	for index := range size.services {
 		add(serviceName(index), map[string]any{"service": service})
 	}
-	for index := range sized.idleServers {
+	for index := range size.idleServers {
 		add(idleName(index), map[string]any{"model": "other"})
 	}
 	var organisations []map[string]any
-	for index := range max(sized.organisations, 1) {
+	for index := range max(size.organisations, 1) {
 		name := key
 		if index > 0 {
 			name = fmt.Sprintf("%s-%d", key, index)
@@ -143,27 +144,28 @@
 		})
 	}
 	return config.Files{
-		config.FileDataCentres: file(map[string]any{"data_centres": []map[string]any{{"name": dataCentre, "region": "local"}}}),
-		config.FileWork: file(map[string]any{
+		config.FileDataCentres: marshalJSON(map[string]any{"data_centres": []map[string]any{{"name": dataCentre, "region": "local"}}}),
+		config.FileWork: marshalJSON(map[string]any{
 			"models": []map[string]any{{"name": model, "version": "1"}, {"name": "other", "version": "1"}},
 			"services": []map[string]any{{
 				"name": service, "operations": []map[string]any{{"name": operation, "idempotent": false, "timeout_ms": 10000}},
 			}},
 		}),
-		config.FileBackendServers: file(map[string]any{"backend_servers": servers}),
-		config.FileOrganisations:  file(map[string]any{"organisations": organisations}),
+		config.FileBackendServers: marshalJSON(map[string]any{"backend_servers": servers}),
+		config.FileOrganisations:  marshalJSON(map[string]any{"organisations": organisations}),
 	}
 }
 
-func file(value any) []byte {
+func marshalJSON(value any) []byte {
 	body, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // The values are literals above.
+		panic(err) // Cannot occur: all values are built in this file and encode as JSON.
 	}
 	return body
 }
 
-// addBackend starts a stand-in backend server and its agent.
+// addBackend starts a stand-in backend server and its agent and waits until both are
+// ready.
 func (s *system) addBackend(b *testing.B, binary, name, kind string, flags []string) {
 	b.Helper()
 	address := freeAddress(b)
@@ -193,8 +195,8 @@
 	awaitOK(b, "http://"+health+"/readyz")
 }
 
-// addIdle lists an agent that does not run.
-func (s *system) addIdle(b *testing.B, index int) {
+// addIdleAgent puts an agent that is not running into the instance list.
+func (s *system) addIdleAgent(b *testing.B, index int) {
 	b.Helper()
 	s.setInstance(b, ports.Instance{
 		ID: "agent-" + idleName(index), Role: ports.RoleAgent, DataCentre: dataCentre, BackendServer: idleName(index),
@@ -219,7 +221,7 @@
 
 func (s *system) setInstance(b *testing.B, instance ports.Instance) {
 	b.Helper()
-	request, err := http.NewRequest(http.MethodPut, s.storeURL+"/instances/"+instance.ID, bytes.NewReader(file(instance)))
+	request, err := http.NewRequest(http.MethodPut, s.storeURL+"/instances/"+instance.ID, bytes.NewReader(marshalJSON(instance)))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -233,7 +235,7 @@
 func writeSettings(b *testing.B, id string, value any) string {
 	b.Helper()
 	path := filepath.Join(b.TempDir(), id+".jsonc")
-	if err := os.WriteFile(path, file(value), 0o600); err != nil {
+	if err := os.WriteFile(path, marshalJSON(value), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	return path
@@ -244,7 +246,7 @@
 	return map[string][]*process{"entry": {s.entry}, "agent": s.agents, "engine": s.engines, "service": s.services, "store": {s.store}}
 }
 
-// stop ends every process before the benchmark does.
+// stop stops every process, so that the next system of the same benchmark runs alone.
 func (s *system) stop() {
 	var group sync.WaitGroup
 	for _, processes := range s.roles() {
