--- a/ctl/experiment/choice/policies.go
+++ b/ctl/experiment/choice/policies.go
@@ -24,7 +24,7 @@
 // policy chooses a server for the work; excluded servers were tried before.
 type policy interface {
 	name() string
-	choose(work model.Work, excluded map[int]bool) (decision, bool)
+	choose(work model.Request, excluded map[int]bool) (decision, bool)
 }
 
 // fleet is what the policies choose from.
@@ -52,7 +52,7 @@
 
 func (randomly) name() string { return "random" }
 
-func (p randomly) choose(_ model.Work, excluded map[int]bool) (decision, bool) {
+func (p randomly) choose(_ model.Request, excluded map[int]bool) (decision, bool) {
 	free := p.free(excluded)
 	if len(free) == 0 {
 		return decision{}, false
@@ -79,7 +79,7 @@
 
 func (*stale) name() string { return "least loaded, stale reports" }
 
-func (p *stale) choose(_ model.Work, excluded map[int]bool) (decision, bool) {
+func (p *stale) choose(_ model.Request, excluded map[int]bool) (decision, bool) {
 	free := p.free(excluded)
 	best, ties := -1, 0
 	for _, index := range free {
@@ -102,7 +102,7 @@
 
 func (twoChoices) name() string { return "power of two" }
 
-func (p twoChoices) choose(work model.Work, excluded map[int]bool) (decision, bool) {
+func (p twoChoices) choose(work model.Request, excluded map[int]bool) (decision, bool) {
 	free := p.free(excluded)
 	if len(free) == 0 {
 		return decision{}, false
@@ -123,7 +123,7 @@
 
 func (ours) name() string { return "persimmonwind" }
 
-func (p ours) choose(work model.Work, excluded map[int]bool) (decision, bool) {
+func (p ours) choose(work model.Request, excluded map[int]bool) (decision, bool) {
 	free := p.free(excluded)
 	names := make([]string, len(free))
 	for index, server := range free {
@@ -139,7 +139,7 @@
 		}
 	}
 	cost := len(asked) * probeBytes(len(work.Prompt.Blocks))
-	index, err := choose.Best(offers, work.Deadline, p.random.Uint64())
+	index, err := choose.Best(offers, work.Timeout, p.random.Uint64())
 	if err != nil && err.Code != result.OK {
 		return decision{bytes: cost}, false
 	}
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -49,13 +49,13 @@
 	running []float64 // Mean running work by server.
 }
 
-func engineShape(s scenario) model.Engine {
-	shape := model.Engine{
-		Full: 32, Cold: 4, WarmAfter: 8, Prefill: prefillTime, Token: stepTime, ColdFactor: 4,
+func engineShape(s scenario) model.EngineConfig {
+	shape := model.EngineConfig{
+		FullLimit: 32, ColdLimit: 4, WarmAfter: 8, PrefillTime: prefillTime, StepTime: stepTime, ColdPrefillFactor: 4,
 		CacheBlocks: 8192, ReportLag: 500 * time.Millisecond, EventLag: 200 * time.Millisecond,
 	}
 	if s.badEvents {
-		shape.EventLag, shape.EventLoss = 5*time.Second, 3
+		shape.EventLag, shape.EventLossInterval = 5*time.Second, 3
 	}
 	return shape
 }
@@ -109,7 +109,7 @@
 		}
 	})
 	if sc.slow {
-		clock.After(sz.length/2, func() { r.fleet.servers[0].Slow(slowness) })
+		clock.After(sz.length/2, func() { r.fleet.servers[0].SetSlowdown(slowness) })
 	}
 	if sc.surge {
 		clock.After(sz.length/3, func() { r.workload.surging = sz.orgs / 2 })
@@ -118,7 +118,7 @@
 }
 
 // request carries one request through up to maxAttempts attempts.
-func (r *runner) request(work model.Work) {
+func (r *runner) request(work model.Request) {
 	arrived := r.fleet.clock.Now()
 	counted := arrived >= warmUp
 	if counted {
@@ -149,9 +149,9 @@
 			r.fleet.clock.After(trip/2, func() { attempt(number + 1) })
 		}
 		r.fleet.clock.After(chosen.wait+trip/2, func() {
-			r.fleet.servers[chosen.server].Ask(work, model.Outcome{
+			r.fleet.servers[chosen.server].Submit(work, model.Callbacks{
 				Refused: func(*result.Error) { again() },
-				Begun: func(cached int) {
+				FirstToken: func(cached int) {
 					if counted {
 						r.begun(arrived, work, cached)
 					}
@@ -164,7 +164,7 @@
 	attempt(1)
 }
 
-func (r *runner) begun(arrived time.Duration, work model.Work, cached int) {
+func (r *runner) begun(arrived time.Duration, work model.Request, cached int) {
 	took := r.fleet.clock.Now() + trip/2 - arrived
 	r.figures.first = append(r.figures.first, float64(took.Microseconds())/1000)
 	r.figures.prompt += work.Prompt.Tokens
--- a/ctl/experiment/choice/workload.go
+++ b/ctl/experiment/choice/workload.go
@@ -69,14 +69,14 @@
 }
 
 // next draws one request.
-func (w *workload) next() model.Work {
+func (w *workload) next() model.Request {
 	org := w.org()
 	blocks := w.conversation(org)
 	tokens := len(blocks)*prefix.BlockTokens + tailTokens
-	return model.Work{
-		Org: orgName(org), Weight: 1, Deadline: deadline,
-		Prompt: prefix.Prompt{Tokens: tokens, Blocks: blocks},
-		Tokens: 1 + int(w.random.ExpFloat64()*(answerTokens-1)),
+	return model.Request{
+		Org: orgName(org), Weight: 1, Timeout: deadline,
+		Prompt:       prefix.Prompt{Tokens: tokens, Blocks: blocks},
+		AnswerTokens: 1 + int(w.random.ExpFloat64()*(answerTokens-1)),
 	}
 }
 
--- a/ctl/experiment/coldstart/run.go
+++ b/ctl/experiment/coldstart/run.go
@@ -75,15 +75,15 @@
 	clock.Run(length)
 	for _, server := range servers {
 		found.overloads += server.Overloads()
-		found.pressed += server.Pressed()
+		found.pressed += server.ColdStartsOverLimit()
 	}
 	return found
 }
 
-func shape(k kind) model.Engine {
-	return model.Engine{
-		Full: 32, Cold: 4, WarmAfter: 12, Prefill: 100 * time.Microsecond, Token: 27 * time.Millisecond,
-		ColdFactor: k.coldFactor, CacheBlocks: 4096, ReportLag: k.reportLag,
+func shape(k kind) model.EngineConfig {
+	return model.EngineConfig{
+		FullLimit: 32, ColdLimit: 4, WarmAfter: 12, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
+		ColdPrefillFactor: k.coldFactor, CacheBlocks: 4096, ReportLag: k.reportLag,
 	}
 }
 
@@ -119,24 +119,24 @@
 	arrive = func() {
 		found.asked++
 		server := servers[random.IntN(len(servers))]
-		server.Ask(draw(random), model.Outcome{
-			Refused: func(*result.Error) { found.refused++ },
-			Begun:   func(int) {},
-			Done:    func() { found.done++ },
-			Broken:  func() { found.broken++ },
+		server.Submit(draw(random), model.Callbacks{
+			Refused:    func(*result.Error) { found.refused++ },
+			FirstToken: func(int) {},
+			Done:       func() { found.done++ },
+			Broken:     func() { found.broken++ },
 		})
 		clock.After(time.Duration(random.ExpFloat64()/perEntry*float64(time.Second)), arrive)
 	}
 	clock.After(time.Duration(random.Int64N(int64(time.Second))), arrive)
 }
 
-func draw(random *rand.Rand) model.Work {
+func draw(random *rand.Rand) model.Request {
 	blocks := make([]uint64, promptBlock)
 	for index := range blocks {
 		blocks[index] = random.Uint64()
 	}
-	return model.Work{
-		Org: "org", Weight: 1, Deadline: deadline, Tokens: 10 + int(random.ExpFloat64()*meanAnswer),
+	return model.Request{
+		Org: "org", Weight: 1, Timeout: deadline, AnswerTokens: 10 + int(random.ExpFloat64()*meanAnswer),
 		Prompt: prefix.Prompt{Tokens: promptBlock * prefix.BlockTokens, Blocks: blocks},
 	}
 }
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -8,23 +8,23 @@
 	"persimmonwind.dev/policy/prefix"
 )
 
-// Engine shapes one model engine.
-type Engine struct {
-	Full        int           // Requests at a time when warm.
-	Cold        int           // Requests started in cold start that it bears at a time.
-	WarmAfter   int           // Requests completed until it is warm.
-	Prefill     time.Duration // For each prompt token not cached.
-	Token       time.Duration // One decode step.
-	ColdFactor  float64       // Slowness of a prefill in cold start.
-	CacheBlocks int
-	ReportLag   time.Duration
-	EventLag    time.Duration // Lag of cache events.
-	EventLoss   int           // One in this many batches of cache events is lost; 0 for none.
+// EngineConfig shapes one model engine.
+type EngineConfig struct {
+	FullLimit         int           // Requests at a time when warm.
+	ColdLimit         int           // Requests started in cold start that it bears at a time.
+	WarmAfter         int           // Requests completed until it is warm.
+	PrefillTime       time.Duration // For each prompt token not cached.
+	StepTime          time.Duration // One decode step.
+	ColdPrefillFactor float64       // Slowness of a prefill in cold start.
+	CacheBlocks       int
+	ReportLag         time.Duration
+	EventLag          time.Duration // Lag of cache events.
+	EventLossInterval int           // One in this many batches of cache events is lost; 0 for none.
 }
 
 // engine is the state of an Engine.
 type engine struct {
-	Engine
+	EngineConfig
 	clock       *Clock
 	slow        float64
 	boot        int
@@ -55,9 +55,9 @@
 	broken func()
 }
 
-func newEngine(clock *Clock, shape Engine) *engine {
-	e := &engine{Engine: shape, clock: clock, slow: 1, generations: map[uint64]*generation{}}
-	e.cache = newCache(shape.CacheBlocks, shape.EventLoss)
+func newEngine(clock *Clock, shape EngineConfig) *engine {
+	e := &engine{EngineConfig: shape, clock: clock, slow: 1, generations: map[uint64]*generation{}}
+	e.cache = newCache(shape.CacheBlocks, shape.EventLossInterval)
 	e.reboot()
 	return e
 }
@@ -88,10 +88,10 @@
 		e.clock.After(0, g.on.broken)
 		return
 	}
-	if e.cold && len(e.generations) >= e.Cold {
+	if e.cold && len(e.generations) >= e.ColdLimit {
 		e.pressed++
 	}
-	if e.cold && e.coldStarts >= e.Cold {
+	if e.cold && e.coldStarts >= e.ColdLimit {
 		e.overloads++
 		e.generations[g.ticket] = g
 		e.reboot()
@@ -103,9 +103,9 @@
 		e.coldStarts++
 	}
 	cached := min(e.cache.read(g.prompt.Blocks)*prefix.BlockTokens, g.prompt.Tokens)
-	work := time.Duration(float64(e.Prefill) * e.pace() * float64(g.prompt.Tokens-cached+prefix.BlockTokens))
+	work := time.Duration(float64(e.PrefillTime) * e.pace() * float64(g.prompt.Tokens-cached+prefix.BlockTokens))
 	if e.cold {
-		work = time.Duration(float64(work) * e.ColdFactor)
+		work = time.Duration(float64(work) * e.ColdPrefillFactor)
 	}
 	e.prefillFree = max(e.prefillFree, e.clock.Now()) + work
 	e.clock.After(e.prefillFree-e.clock.Now(), func() { e.begin(g, cached) })
@@ -119,7 +119,7 @@
 		return
 	}
 	g.on.begun(cached)
-	decode := time.Duration(float64(e.Token) * e.pace() * float64(g.tokens))
+	decode := time.Duration(float64(e.StepTime) * e.pace() * float64(g.tokens))
 	e.clock.After(decode, func() { e.finish(g) })
 }
 
--- a/ctl/experiment/model/oracle.go
+++ b/ctl/experiment/model/oracle.go
@@ -28,7 +28,7 @@
 
 func (v *Server) oracleRoom() bool {
 	if v.engine.cold {
-		return v.engine.coldStarts < v.engine.Cold
+		return v.engine.coldStarts < v.engine.ColdLimit
 	}
-	return len(v.engine.generations) < v.engine.Full
+	return len(v.engine.generations) < v.engine.FullLimit
 }
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -12,23 +12,23 @@
 // PollInterval is the time between two reads of an engine's report.
 const PollInterval = 100 * time.Millisecond
 
-// Work is one request.
-type Work struct {
-	Org      string
-	Weight   float64
-	Priority int
-	Prompt   prefix.Prompt
-	Tokens   int // Of the answer.
-	Deadline time.Duration
+// Request is one request.
+type Request struct {
+	Org          string
+	Weight       float64
+	Priority     int
+	Prompt       prefix.Prompt
+	AnswerTokens int // Of the answer.
+	Timeout      time.Duration
 }
 
-// Outcome tells how an attempt went; exactly one of Refused, Done and Broken
+// Callbacks tells how an attempt went; exactly one of Refused, Done and Broken
 // is called, Begun before Done.
-type Outcome struct {
-	Refused func(err *result.Error)
-	Begun   func(cachedTokens int)
-	Done    func()
-	Broken  func()
+type Callbacks struct {
+	Refused    func(err *result.Error)
+	FirstToken func(cachedTokens int)
+	Done       func()
+	Broken     func()
 }
 
 // Server is one backend server with its agent.
@@ -46,13 +46,13 @@
 }
 
 type asked struct {
-	work    Work
-	outcome Outcome
+	work    Request
+	outcome Callbacks
 	ticket  uint64
 }
 
 // NewServer returns a cold server. phase shifts its polls.
-func NewServer(clock *Clock, name string, shape Engine, phase time.Duration) *Server {
+func NewServer(clock *Clock, name string, shape EngineConfig, phase time.Duration) *Server {
 	v := &Server{
 		Name: name, clock: clock, engine: newEngine(clock, shape), started: clock.Time(),
 		asked: map[uint64]asked{}, offers: map[uint64]admission.Offer{},
@@ -64,7 +64,7 @@
 
 func (v *Server) configure() {
 	v.agent = admission.State{}.Configure(admission.Settings{
-		Full: v.engine.Full, Cold: v.engine.Cold, ReportsLoad: true,
+		Full: v.engine.FullLimit, Cold: v.engine.ColdLimit, ReportsLoad: true,
 	})
 }
 
@@ -79,8 +79,8 @@
 	return offer
 }
 
-// Ask asks the agent to run the work.
-func (v *Server) Ask(work Work, outcome Outcome) {
+// Submit asks the agent to run the work.
+func (v *Server) Submit(work Request, outcome Callbacks) {
 	v.next++
 	a := asked{work: work, outcome: outcome, ticket: v.next}
 	if v.fixed {
@@ -90,7 +90,7 @@
 	v.asked[a.ticket] = a
 	v.step(admission.Asked{
 		Ticket: a.ticket, Org: work.Org, Weight: work.Weight, Priority: work.Priority,
-		Deadline: v.clock.Time().Add(work.Deadline), Prompt: work.Prompt,
+		Deadline: v.clock.Time().Add(work.Timeout), Prompt: work.Prompt,
 	})
 }
 
@@ -122,10 +122,10 @@
 		}
 	}
 	v.engine.start(&generation{
-		ticket: a.ticket, prompt: a.work.Prompt, tokens: a.work.Tokens,
+		ticket: a.ticket, prompt: a.work.Prompt, tokens: a.work.AnswerTokens,
 		on: callbacks{
 			begun: func(cached int) {
-				a.outcome.Begun(cached)
+				a.outcome.FirstToken(cached)
 				tell(admission.Begun{Ticket: a.ticket})
 			},
 			done: func() {
@@ -176,12 +176,12 @@
 // Overloads returns how often the engine fell over in cold start.
 func (v *Server) Overloads() int { return v.engine.overloads }
 
-// Pressed returns how many requests were started in cold start while more
+// ColdStartsOverLimit returns how many requests were started in cold start while more
 // work ran than the cold limit, counting also work begun before the cold turn.
-func (v *Server) Pressed() int { return v.engine.pressed }
+func (v *Server) ColdStartsOverLimit() int { return v.engine.pressed }
 
-// Slow sets the engine's slowness; 1 is the usual.
-func (v *Server) Slow(factor float64) { v.engine.slow = factor }
+// SetSlowdown sets the engine's slowness; 1 is the usual.
+func (v *Server) SetSlowdown(factor float64) { v.engine.slow = factor }
 
 // TurnCold makes the engine cold without an announcement.
 func (v *Server) TurnCold() { v.engine.turnCold() }
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -109,10 +109,10 @@
 	return r.found
 }
 
-func shape() model.Engine {
-	return model.Engine{
-		Full: 32, Cold: 4, WarmAfter: 8, Prefill: 100 * time.Microsecond, Token: 27 * time.Millisecond,
-		ColdFactor: 4, CacheBlocks: 4096, ReportLag: 500 * time.Millisecond,
+func shape() model.EngineConfig {
+	return model.EngineConfig{
+		FullLimit: 32, ColdLimit: 4, WarmAfter: 8, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
+		ColdPrefillFactor: 4, CacheBlocks: 4096, ReportLag: 500 * time.Millisecond,
 	}
 }
 
@@ -133,13 +133,13 @@
 	r.clock.After(0, arrive)
 }
 
-func draw(random *rand.Rand) model.Work {
+func draw(random *rand.Rand) model.Request {
 	blocks := make([]uint64, promptBlocks)
 	for index := range blocks {
 		blocks[index] = random.Uint64()
 	}
-	return model.Work{
-		Org: "org", Weight: 1, Deadline: deadline, Tokens: 10 + int(random.ExpFloat64()*meanAnswer),
+	return model.Request{
+		Org: "org", Weight: 1, Timeout: deadline, AnswerTokens: 10 + int(random.ExpFloat64()*meanAnswer),
 		Prompt: prefix.Prompt{Tokens: promptBlocks * prefix.BlockTokens, Blocks: blocks},
 	}
 }
@@ -150,7 +150,7 @@
 	budget   *retry.Budget
 	arrived  time.Duration
 	counted  bool
-	work     model.Work
+	work     model.Request
 	excluded map[int]bool
 }
 
@@ -166,9 +166,9 @@
 	}
 	begun := false
 	r.clock.After(trip, func() {
-		r.servers[server].Ask(q.work, model.Outcome{
-			Refused: func(err *result.Error) { q.failed(number, server, err, false) },
-			Begun:   func(int) { begun = true },
+		r.servers[server].Submit(q.work, model.Callbacks{
+			Refused:    func(err *result.Error) { q.failed(number, server, err, false) },
+			FirstToken: func(int) { begun = true },
 			Done: func() {
 				if r.clock.Now() >= stopAt+settled {
 					r.found.done++
@@ -182,7 +182,7 @@
 func (q *request) failed(number, server int, err *result.Error, begun bool) {
 	attempt := retry.Attempt{
 		Number: number, Err: err, ResponseStarted: begun, Idempotent: true, Waited: q.runner.clock.Now() - q.arrived,
-		Remaining: q.work.Deadline - (q.runner.clock.Now() - q.arrived),
+		Remaining: q.work.Timeout - (q.runner.clock.Now() - q.arrived),
 	}
 	var again bool
 	if *q.budget, again = q.runner.policy.retries(*q.budget, attempt); !again {
