--- a/ctl/experiment/experiment.go
+++ b/ctl/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment declares named experiments: each compares policies over
-// the same seeds and reports tables and plots.
+// Package experiment defines named experiments, each of which compares policies
+// on the same seeds and reports tables and plots.
 package experiment
 
 import "context"
@@ -8,7 +8,7 @@
 type Options struct {
 	Seed  uint64 // First seed.
 	Seeds int    // Number of seeds.
-	Quick bool   // Smaller sizes, for a first look.
+	Quick bool   // Use smaller sizes, for a quick check.
 }
 
 // Experiment is one named comparison.
@@ -18,7 +18,7 @@
 	Run     func(ctx context.Context, options Options) (Report, error)
 }
 
-// Report is what an experiment found.
+// Report is the result of an experiment.
 type Report struct {
 	Title  string   `json:"title"`
 	Tables []Table  `json:"tables"`
@@ -26,7 +26,7 @@
 	Notes  []string `json:"notes,omitempty"`
 }
 
-// Table is a table of figures.
+// Table is a table of results, with every cell already formatted.
 type Table struct {
 	Title   string     `json:"title"`
 	Columns []string   `json:"columns"`
@@ -35,10 +35,10 @@
 
 // Plot is a line plot.
 type Plot struct {
-	Name   string   `json:"name"` // File name without its ending.
+	Name   string   `json:"name"` // File name without extension.
 	Title  string   `json:"title"`
-	XLabel string   `json:"x_label"` // With its unit.
-	YLabel string   `json:"y_label"` // With its unit.
+	XLabel string   `json:"x_label"` // Includes the unit.
+	YLabel string   `json:"y_label"` // Includes the unit.
 	LogX   bool     `json:"log_x,omitempty"`
 	LogY   bool     `json:"log_y,omitempty"`
 	Series []Series `json:"series"`
--- a/ctl/experiment/model/cache.go
+++ b/ctl/experiment/model/cache.go
@@ -6,49 +6,50 @@
 	"persimmonwind.dev/policy/prefix"
 )
 
-// cache is a least-recently-used set of prefix blocks that publishes events.
+// cache is a least-recently-used set of prefix blocks that records an event for
+// every block added or evicted.
 type cache struct {
-	capacity int
-	loss     int // One in this many batches of events is lost; 0 for none.
-	batches  int
-	order    *list.List
-	blocks   map[uint64]*list.Element
-	events   []prefix.Event
-	seq      uint64
+	capacity     int
+	lossInterval int // One in this many batches of events is lost; 0 loses none.
+	batches      int
+	lru          *list.List
+	blocks       map[uint64]*list.Element
+	events       []prefix.Event
+	seq          uint64
 }
 
-func newCache(capacity, loss int) *cache {
-	return &cache{capacity: capacity, loss: loss, order: list.New(), blocks: map[uint64]*list.Element{}}
+func newCache(capacity, lossInterval int) *cache {
+	return &cache{capacity: capacity, lossInterval: lossInterval, lru: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
 func (c *cache) len() int { return len(c.blocks) }
 
-func (c *cache) publish(block uint64, added bool) {
+func (c *cache) record(block uint64, added bool) {
 	c.seq++
 	c.events = append(c.events, prefix.Event{Seq: c.seq, Block: block, Added: added})
 }
 
 func (c *cache) clear() {
-	for c.order.Len() > 0 {
+	for c.lru.Len() > 0 {
 		c.evict()
 	}
 }
 
-// restart numbers the events anew.
-func (c *cache) restart() {
-	c.order.Init()
+// reset empties the cache without events and restarts the event numbering.
+func (c *cache) reset() {
+	c.lru.Init()
 	clear(c.blocks)
 	c.events, c.seq = nil, 0
 }
 
 func (c *cache) evict() {
-	block := c.order.Remove(c.order.Back()).(uint64)
+	block := c.lru.Remove(c.lru.Back()).(uint64)
 	delete(c.blocks, block)
-	c.publish(block, false)
+	c.record(block, false)
 }
 
-// read stores the blocks and returns how many leading ones were present.
-func (c *cache) read(blocks []uint64) int {
+// access stores the blocks and returns how many leading ones were cached.
+func (c *cache) access(blocks []uint64) int {
 	present, leading := 0, true
 	for _, block := range blocks {
 		element, found := c.blocks[block]
@@ -57,11 +58,11 @@
 			present++
 		}
 		if found {
-			c.order.MoveToFront(element)
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.blocks[block] = c.order.PushFront(block)
-		c.publish(block, true)
+		c.blocks[block] = c.lru.PushFront(block)
+		c.record(block, true)
 		if len(c.blocks) > c.capacity {
 			c.evict()
 		}
@@ -69,12 +70,13 @@
 	return present
 }
 
-// take returns the events since the last call; some batches are lost.
-func (c *cache) take() []prefix.Event {
+// drainEvents returns the events since the last call. Every lossInterval-th batch
+// is dropped.
+func (c *cache) drainEvents() []prefix.Event {
 	events := c.events
 	c.events = nil
 	c.batches++
-	if c.loss > 0 && c.batches%c.loss == 0 {
+	if c.lossInterval > 0 && c.batches%c.lossInterval == 0 {
 		return nil
 	}
 	return events
--- a/ctl/experiment/model/clock.go
+++ b/ctl/experiment/model/clock.go
@@ -1,6 +1,6 @@
-// Package model is a compact queueing model of backend servers: each has the
-// real admission policy in front of it, fed with what its engine shows. The
-// experiments draw workloads over it.
+// Package model is a discrete-event simulation of backend servers. Each simulated
+// engine is behind the real admission policy, which receives the engine's reports
+// and events. The experiments run random workloads on it.
 package model
 
 import (
@@ -8,29 +8,31 @@
 	"time"
 )
 
-// epoch is the time at which every run starts.
+// epoch is the wall-clock time at which every run starts.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// Clock runs functions in the order of their times.
+// Clock is a simulated clock that runs scheduled functions in the order of their
+// times.
 type Clock struct {
-	now   time.Duration
-	order uint64
-	queue callQueue
+	now     time.Duration
+	lastSeq uint64
+	queue   callQueue
 }
 
 // Now returns the time since the start of the run.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// Time returns the time as the policies see it.
+// Time returns the simulated wall-clock time, which the policies get as input.
 func (c *Clock) Time() time.Time { return epoch.Add(c.now) }
 
-// After runs the function when the time has passed.
+// After schedules the function to run after the wait.
 func (c *Clock) After(wait time.Duration, run func()) {
-	c.order++
-	heap.Push(&c.queue, call{at: c.now + max(0, wait), order: c.order, run: run})
+	c.lastSeq++
+	heap.Push(&c.queue, scheduledCall{at: c.now + max(0, wait), seq: c.lastSeq, run: run})
 }
 
-// Every runs the function at each interval, first after the phase.
+// Every schedules the function to run first after the phase, then at each
+// interval.
 func (c *Clock) Every(phase, interval time.Duration, run func()) {
 	c.After(phase, func() {
 		run()
@@ -38,30 +40,30 @@
 	})
 }
 
-// Run runs everything up to the time.
+// Run runs the functions scheduled up to the time and advances the clock to it.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
-		next := heap.Pop(&c.queue).(call)
+		next := heap.Pop(&c.queue).(scheduledCall)
 		c.now = next.at
 		next.run()
 	}
 	c.now = until
 }
 
-type call struct {
-	at    time.Duration
-	order uint64
-	run   func()
+type scheduledCall struct {
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
-type callQueue []call
+type callQueue []scheduledCall
 
 func (q callQueue) Len() int { return len(q) }
 func (q callQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *callQueue) Push(x any)   { *q = append(*q, x.(call)) }
+func (q *callQueue) Push(x any)   { *q = append(*q, x.(scheduledCall)) }
 func (q *callQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -8,90 +8,91 @@
 	"persimmonwind.dev/policy/prefix"
 )
 
-// EngineConfig shapes one model engine.
+// EngineConfig holds the parameters of one simulated engine.
 type EngineConfig struct {
-	FullLimit         int           // Requests at a time when warm.
-	ColdLimit         int           // Requests started in cold start that it bears at a time.
-	WarmAfter         int           // Requests completed until it is warm.
-	PrefillTime       time.Duration // For each prompt token not cached.
-	StepTime          time.Duration // One decode step.
-	ColdPrefillFactor float64       // Slowness of a prefill in cold start.
+	FullLimit         int           // Concurrent requests when warm.
+	ColdLimit         int           // Concurrent requests, started in cold start, that the engine can handle.
+	WarmAfter         int           // Completed requests until the engine is warm.
+	PrefillTime       time.Duration // Per uncached prompt token.
+	StepTime          time.Duration // Per decode step, which yields one token.
+	ColdPrefillFactor float64       // Factor on the time of a prefill in cold start.
 	CacheBlocks       int
-	ReportLag         time.Duration
-	EventLag          time.Duration // Lag of cache events.
-	EventLossInterval int           // One in this many batches of cache events is lost; 0 for none.
+	ReportLag         time.Duration // Delay of load reports.
+	EventLag          time.Duration // Delay of cache events.
+	EventLossInterval int           // One in this many batches of cache events is lost; 0 loses none.
 }
 
-// engine is the state of an Engine.
+// engine is the state of one simulated engine.
 type engine struct {
 	EngineConfig
-	clock       *Clock
-	slow        float64
-	boot        int
-	dead        bool
-	cold        bool
-	coldStarts  int // Running requests that were started since the last cold turn.
-	completed   int
-	generations map[uint64]*generation
-	prefillFree time.Duration
-	overloads   int
-	pressed     int // Starts in cold start beyond the cold limit, counting all running work.
-	cache       *cache
-	reports     []admission.Reported
+	clock               *Clock
+	slowdown            float64
+	bootCount           int
+	dead                bool
+	cold                bool
+	coldRunning         int // Running requests that were started in the current cold start.
+	completed           int
+	generations         map[uint64]*generation
+	prefillBusyUntil    time.Duration
+	overloads           int
+	coldStartsOverLimit int // Starts in cold start with ColdLimit or more requests running, whenever those were started.
+	cache               *cache
+	reports             []admission.Reported
 }
 
 type generation struct {
-	ticket uint64
-	prompt prefix.Prompt
-	tokens int
-	cold   bool // Started in cold start.
-	ended  bool
-	on     callbacks
+	ticket       uint64
+	prompt       prefix.Prompt
+	answerTokens int
+	cold         bool // Started in cold start.
+	ended        bool
+	callbacks    engineCallbacks
 }
 
-type callbacks struct {
-	begun  func(cachedTokens int)
-	done   func()
-	broken func()
+type engineCallbacks struct {
+	firstToken func(cachedTokens int)
+	done       func()
+	broken     func()
 }
 
-func newEngine(clock *Clock, shape EngineConfig) *engine {
-	e := &engine{EngineConfig: shape, clock: clock, slow: 1, generations: map[uint64]*generation{}}
-	e.cache = newCache(shape.CacheBlocks, shape.EventLossInterval)
+func newEngine(clock *Clock, config EngineConfig) *engine {
+	e := &engine{EngineConfig: config, clock: clock, slowdown: 1, generations: map[uint64]*generation{}}
+	e.cache = newCache(config.CacheBlocks, config.EventLossInterval)
 	e.reboot()
 	return e
 }
 
 func (e *engine) reboot() {
-	e.boot++
+	e.bootCount++
 	for _, g := range e.generations {
 		g.ended = true
-		e.clock.After(0, g.on.broken)
+		e.clock.After(0, g.callbacks.broken)
 	}
 	clear(e.generations)
-	e.prefillFree = 0
-	e.cache.restart()
+	e.prefillBusyUntil = 0
+	e.cache.reset()
 	e.turnCold()
 }
 
 func (e *engine) turnCold() {
-	e.cold, e.coldStarts, e.completed = true, 0, 0
+	e.cold, e.coldRunning, e.completed = true, 0, 0
 	e.cache.clear()
 	for _, g := range e.generations {
 		g.cold = false
 	}
 }
 
-// start begins a generation; a cold engine falls over when it is too much.
+// start starts a generation. An engine in cold start crashes and reboots when it
+// already runs ColdLimit requests that were started in that cold start.
 func (e *engine) start(g *generation) {
 	if e.dead {
-		e.clock.After(0, g.on.broken)
+		e.clock.After(0, g.callbacks.broken)
 		return
 	}
 	if e.cold && len(e.generations) >= e.ColdLimit {
-		e.pressed++
+		e.coldStartsOverLimit++
 	}
-	if e.cold && e.coldStarts >= e.ColdLimit {
+	if e.cold && e.coldRunning >= e.ColdLimit {
 		e.overloads++
 		e.generations[g.ticket] = g
 		e.reboot()
@@ -100,26 +101,26 @@
 	e.generations[g.ticket] = g
 	if e.cold {
 		g.cold = true
-		e.coldStarts++
+		e.coldRunning++
 	}
-	cached := min(e.cache.read(g.prompt.Blocks)*prefix.BlockTokens, g.prompt.Tokens)
-	work := time.Duration(float64(e.PrefillTime) * e.pace() * float64(g.prompt.Tokens-cached+prefix.BlockTokens))
+	cached := min(e.cache.access(g.prompt.Blocks)*prefix.BlockTokens, g.prompt.Tokens)
+	work := time.Duration(float64(e.PrefillTime) * e.stepSlowdown() * float64(g.prompt.Tokens-cached+prefix.BlockTokens))
 	if e.cold {
 		work = time.Duration(float64(work) * e.ColdPrefillFactor)
 	}
-	e.prefillFree = max(e.prefillFree, e.clock.Now()) + work
-	e.clock.After(e.prefillFree-e.clock.Now(), func() { e.begin(g, cached) })
+	e.prefillBusyUntil = max(e.prefillBusyUntil, e.clock.Now()) + work
+	e.clock.After(e.prefillBusyUntil-e.clock.Now(), func() { e.startDecode(g, cached) })
 }
 
-// pace is the slowness of the engine's steps.
-func (e *engine) pace() float64 { return e.slow }
+// stepSlowdown returns the factor on the engine's step and prefill times.
+func (e *engine) stepSlowdown() float64 { return e.slowdown }
 
-func (e *engine) begin(g *generation, cached int) {
+func (e *engine) startDecode(g *generation, cached int) {
 	if g.ended {
 		return
 	}
-	g.on.begun(cached)
-	decode := time.Duration(float64(e.StepTime) * e.pace() * float64(g.tokens))
+	g.callbacks.firstToken(cached)
+	decode := time.Duration(float64(e.StepTime) * e.stepSlowdown() * float64(g.answerTokens))
 	e.clock.After(decode, func() { e.finish(g) })
 }
 
@@ -130,19 +131,19 @@
 	g.ended = true
 	delete(e.generations, g.ticket)
 	if g.cold {
-		e.coldStarts--
+		e.coldRunning--
 	}
 	e.completed++
 	if e.completed >= e.WarmAfter {
 		e.cold = false
 	}
-	g.on.done()
+	g.callbacks.done()
 }
 
-// report returns the report as it was ReportLag ago, false for none.
+// report returns the load report of ReportLag ago, or false if there is none yet.
 func (e *engine) report() (admission.Reported, bool) {
 	e.reports = append(e.reports, admission.Reported{
-		BootID: strconv.Itoa(e.boot), Running: len(e.generations), Cold: e.cold,
+		BootID: strconv.Itoa(e.bootCount), Running: len(e.generations), Cold: e.cold,
 		CachedTokens: e.cache.len() * prefix.BlockTokens, At: e.clock.Time(),
 	})
 	visible := -1
--- a/ctl/experiment/model/oracle.go
+++ b/ctl/experiment/model/oracle.go
@@ -2,33 +2,34 @@
 
 import "persimmonwind.dev/policy/result"
 
-// oracleQueue is the longest queue of an admission that knows the true limit.
-const oracleQueue = 16
+// maxOracleQueue is the maximum queue length of a server that admits by the true
+// limit.
+const maxOracleQueue = 16
 
-// UseOracle makes the server admit by the engine's true limit at each moment,
-// which no agent can know.
-func (v *Server) UseOracle() { v.fixed = true }
+// UseOracle makes the server admit by the engine's true limit at each moment. It
+// is an upper bound for comparison: a real agent can't know that limit.
+func (s *Server) UseOracle() { s.oracle = true }
 
-func (v *Server) askOracle(a asked) {
-	if len(v.waiting) >= oracleQueue {
-		a.outcome.Refused(&result.Error{Code: result.Overloaded})
+func (s *Server) submitToOracle(p pendingRequest) {
+	if len(s.oracleQueue) >= maxOracleQueue {
+		p.callbacks.Refused(&result.Error{Code: result.Overloaded})
 		return
 	}
-	v.waiting = append(v.waiting, a)
-	v.startOracle()
+	s.oracleQueue = append(s.oracleQueue, p)
+	s.startOracleQueue()
 }
 
-func (v *Server) startOracle() {
-	for v.fixed && len(v.waiting) > 0 && v.oracleRoom() {
-		first := v.waiting[0]
-		v.waiting = v.waiting[1:]
-		v.run(first)
+func (s *Server) startOracleQueue() {
+	for s.oracle && len(s.oracleQueue) > 0 && s.oracleHasCapacity() {
+		next := s.oracleQueue[0]
+		s.oracleQueue = s.oracleQueue[1:]
+		s.start(next)
 	}
 }
 
-func (v *Server) oracleRoom() bool {
-	if v.engine.cold {
-		return v.engine.coldStarts < v.engine.ColdLimit
+func (s *Server) oracleHasCapacity() bool {
+	if s.engine.cold {
+		return s.engine.coldRunning < s.engine.ColdLimit
 	}
-	return len(v.engine.generations) < v.engine.FullLimit
+	return len(s.engine.generations) < s.engine.FullLimit
 }
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -12,18 +12,18 @@
 // PollInterval is the time between two reads of an engine's report.
 const PollInterval = 100 * time.Millisecond
 
-// Request is one request.
+// Request is one generation request.
 type Request struct {
 	Org          string
 	Weight       float64
 	Priority     int
 	Prompt       prefix.Prompt
-	AnswerTokens int // Of the answer.
+	AnswerTokens int
 	Timeout      time.Duration
 }
 
-// Callbacks tells how an attempt went; exactly one of Refused, Done and Broken
-// is called, Begun before Done.
+// Callbacks receives the result of one attempt. Exactly one of Refused, Done and
+// Broken is called; FirstToken is called before Done.
 type Callbacks struct {
 	Refused    func(err *result.Error)
 	FirstToken func(cachedTokens int)
@@ -33,179 +33,184 @@
 
 // Server is one backend server with its agent.
 type Server struct {
-	Name    string
-	clock   *Clock
-	engine  *engine
-	agent   admission.State
-	started time.Time // Of the agent.
-	next    uint64
-	asked   map[uint64]asked
-	offers  map[uint64]admission.Offer
-	fixed   bool // Admit by the true limit instead of the policy.
-	waiting []asked
+	Name         string
+	clock        *Clock
+	engine       *engine
+	agent        admission.State
+	agentStarted time.Time
+	lastTicket   uint64
+	pending      map[uint64]pendingRequest
+	offers       map[uint64]admission.Offer
+	oracle       bool // Admit by the engine's true limit instead of the policy.
+	oracleQueue  []pendingRequest
 }
 
-type asked struct {
-	work    Request
-	outcome Callbacks
-	ticket  uint64
+type pendingRequest struct {
+	request   Request
+	callbacks Callbacks
+	ticket    uint64
 }
 
-// NewServer returns a cold server. phase shifts its polls.
-func NewServer(clock *Clock, name string, shape EngineConfig, phase time.Duration) *Server {
-	v := &Server{
-		Name: name, clock: clock, engine: newEngine(clock, shape), started: clock.Time(),
-		asked: map[uint64]asked{}, offers: map[uint64]admission.Offer{},
+// NewServer returns a server in cold start. phase is the delay of its first poll.
+func NewServer(clock *Clock, name string, config EngineConfig, phase time.Duration) *Server {
+	s := &Server{
+		Name: name, clock: clock, engine: newEngine(clock, config), agentStarted: clock.Time(),
+		pending: map[uint64]pendingRequest{}, offers: map[uint64]admission.Offer{},
 	}
-	v.configure()
-	clock.Every(phase, PollInterval, v.poll)
-	return v
+	s.configure()
+	clock.Every(phase, PollInterval, s.poll)
+	return s
 }
 
-func (v *Server) configure() {
-	v.agent = admission.State{}.Configure(admission.Settings{
-		Full: v.engine.FullLimit, Cold: v.engine.ColdLimit, ReportsLoad: true,
+func (s *Server) configure() {
+	s.agent = admission.State{}.Configure(admission.Settings{
+		Full: s.engine.FullLimit, Cold: s.engine.ColdLimit, ReportsLoad: true,
 	})
 }
 
 // Probe returns the agent's offer.
-func (v *Server) Probe(prompt prefix.Prompt) admission.Offer {
-	v.next++
-	v.step(admission.Probed{
-		Ticket: v.next, Tokens: prompt.Tokens, Blocks: len(prompt.Blocks), Sample: prefix.Sample(prompt.Blocks),
+func (s *Server) Probe(prompt prefix.Prompt) admission.Offer {
+	s.lastTicket++
+	s.step(admission.Probed{
+		Ticket: s.lastTicket, Tokens: prompt.Tokens, Blocks: len(prompt.Blocks), Sample: prefix.Sample(prompt.Blocks),
 	})
-	offer := v.offers[v.next]
-	delete(v.offers, v.next)
+	offer := s.offers[s.lastTicket]
+	delete(s.offers, s.lastTicket)
 	return offer
 }
 
-// Submit asks the agent to run the work.
-func (v *Server) Submit(work Request, outcome Callbacks) {
-	v.next++
-	a := asked{work: work, outcome: outcome, ticket: v.next}
-	if v.fixed {
-		v.askOracle(a)
+// Submit asks the agent to run the request.
+func (s *Server) Submit(request Request, callbacks Callbacks) {
+	s.lastTicket++
+	p := pendingRequest{request: request, callbacks: callbacks, ticket: s.lastTicket}
+	if s.oracle {
+		s.submitToOracle(p)
 		return
 	}
-	v.asked[a.ticket] = a
-	v.step(admission.Asked{
-		Ticket: a.ticket, Org: work.Org, Weight: work.Weight, Priority: work.Priority,
-		Deadline: v.clock.Time().Add(work.Timeout), Prompt: work.Prompt,
+	s.pending[p.ticket] = p
+	s.step(admission.Asked{
+		Ticket: p.ticket, Org: request.Org, Weight: request.Weight, Priority: request.Priority,
+		Deadline: s.clock.Time().Add(request.Timeout), Prompt: request.Prompt,
 	})
 }
 
-func (v *Server) step(event reduce.Event) {
+func (s *Server) step(event reduce.Event) {
 	var effects []reduce.Effect
-	v.agent, effects = admission.Step(v.agent, reduce.Input{Now: v.clock.Time(), Event: event})
+	s.agent, effects = admission.Step(s.agent, reduce.Input{Now: s.clock.Time(), Event: event})
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case admission.Offer:
-			v.offers[effect.Ticket] = effect
+			s.offers[effect.Ticket] = effect
 		case admission.Refuse:
-			a := v.asked[effect.Ticket]
-			delete(v.asked, effect.Ticket)
-			a.outcome.Refused(effect.Err)
+			p := s.pending[effect.Ticket]
+			delete(s.pending, effect.Ticket)
+			p.callbacks.Refused(effect.Err)
 		case admission.Admit:
-			a := v.asked[effect.Ticket]
-			delete(v.asked, effect.Ticket)
-			v.run(a)
+			p := s.pending[effect.Ticket]
+			delete(s.pending, effect.Ticket)
+			s.start(p)
 		}
 	}
 }
 
-// run starts the work at the engine; its signs reach the agent as events.
-func (v *Server) run(a asked) {
-	agent := v.started
-	tell := func(event reduce.Event) {
-		if v.started.Equal(agent) && !v.fixed {
-			v.step(event)
+// start runs the request at the engine. Its first token and its end reach the
+// agent as events, unless the agent has restarted since.
+func (s *Server) start(p pendingRequest) {
+	agentStarted := s.agentStarted
+	sendToAgent := func(event reduce.Event) {
+		if s.agentStarted.Equal(agentStarted) && !s.oracle {
+			s.step(event)
 		}
 	}
-	v.engine.start(&generation{
-		ticket: a.ticket, prompt: a.work.Prompt, tokens: a.work.AnswerTokens,
-		on: callbacks{
-			begun: func(cached int) {
-				a.outcome.FirstToken(cached)
-				tell(admission.Begun{Ticket: a.ticket})
+	s.engine.start(&generation{
+		ticket: p.ticket, prompt: p.request.Prompt, answerTokens: p.request.AnswerTokens,
+		callbacks: engineCallbacks{
+			firstToken: func(cached int) {
+				p.callbacks.FirstToken(cached)
+				sendToAgent(admission.Begun{Ticket: p.ticket})
 			},
 			done: func() {
-				a.outcome.Done()
-				tell(admission.Released{Ticket: a.ticket, Completed: true})
-				v.startOracle()
+				p.callbacks.Done()
+				sendToAgent(admission.Released{Ticket: p.ticket, Completed: true})
+				s.startOracleQueue()
 			},
 			broken: func() {
-				a.outcome.Broken()
-				tell(admission.Released{Ticket: a.ticket, Broken: true})
-				v.startOracle()
+				p.callbacks.Broken()
+				sendToAgent(admission.Released{Ticket: p.ticket, Broken: true})
+				s.startOracleQueue()
 			},
 		},
 	})
 }
 
 // poll reads the engine's report and cache events.
-func (v *Server) poll() {
-	if v.fixed {
-		v.startOracle()
+func (s *Server) poll() {
+	if s.oracle {
+		s.startOracleQueue()
 		return
 	}
-	if v.engine.dead {
-		v.step(admission.Unreachable{})
+	if s.engine.dead {
+		s.step(admission.Unreachable{})
 		return
 	}
-	if report, ok := v.engine.report(); ok {
-		report.AgentStarted = v.started
-		v.step(report)
+	if report, ok := s.engine.report(); ok {
+		report.AgentStarted = s.agentStarted
+		s.step(report)
 	}
-	if events := v.engine.cache.take(); len(events) > 0 {
-		boot := v.engine.boot
-		v.clock.After(v.engine.EventLag, func() {
-			if v.engine.boot == boot {
-				v.step(admission.CacheChanged{Events: events})
+	if events := s.engine.cache.drainEvents(); len(events) > 0 {
+		bootCount := s.engine.bootCount
+		s.clock.After(s.engine.EventLag, func() {
+			if s.engine.bootCount == bootCount {
+				s.step(admission.CacheChanged{Events: events})
 			}
 		})
 	}
-	v.step(reduce.Tick{})
+	s.step(reduce.Tick{})
 }
 
 // Running returns the number of requests at the engine.
-func (v *Server) Running() int { return len(v.engine.generations) }
+func (s *Server) Running() int { return len(s.engine.generations) }
 
 // Queued returns the number of requests waiting at the agent.
-func (v *Server) Queued() int { return v.agent.Queued + len(v.waiting) }
+func (s *Server) Queued() int { return s.agent.Queued + len(s.oracleQueue) }
 
-// Overloads returns how often the engine fell over in cold start.
-func (v *Server) Overloads() int { return v.engine.overloads }
+// Overloads returns how often the engine crashed from overload in cold start.
+func (s *Server) Overloads() int { return s.engine.overloads }
 
-// ColdStartsOverLimit returns how many requests were started in cold start while more
-// work ran than the cold limit, counting also work begun before the cold turn.
-func (v *Server) ColdStartsOverLimit() int { return v.engine.pressed }
+// ColdStartsOverLimit returns how many requests were started in cold start while
+// at least as many as the cold limit were running, including those started before
+// the engine turned cold.
+func (s *Server) ColdStartsOverLimit() int { return s.engine.coldStartsOverLimit }
 
-// SetSlowdown sets the engine's slowness; 1 is the usual.
-func (v *Server) SetSlowdown(factor float64) { v.engine.slow = factor }
+// SetSlowdown multiplies the engine's step and prefill times by the factor; 1 is
+// normal speed.
+func (s *Server) SetSlowdown(factor float64) { s.engine.slowdown = factor }
 
-// TurnCold makes the engine cold without an announcement.
-func (v *Server) TurnCold() { v.engine.turnCold() }
+// TurnCold puts the engine into cold start without a reboot, so that the agent
+// learns of it only from a later report. Running requests continue.
+func (s *Server) TurnCold() { s.engine.turnCold() }
 
-// Restart boots the engine anew: its answers break off.
-func (v *Server) Restart() { v.engine.reboot() }
+// Restart reboots the engine, which breaks off its running requests.
+func (s *Server) Restart() { s.engine.reboot() }
 
-// Stop ends the engine for good.
-func (v *Server) Stop() {
-	v.engine.reboot()
-	v.engine.dead = true
+// Stop shuts down the engine permanently.
+func (s *Server) Stop() {
+	s.engine.reboot()
+	s.engine.dead = true
 }
 
-// RestartAgent replaces the agent: the engine keeps its work, whose answers
-// are lost.
-func (v *Server) RestartAgent() {
-	v.started = v.clock.Time()
-	waiting := v.asked
-	v.asked = map[uint64]asked{}
-	v.configure()
-	for _, a := range waiting {
-		a.outcome.Refused(&result.Error{Code: result.NoBackendServer})
+// RestartAgent replaces the agent by one without state. The engine continues its
+// running requests, but the new agent is not told when they end; requests that
+// waited at the old agent are refused.
+func (s *Server) RestartAgent() {
+	s.agentStarted = s.clock.Time()
+	waiting := s.pending
+	s.pending = map[uint64]pendingRequest{}
+	s.configure()
+	for _, p := range waiting {
+		p.callbacks.Refused(&result.Error{Code: result.NoBackendServer})
 	}
 }
 
-// WarmUp makes the engine warm.
-func (v *Server) WarmUp() { v.engine.cold = false }
+// WarmUp ends the engine's cold start.
+func (s *Server) WarmUp() { s.engine.cold = false }
--- a/ctl/experiment/text.go
+++ b/ctl/experiment/text.go
@@ -9,7 +9,7 @@
 
 const columnGap = 2 // Spaces between the columns of a table.
 
-// WriteText writes the report's tables and notes for a terminal.
+// WriteText writes the report's tables and notes as plain text.
 func (r Report) WriteText(w io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s\n%s\n", r.Title, strings.Repeat("=", utf8.RuneCountInString(r.Title)))
@@ -23,8 +23,8 @@
 	return err
 }
 
-// Text returns the table with aligned columns: the first to the left, the
-// others to the right.
+// Text returns the table as plain text: the first column is left-aligned, the
+// others are right-aligned.
 func (t Table) Text() string {
 	widths := t.widths()
 	var text strings.Builder
