--- a/ctl/experiment/shares/run.go
+++ b/ctl/experiment/shares/run.go
@@ -12,61 +12,62 @@
 )
 
 const (
-	zipfExponent  = 1.0
-	holdTime      = 5 * time.Second // Mean time that a request holds its slot.
-	counted       = 20 * time.Second
-	length        = 80 * time.Second
-	renewInterval = 500 * time.Millisecond
-	homeLost      = 40 * time.Second
-	noticed       = 3 * time.Second // Until the instance list lacks the lost entry.
-	overLimit     = 2.0             // Offered by an organisation over its limit, times the limit.
-	underLimit    = 0.8
+	zipfExponent    = 1.0
+	meanHoldTime    = 5 * time.Second  // Mean time for which a request holds its slot.
+	warmUp          = 20 * time.Second // Requests before this time are not counted.
+	runLength       = 80 * time.Second
+	renewInterval   = 500 * time.Millisecond
+	homeLossAt      = 40 * time.Second
+	detectionDelay  = 3 * time.Second // From the loss until the instance list no longer has the lost entry.
+	overloadFactor  = 2.0             // Offered load divided by the limit, of an organisation that exceeds it.
+	underloadFactor = 0.8             // Offered load divided by the limit, of the others.
 )
 
-// size is the number of processes and organisations.
+// size is the size of the simulated system.
 type size struct {
 	entries, orgs int
-	rate          float64 // Requests a second offered by all.
+	rate          float64 // Requests per second offered by all organisations together.
 }
 
-// org is one organisation's demand, limits and count.
+// org is one organisation's demand, limits and counts.
 type org struct {
-	name      string
-	rate      float64 // Offered requests a second.
-	limits    share.Limits
-	over      bool // Offers more than its rate limit.
-	crowded   bool // Offers more than its concurrency limit.
-	home      int
-	asked     int
-	admitted  int
-	inUse     int
-	heldTime  float64 // Integral of inUse, in seconds.
-	changed   time.Duration
-	peakInUse int
+	name            string
+	rate            float64 // Offered requests per second.
+	limits          share.Limits
+	overRate        bool // Offers more than its rate limit.
+	overConcurrency bool // Offers more than its concurrency limit.
+	home            int
+	requests        int
+	admitted        int
+	inUse           int
+	slotSeconds     float64 // Integral of inUse over time.
+	lastChange      time.Duration
+	peakInUse       int
 }
 
-// figures are what a run shows.
-type figures struct {
-	orgs []*org
-	asks int
+// runStats holds the results of a run.
+type runStats struct {
+	orgs          []*org
+	leaseRequests int
 }
 
 type runner struct {
-	clock  *model.Clock
-	random *rand.Rand
-	names  []string
-	homes  []*share.Home
-	locals map[[2]int]*share.Local // By entry and organisation.
-	lost   int                     // Entry that is lost, -1 for none.
-	found  figures
+	clock     *model.Clock
+	random    *rand.Rand
+	names     []string
+	homes     []*share.Home
+	locals    map[[2]int]*share.Local // By entry and organisation.
+	lostEntry int                     // The entry that is lost; -1 for none.
+	stats     runStats
 }
 
-// run offers every organisation's requests at random entries; with loss, the
-// home of the busiest organisation that is over its limit is lost.
-func run(seed uint64, sz size, loss bool) figures {
+// run sends every organisation's requests to random entries. With loseHome, it
+// loses the entry that is the home of the busiest organisation, which exceeds its
+// rate limit.
+func run(seed uint64, sz size, loseHome bool) runStats {
 	r := &runner{
 		clock: &model.Clock{}, random: rand.New(rand.NewPCG(seed, 31)),
-		locals: map[[2]int]*share.Local{}, lost: -1,
+		locals: map[[2]int]*share.Local{}, lostEntry: -1,
 	}
 	for entry := range sz.entries {
 		r.names = append(r.names, fmt.Sprintf("entry-%d", entry))
@@ -79,31 +80,31 @@
 	for index := range sz.orgs {
 		r.addOrg(index, sz.rate/total/math.Pow(float64(index+1), zipfExponent))
 	}
-	if loss {
-		r.clock.After(homeLost, func() { r.lost = r.found.orgs[0].home })
-		r.clock.After(homeLost+noticed, r.moveHomes)
+	if loseHome {
+		r.clock.After(homeLossAt, func() { r.lostEntry = r.stats.orgs[0].home })
+		r.clock.After(homeLossAt+detectionDelay, r.reassignHomes)
 	}
 	r.clock.Every(renewInterval, renewInterval, r.renew)
-	r.clock.Run(length)
-	return r.found
+	r.clock.Run(runLength)
+	return r.stats
 }
 
 func (r *runner) addOrg(index int, rate float64) {
 	o := &org{name: fmt.Sprintf("org-%d", index), rate: rate}
-	o.over, o.crowded = index%5 == 0, index%5 == 1
-	factor := underLimit
-	if o.over {
-		factor = overLimit
+	o.overRate, o.overConcurrency = index%5 == 0, index%5 == 1
+	factor := underloadFactor
+	if o.overRate {
+		factor = overloadFactor
 	}
 	o.limits = share.Limits{Rate: rate / factor}
-	slots := rate * holdTime.Seconds()
-	if o.crowded {
-		o.limits.Concurrency = max(1, int(slots/overLimit))
+	slots := rate * meanHoldTime.Seconds()
+	if o.overConcurrency {
+		o.limits.Concurrency = max(1, int(slots/overloadFactor))
 	} else {
 		o.limits.Concurrency = 5 + int(4*slots)
 	}
 	o.home = r.homeOf(o, r.names)
-	r.found.orgs = append(r.found.orgs, o)
+	r.stats.orgs = append(r.stats.orgs, o)
 	var arrive func()
 	arrive = func() {
 		r.request(index, o)
@@ -116,17 +117,17 @@
 	return choose.Rendezvous(names, choose.RendezvousKey(o.name), 1)[0]
 }
 
-// moveHomes gives the lost entry's organisations new homes.
-func (r *runner) moveHomes() {
+// reassignHomes assigns the lost entry's organisations to new homes.
+func (r *runner) reassignHomes() {
 	for _, home := range r.homes {
 		home.MarkReassigned(r.clock.Time())
 	}
 	names := append([]string(nil), r.names...)
-	names[r.lost] = "gone"
-	for _, o := range r.found.orgs {
-		if o.home == r.lost {
+	names[r.lostEntry] = "gone"
+	for _, o := range r.stats.orgs {
+		if o.home == r.lostEntry {
 			o.home = choose.Rendezvous(names, choose.RendezvousKey(o.name), 2)[0]
-			if o.home == r.lost {
+			if o.home == r.lostEntry {
 				o.home = choose.Rendezvous(names, choose.RendezvousKey(o.name), 2)[1]
 			}
 		}
@@ -143,66 +144,66 @@
 
 func (r *runner) request(index int, o *org) {
 	entry := r.random.IntN(len(r.names))
-	if entry == r.lost {
+	if entry == r.lostEntry {
 		return
 	}
 	now := r.clock.Now()
-	if now >= counted {
-		o.asked++
+	if now >= warmUp {
+		o.requests++
 	}
 	local := r.local(entry, index)
 	if !r.admit(entry, o, local) {
 		return
 	}
-	if now >= counted {
+	if now >= warmUp {
 		o.admitted++
 	}
-	r.hold(o, 1)
-	r.clock.After(time.Duration(r.random.ExpFloat64()*float64(holdTime)), func() {
-		r.hold(o, -1)
+	r.changeInUse(o, 1)
+	r.clock.After(time.Duration(r.random.ExpFloat64()*float64(meanHoldTime)), func() {
+		r.changeInUse(o, -1)
 		local.Release()
 	})
 }
 
-func (r *runner) hold(o *org, change int) {
+func (r *runner) changeInUse(o *org, change int) {
 	now := r.clock.Now()
-	if now > counted {
-		o.heldTime += float64(o.inUse) * (now - max(counted, o.changed)).Seconds()
+	if now > warmUp {
+		o.slotSeconds += float64(o.inUse) * (now - max(warmUp, o.lastChange)).Seconds()
 	}
-	o.changed = now
+	o.lastChange = now
 	o.inUse += change
 	o.peakInUse = max(o.peakInUse, o.inUse)
 }
 
-// admit does as an entry does: take from the share, or ask the home, or use
-// the local share.
+// admit admits or refuses a request as an entry does: from its lease, else with a
+// new lease from the home, or by the local share if the home is lost.
 func (r *runner) admit(entry int, o *org, local *share.Local) bool {
 	now := r.clock.Time()
-	verdict, _ := local.TryAdmit(now, o.limits, 0)
-	if verdict != share.NeedsLease {
-		return verdict == share.Admitted
+	decision, _ := local.TryAdmit(now, o.limits, 0)
+	if decision != share.NeedsLease {
+		return decision == share.Admitted
 	}
-	if o.home == r.lost {
+	if o.home == r.lostEntry {
 		rank := r.random.IntN(len(r.names))
-		verdict, _ = local.AdmitLocally(now, o.limits, len(r.names), rank)
-		return verdict == share.Admitted
+		decision, _ = local.AdmitLocally(now, o.limits, len(r.names), rank)
+		return decision == share.Admitted
 	}
-	r.found.asks++
+	r.stats.leaseRequests++
 	ask := local.Ask(now, o.name, r.names[entry], 1)
 	local.ApplyGrant(now, r.homes[o.home].Ask(now, o.limits, len(r.names), ask))
-	verdict, _ = local.TryAdmit(now, o.limits, 1)
-	return verdict == share.Admitted
+	decision, _ = local.TryAdmit(now, o.limits, 1)
+	return decision == share.Admitted
 }
 
-// renew keeps the slots in use at their homes.
+// renew renews the leases of the slots in use at their homes.
 func (r *runner) renew() {
 	now := r.clock.Time()
 	for key, local := range r.locals {
-		o := r.found.orgs[key[1]]
-		if key[0] == r.lost || o.home == r.lost || !local.NeedsRenewal(now) {
+		o := r.stats.orgs[key[1]]
+		if key[0] == r.lostEntry || o.home == r.lostEntry || !local.NeedsRenewal(now) {
 			continue
 		}
-		r.found.asks++
+		r.stats.leaseRequests++
 		ask := local.RenewalRequest(o.name, r.names[key[0]])
 		local.ApplyRenewal(now, r.homes[o.home].Ask(now, o.limits, len(r.names), ask))
 	}
--- a/ctl/experiment/shares/shares.go
+++ b/ctl/experiment/shares/shares.go
@@ -1,5 +1,5 @@
-// Package shares computes how well organisations' limits hold across entry
-// instances, with the real policy of package share.
+// Package shares simulates how well organisations' limits hold across entry
+// instances, with the real policy of policy/share.
 package shares
 
 import (
@@ -11,7 +11,7 @@
 	sharepolicy "persimmonwind.dev/policy/share"
 )
 
-// Experiment is the computation as a named experiment.
+// Experiment is the simulation as a named experiment.
 var Experiment = experiment.Experiment{
 	Name:    "shares",
 	Summary: "organisations' rate and concurrency limits across entries",
@@ -24,58 +24,60 @@
 	{entries: 330, orgs: 15000, rate: 2700},
 }
 
-// tolerance is how far an organisation may be from its limit.
+// tolerance is the accepted relative deviation from an organisation's limit.
 const tolerance = 0.1
 
-// busyRate is the limit from which one organisation's own count tells.
-const busyRate = 5.0
+// minBusyLimit is the limit, in requests per second or slots, from which the count
+// of a single organisation is large enough to be compared with its limit.
+const minBusyLimit = 5.0
 
-// outcome sums up a run.
-type outcome struct {
-	busyLeast, busyMost float64 // Admitted rate over the limit, of busy organisations over it.
-	overAll             float64 // The same of all organisations over their limit together.
-	underAll            float64 // Admitted over asked, of those under their limits.
-	slots               float64 // Mean slots in use over the limit, of busy crowded organisations.
-	slotsMost           float64 // Greatest slots in use over the limit.
-	asks                float64 // Asks for each request.
-	beyond              int     // Organisations beyond their limit and one burst.
+// summary sums up a run. Rates and slots are divided by the organisation's limit. A
+// busy organisation has a limit of at least minBusyLimit.
+type summary struct {
+	busyMin, busyMax float64 // Lowest and highest admitted rate of a busy organisation that offers more than its limit.
+	allOverRate      float64 // Admitted rate of all organisations together that offer more than their limit.
+	allUnderLimits   float64 // Admitted divided by offered requests, of the organisations within their limits.
+	slots            float64 // Mean slots in use, of busy organisations that offer more than their concurrency limit.
+	maxSlotsInUse    float64 // Highest number of slots in use.
+	leaseRequests    float64 // Per request.
+	beyondBurst      int     // Organisations that got more than their limit, the tolerance and one burst.
 }
 
-func (f figures) outcome() outcome {
-	seconds := (length - counted).Seconds()
-	result := outcome{busyLeast: math.Inf(1)}
-	var overAdmitted, overLimits, underAdmitted, underAsked, held, slots, asked float64
-	for _, o := range f.orgs {
-		asked += float64(o.asked)
-		share := float64(o.admitted) / (o.limits.Rate * seconds)
+func (s runStats) summarise() summary {
+	seconds := (runLength - warmUp).Seconds()
+	result := summary{busyMin: math.Inf(1)}
+	var overAdmitted, overLimits, underAdmitted, underRequests, meanInUse, slots, requests float64
+	for _, o := range s.orgs {
+		requests += float64(o.requests)
+		ratio := float64(o.admitted) / (o.limits.Rate * seconds)
 		if float64(o.admitted) > (1+tolerance)*o.limits.Rate*seconds+sharepolicy.Burst(o.limits.Rate) {
-			result.beyond++
+			result.beyondBurst++
 		}
 		switch {
-		case o.over:
+		case o.overRate:
 			overAdmitted += float64(o.admitted)
 			overLimits += o.limits.Rate * seconds
-			if o.limits.Rate >= busyRate {
-				result.busyLeast, result.busyMost = min(result.busyLeast, share), max(result.busyMost, share)
+			if o.limits.Rate >= minBusyLimit {
+				result.busyMin, result.busyMax = min(result.busyMin, ratio), max(result.busyMax, ratio)
 			}
-		case o.crowded:
-			result.slotsMost = max(result.slotsMost, float64(o.peakInUse)/float64(o.limits.Concurrency))
-			if float64(o.limits.Concurrency) >= busyRate {
-				held += o.heldTime / seconds
+		case o.overConcurrency:
+			result.maxSlotsInUse = max(result.maxSlotsInUse, float64(o.peakInUse)/float64(o.limits.Concurrency))
+			if float64(o.limits.Concurrency) >= minBusyLimit {
+				meanInUse += o.slotSeconds / seconds
 				slots += float64(o.limits.Concurrency)
 			}
 		default:
 			underAdmitted += float64(o.admitted)
-			underAsked += float64(o.asked)
+			underRequests += float64(o.requests)
 		}
 	}
-	result.overAll, result.underAll = overAdmitted/overLimits, underAdmitted/max(1, underAsked)
-	result.slots = held / max(1, slots)
-	result.asks = float64(f.asks) / asked * seconds / length.Seconds()
+	result.allOverRate, result.allUnderLimits = overAdmitted/overLimits, underAdmitted/max(1, underRequests)
+	result.slots = meanInUse / max(1, slots)
+	result.leaseRequests = float64(s.leaseRequests) / requests * seconds / runLength.Seconds()
 	return result
 }
 
-// Run computes all sizes, with and without the loss of a home.
+// Run simulates all sizes, each with and without the loss of a home.
 func Run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
 	report := experiment.Report{Title: "Organisations' limits across entries"}
 	table := experiment.Table{Columns: []string{
@@ -87,15 +89,15 @@
 		chosen = sizes[:2]
 	}
 	for _, sz := range chosen {
-		for _, loss := range []bool{false, true} {
+		for _, loseHome := range []bool{false, true} {
 			if err := ctx.Err(); err != nil {
 				return report, err
 			}
-			found := run(options.Seed, sz, loss).outcome()
+			result := run(options.Seed, sz, loseHome).summarise()
 			percent := func(value float64) string { return fmt.Sprintf("%.1f", 100*value) }
 			table.Rows = append(table.Rows, []string{
-				fmt.Sprint(sz.entries), fmt.Sprint(sz.orgs), fmt.Sprint(loss), percent(found.busyLeast), percent(found.busyMost),
-				percent(found.overAll), percent(found.underAll), percent(found.slots), percent(found.slotsMost), fmt.Sprintf("%.2f", found.asks), fmt.Sprint(found.beyond),
+				fmt.Sprint(sz.entries), fmt.Sprint(sz.orgs), fmt.Sprint(loseHome), percent(result.busyMin), percent(result.busyMax),
+				percent(result.allOverRate), percent(result.allUnderLimits), percent(result.slots), percent(result.maxSlotsInUse), fmt.Sprintf("%.2f", result.leaseRequests), fmt.Sprint(result.beyondBurst),
 			})
 		}
 	}
--- a/ctl/experiment/shares/shares_test.go
+++ b/ctl/experiment/shares/shares_test.go
@@ -10,16 +10,16 @@
 
 func TestLimitsHoldAcrossEntries(t *testing.T) {
 	for _, sz := range sizes[:2] {
-		found := run(1, sz, false).outcome()
-		t.Logf("%+v: %+v", sz, found)
-		if found.busyLeast < 1-tolerance || found.busyMost > 1+tolerance {
-			t.Errorf("%d entries: busy organisations get %.2f to %.2f of their limits", sz.entries, found.busyLeast, found.busyMost)
+		result := run(1, sz, false).summarise()
+		t.Logf("%+v: %+v", sz, result)
+		if result.busyMin < 1-tolerance || result.busyMax > 1+tolerance {
+			t.Errorf("%d entries: busy organisations got %.2f to %.2f of their limits", sz.entries, result.busyMin, result.busyMax)
 		}
-		if found.beyond > 0 {
-			t.Errorf("%d entries: %d organisations are beyond their limit and one burst", sz.entries, found.beyond)
+		if result.beyondBurst > 0 {
+			t.Errorf("%d entries: %d organisations got more than their limit and one burst", sz.entries, result.beyondBurst)
 		}
-		if found.slotsMost > 1 {
-			t.Errorf("%d entries: %.2f of the slots in use", sz.entries, found.slotsMost)
+		if result.maxSlotsInUse > 1 {
+			t.Errorf("%d entries: up to %.2f of the limit of slots in use", sz.entries, result.maxSlotsInUse)
 		}
 	}
 }
