--- a/ctl/experiment/choice/bytes.go
+++ b/ctl/experiment/choice/bytes.go
@@ -11,7 +11,7 @@
 )
 
 // messageBytes returns the encoded size of the values on a connection that has
-// carried their types before.
+// already sent their type descriptions.
 func messageBytes(values ...any) int {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
@@ -26,40 +26,40 @@
 	return buffer.Len()
 }
 
-func stamp() wire.Stamp {
+func sampleStamp() wire.Stamp {
 	return wire.Stamp{From: "entry-ba-0123", Role: "entry", DataCentre: "banska-bystrica-1", Revision: 130_000}
 }
 
-var probeSizes sync.Map // Number of blocks to bytes.
+var probeSizes sync.Map // Bytes by number of blocks.
 
-// probeBytes returns the size of a probe of a prompt with the blocks, with its
-// reply.
+// probeBytes returns the size of a probe for a prompt of that many blocks,
+// including its reply.
 func probeBytes(blocks int) int {
-	if known, ok := probeSizes.Load(blocks); ok {
-		return known.(int)
+	if cached, ok := probeSizes.Load(blocks); ok {
+		return cached.(int)
 	}
 	hashes := make([]uint64, blocks)
 	for index := range hashes {
 		hashes[index] = 1<<63 + uint64(index)
 	}
 	request := wire.ProbeRequest{
-		Stamp: stamp(), Model: "soap-assistant", Adapter: "labels",
+		Stamp: sampleStamp(), Model: "soap-assistant", Adapter: "labels",
 		Tokens: blocks * prefix.BlockTokens, Blocks: blocks, Prefix: prefix.Sample(hashes),
 	}
 	size := messageBytes(&rpc.Request{ServiceMethod: "Agent.Probe", Seq: 100_000}, &request) +
-		messageBytes(&rpc.Response{ServiceMethod: "Agent.Probe", Seq: 100_000}, reply())
+		messageBytes(&rpc.Response{ServiceMethod: "Agent.Probe", Seq: 100_000}, sampleReply())
 	probeSizes.Store(blocks, size)
 	return size
 }
 
-func reply() *wire.ProbeReply {
+func sampleReply() *wire.ProbeReply {
 	return &wire.ProbeReply{
-		Stamp: stamp(), BackendServer: "engine-0123", Headroom: 14, Queued: 3, Running: 18,
+		Stamp: sampleStamp(), BackendServer: "engine-0123", Headroom: 14, Queued: 3, Running: 18,
 		CachedBlocks: 48, ExpectedWaitMS: 123.456,
 	}
 }
 
 // reportBytes returns the size of one load report.
 var reportBytes = sync.OnceValue(func() int {
-	return messageBytes(&rpc.Request{ServiceMethod: "Entry.Report", Seq: 100_000}, reply())
+	return messageBytes(&rpc.Request{ServiceMethod: "Entry.Report", Seq: 100_000}, sampleReply())
 })
--- a/ctl/experiment/choice/choice.go
+++ b/ctl/experiment/choice/choice.go
@@ -1,6 +1,6 @@
-// Package choice compares ways of choosing a backend server over the same
-// drawn workloads: random, least loaded by stale reports, the less loaded of
-// two, and package choose.
+// Package choice compares policies for choosing a backend server on the same random
+// workloads: random, least loaded by stale reports, the less loaded of two, and
+// the policy of policy/choose.
 package choice
 
 import (
@@ -13,7 +13,7 @@
 // Experiment is the comparison as a named experiment.
 var Experiment = experiment.Experiment{
 	Name:    "choice",
-	Summary: "first token, cached prefix, spread and control bytes by way of choosing",
+	Summary: "time to first token, cached prefix, load imbalance and control bytes by choice policy",
 	Run:     Run,
 }
 
@@ -27,15 +27,15 @@
 var scenarios = []scenario{
 	{name: "drift"},
 	{name: "drift and surge", surge: true},
-	{name: "drift and slow server", slow: true},
-	{name: "drift, late and lost cache events", badEvents: true},
+	{name: "drift and slow server", slowServer: true},
+	{name: "drift, late and lost cache events", unreliableEvents: true},
 }
 
 var policies = []func(*fleet) policy{
-	func(f *fleet) policy { return randomly{f} },
-	func(f *fleet) policy { return newStale(f) },
+	func(f *fleet) policy { return randomPolicy{f} },
+	func(f *fleet) policy { return newLeastLoaded(f) },
 	func(f *fleet) policy { return twoChoices{f} },
-	func(f *fleet) policy { return ours{f} },
+	func(f *fleet) policy { return candidateProbes{f} },
 }
 
 // Run compares the policies.
@@ -69,38 +69,38 @@
 		}
 		report.Plots = append(report.Plots, plot)
 	}
-	report.Notes = append(report.Notes, "spread of load is the coefficient of variation of the mean running and queued work of a backend server")
+	report.Notes = append(report.Notes, "\"spread of load\" is the coefficient of variation, over the backend servers, of their mean number of running and queued requests")
 	return report, nil
 }
 
-func runSeeds(options experiment.Options, sz size, sc scenario, build func(*fleet) policy) (figures, string) {
-	var total figures
+func runSeeds(options experiment.Options, sz size, sc scenario, build func(*fleet) policy) (runStats, string) {
+	var total runStats
 	name := ""
 	for seed := range options.Seeds {
-		one := run(options.Seed+uint64(seed), sz, sc, func(f *fleet) policy {
+		stats := run(options.Seed+uint64(seed), sz, sc, func(f *fleet) policy {
 			built := build(f)
 			name = built.name()
 			return built
 		})
-		total.add(one)
+		total.add(stats)
 	}
 	return total, name
 }
 
-func (f *figures) row(name string) []string {
-	number := func(value float64) string { return fmt.Sprintf("%.1f", value) }
+func (s *runStats) row(name string) []string {
+	format := func(value float64) string { return fmt.Sprintf("%.1f", value) }
 	return []string{
-		name, number(f.quantile(0.5)), number(f.quantile(0.95)), number(f.quantile(0.99)),
-		number(100 * float64(f.cached) / float64(max(1, f.prompt))), fmt.Sprintf("%.2f", f.spread()),
-		number(float64(f.bytes) / float64(max(1, f.asked))), number(100 * float64(f.refused) / float64(max(1, f.asked))),
+		name, format(s.quantile(0.5)), format(s.quantile(0.95)), format(s.quantile(0.99)),
+		format(100 * float64(s.cachedTokens) / float64(max(1, s.promptTokens))), fmt.Sprintf("%.2f", s.loadSpread()),
+		format(float64(s.controlBytes) / float64(max(1, s.requests))), format(100 * float64(s.refused) / float64(max(1, s.requests))),
 	}
 }
 
-func (f *figures) series(name string) experiment.Series {
+func (s *runStats) series(name string) experiment.Series {
 	series := experiment.Series{Name: name}
 	for percent := 1; percent < 100; percent++ {
 		series.X = append(series.X, float64(percent))
-		series.Y = append(series.Y, f.quantile(float64(percent)/100))
+		series.Y = append(series.Y, s.quantile(float64(percent)/100))
 	}
 	return series
 }
--- a/ctl/experiment/choice/choice_test.go
+++ b/ctl/experiment/choice/choice_test.go
@@ -8,24 +8,24 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// On the dozen with a drifting workload, asking few agents finds more cached
-// prefix tokens than ways that don't look at the prompt, and gives no later
-// first tokens at p95.
-func TestChoiceBeatsTheBaselines(t *testing.T) {
+// On twelve servers with a drifting workload, probing a few agents finds more cached
+// prefix tokens than policies that don't consider the prompt, and its p95 time to
+// first token is no higher.
+func TestChoosePolicyBeatsBaselines(t *testing.T) {
 	options := experiment.Options{Seed: 1, Seeds: 1}
-	var all []figures
+	var all []runStats
 	for _, build := range policies {
 		total, name := runSeeds(options, quickSizes[0], scenarios[0], build)
 		t.Log(strings.Join(total.row(name), " | "))
 		all = append(all, total)
 	}
-	mine := all[len(all)-1]
+	chosen := all[len(all)-1]
 	for index, other := range all[:len(all)-1] {
-		if mine.quantile(0.95) > other.quantile(0.95) {
-			t.Errorf("p95 %.0f ms, baseline %d %.0f ms", mine.quantile(0.95), index, other.quantile(0.95))
+		if chosen.quantile(0.95) > other.quantile(0.95) {
+			t.Errorf("p95 %.0f ms, baseline %d %.0f ms", chosen.quantile(0.95), index, other.quantile(0.95))
 		}
-		if mine.cached <= other.cached {
-			t.Errorf("%d cached tokens, baseline %d %d", mine.cached, index, other.cached)
+		if chosen.cachedTokens <= other.cachedTokens {
+			t.Errorf("%d cached tokens, baseline %d %d", chosen.cachedTokens, index, other.cachedTokens)
 		}
 	}
 }
--- a/ctl/experiment/choice/policies.go
+++ b/ctl/experiment/choice/policies.go
@@ -10,66 +10,66 @@
 )
 
 const (
-	trip          = time.Millisecond // One round trip between an entry and an agent.
-	staleInterval = time.Second      // Between two load reports to every entry.
+	roundTripTime  = time.Millisecond // Between an entry and an agent.
+	reportInterval = time.Second      // Interval of the load reports to every entry.
 )
 
-// decision is the choice for one attempt.
+// decision is the choice of a server for one attempt.
 type decision struct {
-	server int
-	wait   time.Duration // Time that the choice took.
-	bytes  int           // Control bytes that it cost.
+	server       int
+	delay        time.Duration // Time that the decision takes.
+	controlBytes int           // Control traffic that the decision causes.
 }
 
-// policy chooses a server for the work; excluded servers were tried before.
+// policy chooses a server for a request. Excluded servers have been tried already.
 type policy interface {
 	name() string
 	choose(work model.Request, excluded map[int]bool) (decision, bool)
 }
 
-// fleet is what the policies choose from.
+// fleet is the set of servers from which the policies choose.
 type fleet struct {
 	clock   *model.Clock
 	servers []*model.Server
 	names   []string
 	random  *rand.Rand
 	entries int
-	rate    float64 // Requests a second at all entries together.
+	rate    float64 // Requests per second at all entries together.
 }
 
-func (f *fleet) free(excluded map[int]bool) []int {
-	var free []int
+func (f *fleet) untried(excluded map[int]bool) []int {
+	var untried []int
 	for index := range f.servers {
 		if !excluded[index] {
-			free = append(free, index)
+			untried = append(untried, index)
 		}
 	}
-	return free
+	return untried
 }
 
-// randomly takes any server.
-type randomly struct{ *fleet }
+// randomPolicy chooses a random server.
+type randomPolicy struct{ *fleet }
 
-func (randomly) name() string { return "random" }
+func (randomPolicy) name() string { return "random" }
 
-func (p randomly) choose(_ model.Request, excluded map[int]bool) (decision, bool) {
-	free := p.free(excluded)
-	if len(free) == 0 {
+func (p randomPolicy) choose(_ model.Request, excluded map[int]bool) (decision, bool) {
+	untried := p.untried(excluded)
+	if len(untried) == 0 {
 		return decision{}, false
 	}
-	return decision{server: free[p.random.IntN(len(free))]}, true
+	return decision{server: untried[p.random.IntN(len(untried))]}, true
 }
 
-// stale takes the least loaded by reports that every agent sends to every
-// entry at an interval.
-type stale struct {
+// leastLoaded chooses the server with the lowest load according to the reports that
+// every agent sends to every entry once per reportInterval.
+type leastLoaded struct {
 	*fleet
 	loads []int
 }
 
-func newStale(f *fleet) *stale {
-	p := &stale{fleet: f, loads: make([]int, len(f.servers))}
-	f.clock.Every(0, staleInterval, func() {
+func newLeastLoaded(f *fleet) *leastLoaded {
+	p := &leastLoaded{fleet: f, loads: make([]int, len(f.servers))}
+	f.clock.Every(0, reportInterval, func() {
 		for index, server := range f.servers {
 			p.loads[index] = server.Running() + server.Queued()
 		}
@@ -77,12 +77,12 @@
 	return p
 }
 
-func (*stale) name() string { return "least loaded, stale reports" }
+func (*leastLoaded) name() string { return "least loaded, stale reports" }
 
-func (p *stale) choose(_ model.Request, excluded map[int]bool) (decision, bool) {
-	free := p.free(excluded)
+func (p *leastLoaded) choose(_ model.Request, excluded map[int]bool) (decision, bool) {
+	untried := p.untried(excluded)
 	best, ties := -1, 0
-	for _, index := range free {
+	for _, index := range untried {
 		switch {
 		case best < 0 || p.loads[index] < p.loads[best]:
 			best, ties = index, 1
@@ -93,55 +93,56 @@
 			}
 		}
 	}
-	perSecond := float64(len(p.servers)*p.entries*reportBytes()) / staleInterval.Seconds()
-	return decision{server: best, bytes: int(perSecond / p.rate)}, best >= 0
+	bytesPerSecond := float64(len(p.servers)*p.entries*reportBytes()) / reportInterval.Seconds()
+	return decision{server: best, controlBytes: int(bytesPerSecond / p.rate)}, best >= 0
 }
 
-// twoChoices asks two random agents and takes the less loaded.
+// twoChoices probes two random agents and chooses the less loaded server.
 type twoChoices struct{ *fleet }
 
 func (twoChoices) name() string { return "power of two" }
 
 func (p twoChoices) choose(work model.Request, excluded map[int]bool) (decision, bool) {
-	free := p.free(excluded)
-	if len(free) == 0 {
+	untried := p.untried(excluded)
+	if len(untried) == 0 {
 		return decision{}, false
 	}
-	one, two := free[p.random.IntN(len(free))], free[p.random.IntN(len(free))]
+	one, two := untried[p.random.IntN(len(untried))], untried[p.random.IntN(len(untried))]
 	if p.load(two) < p.load(one) {
 		one = two
 	}
-	return decision{server: one, wait: trip, bytes: 2 * probeBytes(0)}, true
+	return decision{server: one, delay: roundTripTime, controlBytes: 2 * probeBytes(0)}, true
 }
 
 func (p twoChoices) load(index int) int {
 	return p.servers[index].Running() + p.servers[index].Queued()
 }
 
-// ours asks the few agents that package choose names.
-type ours struct{ *fleet }
+// candidateProbes probes the few agents that choose.Candidates selects and chooses
+// by choose.Best.
+type candidateProbes struct{ *fleet }
 
-func (ours) name() string { return "persimmonwind" }
+func (candidateProbes) name() string { return "persimmonwind" }
 
-func (p ours) choose(work model.Request, excluded map[int]bool) (decision, bool) {
-	free := p.free(excluded)
-	names := make([]string, len(free))
-	for index, server := range free {
+func (p candidateProbes) choose(work model.Request, excluded map[int]bool) (decision, bool) {
+	untried := p.untried(excluded)
+	names := make([]string, len(untried))
+	for index, server := range untried {
 		names[index] = p.names[server]
 	}
-	asked := choose.Candidates(names, choose.Work{Model: "m", Prompt: work.Prompt}, p.random.Uint64())
-	offers := make([]choose.Offer, len(asked))
-	for index, candidate := range asked {
-		offer := p.servers[free[candidate]].Probe(work.Prompt)
+	candidates := choose.Candidates(names, choose.Work{Model: "m", Prompt: work.Prompt}, p.random.Uint64())
+	offers := make([]choose.Offer, len(candidates))
+	for index, candidate := range candidates {
+		offer := p.servers[untried[candidate]].Probe(work.Prompt)
 		offers[index] = choose.Offer{
 			Refuses: offer.Refuses, RetryAfter: offer.RetryAfter,
-			FirstToken: offer.FirstToken, RTT: trip, Running: offer.Running, Headroom: offer.Headroom,
+			FirstToken: offer.FirstToken, RTT: roundTripTime, Running: offer.Running, Headroom: offer.Headroom,
 		}
 	}
-	cost := len(asked) * probeBytes(len(work.Prompt.Blocks))
+	cost := len(candidates) * probeBytes(len(work.Prompt.Blocks))
 	index, err := choose.Best(offers, work.Timeout, p.random.Uint64())
 	if err != nil && err.Code != result.OK {
-		return decision{bytes: cost}, false
+		return decision{controlBytes: cost}, false
 	}
-	return decision{server: free[asked[index]], wait: trip, bytes: cost}, true
+	return decision{server: untried[candidates[index]], delay: roundTripTime, controlBytes: cost}, true
 }
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -12,81 +12,81 @@
 )
 
 const (
-	maxAttempts = 3
-	warmUp      = 30 * time.Second // Not counted.
-	sample      = time.Second      // Between two samples of the running work.
-	slowness    = 3.0
-	stepTime    = 27 * time.Millisecond
-	prefillTime = 250 * time.Microsecond // For each prompt token.
+	maxAttempts      = 3
+	warmUp           = 30 * time.Second // Requests before this time are not counted.
+	sampleInterval   = time.Second      // Interval of the samples of the servers' load.
+	slowServerFactor = 3.0
+	stepTime         = 27 * time.Millisecond
+	prefillTime      = 250 * time.Microsecond // Per prompt token.
 )
 
-// size is the number of processes and organisations of a run.
+// size is the size of the simulated system.
 type size struct {
 	name    string
 	servers int
 	entries int
 	orgs    int
-	rate    float64 // Requests a second.
+	rate    float64 // Requests per second.
 	length  time.Duration
 }
 
-// scenario changes a run.
+// scenario says which disturbances a run has.
 type scenario struct {
-	name      string
-	slow      bool // One server is slow from the middle on.
-	surge     bool // One organisation surges in the middle third.
-	badEvents bool // Cache events come late and with gaps.
+	name             string
+	slowServer       bool // One server is slow from the middle of the run.
+	surge            bool // One organisation's request rate surges in the middle third of the run.
+	unreliableEvents bool // Cache events arrive late, and some are lost.
 }
 
-// figures are what a run shows.
-type figures struct {
-	first   []float64 // Milliseconds to the first token.
-	prompt  int       // Prompt tokens of answered requests.
-	cached  int
-	asked   int
-	refused int
-	bytes   int
-	running []float64 // Mean running work by server.
+// runStats holds the results of a run.
+type runStats struct {
+	firstTokenMS []float64 // Time to first token.
+	promptTokens int       // Of answered requests.
+	cachedTokens int
+	requests     int
+	refused      int
+	controlBytes int
+	meanLoad     []float64 // Mean number of running and queued requests, by server.
 }
 
-func engineShape(s scenario) model.EngineConfig {
-	shape := model.EngineConfig{
+func engineConfig(s scenario) model.EngineConfig {
+	config := model.EngineConfig{
 		FullLimit: 32, ColdLimit: 4, WarmAfter: 8, PrefillTime: prefillTime, StepTime: stepTime, ColdPrefillFactor: 4,
 		CacheBlocks: 8192, ReportLag: 500 * time.Millisecond, EventLag: 200 * time.Millisecond,
 	}
-	if s.badEvents {
-		shape.EventLag, shape.EventLossInterval = 5*time.Second, 3
+	if s.unreliableEvents {
+		config.EventLag, config.EventLossInterval = 5*time.Second, 3
 	}
-	return shape
+	return config
 }
 
-// runner is one run of one policy.
+// runner simulates one run of one policy.
 type runner struct {
 	fleet    *fleet
 	policy   policy
 	workload *workload
-	figures  figures
+	runStats runStats
 }
 
-func run(seed uint64, sz size, sc scenario, build func(*fleet) policy) figures {
+func run(seed uint64, sz size, sc scenario, build func(*fleet) policy) runStats {
 	clock := &model.Clock{}
 	f := &fleet{clock: clock, random: rand.New(rand.NewPCG(seed, 3)), entries: sz.entries, rate: sz.rate}
 	for index := range sz.servers {
 		name := fmt.Sprintf("engine-%d", index)
 		phase := time.Duration(f.random.Int64N(int64(model.PollInterval)))
-		server := model.NewServer(clock, name, engineShape(sc), phase)
+		server := model.NewServer(clock, name, engineConfig(sc), phase)
 		server.WarmUp()
 		f.servers = append(f.servers, server)
 		f.names = append(f.names, name)
 	}
 	r := &runner{fleet: f, policy: build(f), workload: newWorkload(seed, sz.orgs)}
-	r.figures.running = make([]float64, sz.servers)
+	r.runStats.meanLoad = make([]float64, sz.servers)
 	r.schedule(sz, sc)
 	clock.Run(sz.length)
-	for index := range r.figures.running {
-		r.figures.running[index] /= (sz.length - warmUp).Seconds() / sample.Seconds()
+	for index := range r.runStats.meanLoad {
+		r.runStats.meanLoad[index] /= (sz.length - warmUp).Seconds() / sampleInterval.Seconds()
 	}
-	return r.figures
+	return r.runStats
 }
 
 func (r *runner) schedule(sz size, sc scenario) {
@@ -94,109 +94,109 @@
 	arrivals := rand.New(rand.NewPCG(r.workload.random.Uint64(), 4))
 	var arrive func()
 	arrive = func() {
-		r.request(r.workload.next())
+		r.send(r.workload.nextRequest())
 		rate := sz.rate
-		if r.workload.surging >= 0 {
+		if r.workload.surgingOrg >= 0 {
 			rate *= 1 + surgeFactor
 		}
 		clock.After(time.Duration(arrivals.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	clock.After(0, arrive)
 	clock.Every(driftInterval, driftInterval, r.workload.drift)
-	clock.Every(warmUp, sample, func() {
+	clock.Every(warmUp, sampleInterval, func() {
 		for index, server := range r.fleet.servers {
-			r.figures.running[index] += float64(server.Running() + server.Queued())
+			r.runStats.meanLoad[index] += float64(server.Running() + server.Queued())
 		}
 	})
-	if sc.slow {
-		clock.After(sz.length/2, func() { r.fleet.servers[0].SetSlowdown(slowness) })
+	if sc.slowServer {
+		clock.After(sz.length/2, func() { r.fleet.servers[0].SetSlowdown(slowServerFactor) })
 	}
 	if sc.surge {
-		clock.After(sz.length/3, func() { r.workload.surging = sz.orgs / 2 })
-		clock.After(2*sz.length/3, func() { r.workload.surging = -1 })
+		clock.After(sz.length/3, func() { r.workload.surgingOrg = sz.orgs / 2 })
+		clock.After(2*sz.length/3, func() { r.workload.surgingOrg = -1 })
 	}
 }
 
-// request carries one request through up to maxAttempts attempts.
-func (r *runner) request(work model.Request) {
+// send sends one request, with up to maxAttempts attempts.
+func (r *runner) send(work model.Request) {
 	arrived := r.fleet.clock.Now()
 	counted := arrived >= warmUp
 	if counted {
-		r.figures.asked++
+		r.runStats.requests++
 	}
 	excluded := map[int]bool{}
 	var attempt func(number int)
-	refuse := func() {
+	countRefusal := func() {
 		if counted {
-			r.figures.refused++
+			r.runStats.refused++
 		}
 	}
 	attempt = func(number int) {
 		chosen, ok := r.policy.choose(work, excluded)
 		if counted {
-			r.figures.bytes += chosen.bytes
+			r.runStats.controlBytes += chosen.controlBytes
 		}
 		if !ok {
-			refuse()
+			countRefusal()
 			return
 		}
-		again := func() {
+		retry := func() {
 			excluded[chosen.server] = true
 			if number == maxAttempts {
-				refuse()
+				countRefusal()
 				return
 			}
-			r.fleet.clock.After(trip/2, func() { attempt(number + 1) })
+			r.fleet.clock.After(roundTripTime/2, func() { attempt(number + 1) })
 		}
-		r.fleet.clock.After(chosen.wait+trip/2, func() {
+		r.fleet.clock.After(chosen.delay+roundTripTime/2, func() {
 			r.fleet.servers[chosen.server].Submit(work, model.Callbacks{
-				Refused: func(*result.Error) { again() },
+				Refused: func(*result.Error) { retry() },
 				FirstToken: func(cached int) {
 					if counted {
-						r.begun(arrived, work, cached)
+						r.recordFirstToken(arrived, work, cached)
 					}
 				},
 				Done:   func() {},
-				Broken: refuse,
+				Broken: countRefusal,
 			})
 		})
 	}
 	attempt(1)
 }
 
-func (r *runner) begun(arrived time.Duration, work model.Request, cached int) {
-	took := r.fleet.clock.Now() + trip/2 - arrived
-	r.figures.first = append(r.figures.first, float64(took.Microseconds())/1000)
-	r.figures.prompt += work.Prompt.Tokens
-	r.figures.cached += cached
+func (r *runner) recordFirstToken(arrived time.Duration, work model.Request, cachedTokens int) {
+	took := r.fleet.clock.Now() + roundTripTime/2 - arrived
+	r.runStats.firstTokenMS = append(r.runStats.firstTokenMS, float64(took.Microseconds())/1000)
+	r.runStats.promptTokens += work.Prompt.Tokens
+	r.runStats.cachedTokens += cachedTokens
 }
 
-func (f *figures) add(other figures) {
-	f.first = append(f.first, other.first...)
-	f.prompt += other.prompt
-	f.cached += other.cached
-	f.asked += other.asked
-	f.refused += other.refused
-	f.bytes += other.bytes
-	f.running = append(f.running, other.running...)
+func (s *runStats) add(other runStats) {
+	s.firstTokenMS = append(s.firstTokenMS, other.firstTokenMS...)
+	s.promptTokens += other.promptTokens
+	s.cachedTokens += other.cachedTokens
+	s.requests += other.requests
+	s.refused += other.refused
+	s.controlBytes += other.controlBytes
+	s.meanLoad = append(s.meanLoad, other.meanLoad...)
 }
 
-func (f *figures) quantile(q float64) float64 {
-	if len(f.first) == 0 {
+func (s *runStats) quantile(q float64) float64 {
+	if len(s.firstTokenMS) == 0 {
 		return math.NaN()
 	}
-	slices.Sort(f.first)
-	return f.first[int(q*float64(len(f.first)-1))]
+	slices.Sort(s.firstTokenMS)
+	return s.firstTokenMS[int(q*float64(len(s.firstTokenMS)-1))]
 }
 
-// spread returns the coefficient of variation of the running work.
-func (f *figures) spread() float64 {
-	mean, square := 0.0, 0.0
-	for _, running := range f.running {
-		mean += running / float64(len(f.running))
+// loadSpread returns the coefficient of variation of the servers' mean load.
+func (s *runStats) loadSpread() float64 {
+	mean, variance := 0.0, 0.0
+	for _, meanLoad := range s.meanLoad {
+		mean += meanLoad / float64(len(s.meanLoad))
 	}
-	for _, running := range f.running {
-		square += (running - mean) * (running - mean) / float64(len(f.running))
+	for _, meanLoad := range s.meanLoad {
+		variance += (meanLoad - mean) * (meanLoad - mean) / float64(len(s.meanLoad))
 	}
-	return math.Sqrt(square) / mean
+	return math.Sqrt(variance) / mean
 }
--- a/ctl/experiment/choice/workload.go
+++ b/ctl/experiment/choice/workload.go
@@ -10,97 +10,99 @@
 )
 
 const (
-	templateBlocks = 32 // Prompt blocks that all requests of one organisation share.
-	turnBlocks     = 16 // Prompt blocks that each turn of a conversation adds.
-	tailTokens     = 9  // Prompt tokens after the last full block.
-	maxTurns       = 6
-	continueShare  = 0.6 // Share of requests that continue a conversation.
-	answerTokens   = 370 // Mean length of an answer.
-	zipfExponent   = 1.0 // Of the organisations' popularity.
-	driftInterval  = 20 * time.Second
-	driftShare     = 7 // One in this many ranks is exchanged at each drift.
-	surgeFactor    = 0.4
-	deadline       = 30 * time.Second
+	templateBlocks   = 32 // Prompt blocks shared by all requests of one organisation.
+	turnBlocks       = 16 // Prompt blocks that each turn of a conversation adds.
+	tailTokens       = 9  // Prompt tokens after the last full block.
+	maxTurns         = 6
+	continueFraction = 0.6 // Fraction of requests that continue a conversation.
+	meanAnswerTokens = 370
+	zipfExponent     = 1.0 // Of the organisations' popularity.
+	driftInterval    = 20 * time.Second
+	driftStride      = 7   // One in this many ranks is swapped with a random one at each drift.
+	surgeFactor      = 0.4 // Additional requests during a surge, relative to the normal total rate.
+	requestTimeout   = 30 * time.Second
 )
 
-// workload draws requests: organisations by a drifting Zipf popularity, each
-// with its own prompt template, and conversations that grow by turns.
+// workload generates random requests. The organisations' popularity follows a
+// drifting Zipf distribution; each organisation has its own prompt template and
+// conversations that grow by turns.
 type workload struct {
-	random  *rand.Rand
-	weights []float64 // By rank, cumulative.
-	ranks   []int     // Organisation at each rank.
-	open    map[int][][]uint64
-	surging int // Organisation that surges, -1 for none.
+	random            *rand.Rand
+	cumulativeWeights []float64 // Of the popularity, by rank.
+	orgByRank         []int     // Organisations by popularity rank.
+	conversations     map[int][][]uint64
+	surgingOrg        int // Organisation whose request rate surges; -1 for none.
 }
 
 func newWorkload(seed uint64, orgs int) *workload {
-	w := &workload{random: rand.New(rand.NewPCG(seed, 1)), open: map[int][][]uint64{}, surging: -1}
+	w := &workload{random: rand.New(rand.NewPCG(seed, 1)), conversations: map[int][][]uint64{}, surgingOrg: -1}
 	total := 0.0
 	for rank := range orgs {
 		total += 1 / math.Pow(float64(rank+1), zipfExponent)
-		w.weights = append(w.weights, total)
-		w.ranks = append(w.ranks, rank)
+		w.cumulativeWeights = append(w.cumulativeWeights, total)
+		w.orgByRank = append(w.orgByRank, rank)
 	}
 	return w
 }
 
-// drift exchanges some popular organisations with random others.
+// drift swaps the organisations at every driftStride-th popularity rank with random
+// others.
 func (w *workload) drift() {
-	for rank := 0; rank < len(w.ranks); rank += driftShare {
-		other := w.random.IntN(len(w.ranks))
-		w.ranks[rank], w.ranks[other] = w.ranks[other], w.ranks[rank]
+	for rank := 0; rank < len(w.orgByRank); rank += driftStride {
+		other := w.random.IntN(len(w.orgByRank))
+		w.orgByRank[rank], w.orgByRank[other] = w.orgByRank[other], w.orgByRank[rank]
 	}
 }
 
 func (w *workload) org() int {
-	if w.surging >= 0 && w.random.Float64() < surgeFactor/(1+surgeFactor) {
-		return w.surging
+	if w.surgingOrg >= 0 && w.random.Float64() < surgeFactor/(1+surgeFactor) {
+		return w.surgingOrg
 	}
-	drawn := w.random.Float64() * w.weights[len(w.weights)-1]
-	low, high := 0, len(w.weights)-1
+	drawn := w.random.Float64() * w.cumulativeWeights[len(w.cumulativeWeights)-1]
+	low, high := 0, len(w.cumulativeWeights)-1
 	for low < high {
-		if middle := (low + high) / 2; w.weights[middle] < drawn {
+		if middle := (low + high) / 2; w.cumulativeWeights[middle] < drawn {
 			low = middle + 1
 		} else {
 			high = middle
 		}
 	}
-	return w.ranks[low]
+	return w.orgByRank[low]
 }
 
-// next draws one request.
-func (w *workload) next() model.Request {
+// nextRequest returns a random request.
+func (w *workload) nextRequest() model.Request {
 	org := w.org()
-	blocks := w.conversation(org)
+	blocks := w.drawPrompt(org)
 	tokens := len(blocks)*prefix.BlockTokens + tailTokens
 	return model.Request{
-		Org: orgName(org), Weight: 1, Timeout: deadline,
+		Org: orgName(org), Weight: 1, Timeout: requestTimeout,
 		Prompt:       prefix.Prompt{Tokens: tokens, Blocks: blocks},
-		AnswerTokens: 1 + int(w.random.ExpFloat64()*(answerTokens-1)),
+		AnswerTokens: 1 + int(w.random.ExpFloat64()*(meanAnswerTokens-1)),
 	}
 }
 
 func orgName(org int) string { return "org-" + string(rune('a'+org%26)) + string(rune('0'+org/26)) }
 
-// conversation returns the prompt of a new or a continued conversation.
-func (w *workload) conversation(org int) []uint64 {
-	open := w.open[org]
-	if len(open) == 0 || w.random.Float64() > continueShare {
-		open = append(open, template(org))
+// drawPrompt returns the prompt of the next turn of a new or an open conversation.
+func (w *workload) drawPrompt(org int) []uint64 {
+	conversations := w.conversations[org]
+	if len(conversations) == 0 || w.random.Float64() > continueFraction {
+		conversations = append(conversations, template(org))
 	}
-	index := w.random.IntN(len(open))
-	if w.random.Float64() > continueShare {
-		index = len(open) - 1
+	index := w.random.IntN(len(conversations))
+	if w.random.Float64() > continueFraction {
+		index = len(conversations) - 1
 	}
-	blocks := append([]uint64(nil), open[index]...)
+	blocks := append([]uint64(nil), conversations[index]...)
 	for range turnBlocks {
 		blocks = append(blocks, w.random.Uint64())
 	}
-	open[index] = blocks
+	conversations[index] = blocks
 	if len(blocks) >= templateBlocks+maxTurns*turnBlocks {
-		open = append(open[:index], open[index+1:]...)
+		conversations = append(conversations[:index], conversations[index+1:]...)
 	}
-	w.open[org] = open
+	w.conversations[org] = conversations
 	return blocks
 }
 
--- a/ctl/experiment/coldstart/coldstart.go
+++ b/ctl/experiment/coldstart/coldstart.go
@@ -1,5 +1,5 @@
-// Package coldstart measures the agent's limit under cold turns, restarts and
-// late reports, against an admission that knows the true limit.
+// Package coldstart measures the agent's admission limit under unannounced cold
+// starts, restarts and late reports, against an oracle that knows the true limit.
 package coldstart
 
 import (
@@ -12,33 +12,33 @@
 // Experiment is the measurement as a named experiment.
 var Experiment = experiment.Experiment{
 	Name:    "coldstart",
-	Summary: "overloads of cold servers, and throughput against a known limit",
+	Summary: "overloads of cold servers, and throughput compared with a known limit",
 	Run:     Run,
 }
 
-// Run runs every kind of failure over the seeds.
+// Run runs every scenario over the seeds.
 func Run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
 	report := experiment.Report{Title: "Cold start"}
 	table := experiment.Table{
-		Title: fmt.Sprintf("%d servers, %d entries, %v, seeds %d to %d", maxServers, entries, runLength,
+		Title: fmt.Sprintf("%d servers, %d entries, %v, seeds %d to %d", serverCount, entries, runLength,
 			options.Seed, options.Seed+uint64(options.Seeds)-1),
 		Columns: []string{"failures", "overloads", "answered", "known limit answered", "share %", "starts beside older work"},
 	}
-	for _, k := range kinds {
-		var mine, known figures
+	for _, sc := range scenarios {
+		var policy, oracle runStats
 		for seed := range options.Seeds {
 			if err := ctx.Err(); err != nil {
 				return report, err
 			}
-			mine.add(run(options.Seed+uint64(seed), k, runLength, false))
-			known.add(run(options.Seed+uint64(seed), k, runLength, true))
+			policy.add(run(options.Seed+uint64(seed), sc, runLength, false))
+			oracle.add(run(options.Seed+uint64(seed), sc, runLength, true))
 		}
 		table.Rows = append(table.Rows, []string{
-			k.name, fmt.Sprint(mine.overloads), fmt.Sprint(mine.done), fmt.Sprint(known.done),
-			fmt.Sprintf("%.1f", 100*float64(mine.done)/float64(known.done)), fmt.Sprint(mine.pressed),
+			sc.name, fmt.Sprint(policy.overloads), fmt.Sprint(policy.completed), fmt.Sprint(oracle.completed),
+			fmt.Sprintf("%.1f", 100*float64(policy.completed)/float64(oracle.completed)), fmt.Sprint(policy.startsOverLimit),
 		})
 	}
 	report.Tables = []experiment.Table{table}
-	report.Notes = []string{"\"starts beside older work\" were made on a cold server within its cold limit for new work, while work begun before an unannounced cold turn still ran"}
+	report.Notes = []string{"\"starts beside older work\" counts requests started on a cold server, within its cold limit for new work, while requests from before an unannounced cold start were still running"}
 	return report, nil
 }
--- a/ctl/experiment/coldstart/coldstart_test.go
+++ b/ctl/experiment/coldstart/coldstart_test.go
@@ -9,27 +9,27 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// throughputShare is the least share of the throughput of an admission that
-// knows the true limit.
-const throughputShare = 0.8
+// minThroughputShare is the minimum throughput, as a share of the throughput with
+// the true limit known.
+const minThroughputShare = 0.8
 
-func TestAColdServerIsNeverOverloadedAndThroughputStays(t *testing.T) {
+func TestColdServerIsNeverOverloadedAndThroughputStaysHigh(t *testing.T) {
 	const seeds, length = 2, 90 * time.Second
-	for _, k := range kinds {
-		var mine, known figures
+	for _, sc := range scenarios {
+		var policy, oracle runStats
 		for seed := range uint64(seeds) {
-			mine.add(run(seed, k, length, false))
-			known.add(run(seed, k, length, true))
+			policy.add(run(seed, sc, length, false))
+			oracle.add(run(seed, sc, length, true))
 		}
-		t.Logf("%s: %+v, known limit %+v", k.name, mine, known)
-		if mine.overloads != 0 {
-			t.Errorf("%s: %d overloads", k.name, mine.overloads)
+		t.Logf("%s: %+v, known limit %+v", sc.name, policy, oracle)
+		if policy.overloads != 0 {
+			t.Errorf("%s: %d overloads", sc.name, policy.overloads)
 		}
-		if known.overloads != 0 {
-			t.Errorf("%s: %d overloads with the known limit", k.name, known.overloads)
+		if oracle.overloads != 0 {
+			t.Errorf("%s: %d overloads with the known limit", sc.name, oracle.overloads)
 		}
-		if share := float64(mine.done) / float64(known.done); share < throughputShare {
-			t.Errorf("%s: %.2f of the throughput with the known limit", k.name, share)
+		if share := float64(policy.completed) / float64(oracle.completed); share < minThroughputShare {
+			t.Errorf("%s: %.2f of the throughput with the known limit", sc.name, share)
 		}
 	}
 }
--- a/ctl/experiment/coldstart/run.go
+++ b/ctl/experiment/coldstart/run.go
@@ -10,133 +10,133 @@
 )
 
 const (
-	entries     = 8
-	maxServers  = 4
-	runLength   = 120 * time.Second
-	entryRetry  = 50 * time.Millisecond
-	promptBlock = 64
-	meanAnswer  = 60 // Tokens.
-	deadline    = 10 * time.Second
+	entries          = 8
+	serverCount      = 4
+	runLength        = 120 * time.Second
+	entryRetry       = 50 * time.Millisecond
+	promptBlocks     = 64
+	meanAnswerTokens = 60
+	requestTimeout   = 10 * time.Second
 )
 
-// kind is what happens to the servers of a run.
-type kind struct {
-	name       string
-	turns      bool // Unannounced cold turns: the engine goes on, cold.
-	restarts   bool // The engine restarts: its answers break off.
-	agents     bool // Agents restart.
-	reportLag  time.Duration
-	coldFactor float64
+// scenario says which faults are injected into the servers of a run.
+type scenario struct {
+	name              string
+	coldTurns         bool // Engines turn cold unannounced, and continue their requests.
+	engineRestarts    bool // Engines restart, which breaks off their answers.
+	agentRestarts     bool // Agents restart, some of them together with a cold turn.
+	reportLag         time.Duration
+	coldPrefillFactor float64
 }
 
-var kinds = []kind{
-	{name: "unannounced cold turns", turns: true, reportLag: 500 * time.Millisecond, coldFactor: 6},
-	{name: "engine restarts", restarts: true, reportLag: 500 * time.Millisecond, coldFactor: 6},
-	{name: "agent restarts and cold turns", turns: true, agents: true, reportLag: 500 * time.Millisecond, coldFactor: 6},
-	{name: "all, reports 2 s late", turns: true, restarts: true, agents: true, reportLag: 2 * time.Second, coldFactor: 6},
+var scenarios = []scenario{
+	{name: "unannounced cold turns", coldTurns: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
+	{name: "engine restarts", engineRestarts: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
+	{name: "agent restarts and cold turns", coldTurns: true, agentRestarts: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
+	{name: "all, reports 2 s late", coldTurns: true, engineRestarts: true, agentRestarts: true, reportLag: 2 * time.Second, coldPrefillFactor: 6},
 }
 
-// figures are what a run shows.
-type figures struct {
-	asked, done, refused, broken int
-	overloads                    int
-	pressed                      int
+// runStats holds the results of a run.
+type runStats struct {
+	requests, completed, refused, broken int
+	overloads                            int
+	startsOverLimit                      int
 }
 
-func (f *figures) add(other figures) {
-	f.asked += other.asked
-	f.done += other.done
-	f.refused += other.refused
-	f.broken += other.broken
-	f.overloads += other.overloads
-	f.pressed += other.pressed
+func (s *runStats) add(other runStats) {
+	s.requests += other.requests
+	s.completed += other.completed
+	s.refused += other.refused
+	s.broken += other.broken
+	s.overloads += other.overloads
+	s.startsOverLimit += other.startsOverLimit
 }
 
-// run offers the servers more than they can carry, from all entries at once,
-// and brings about the failures of the kind at random times. The oracle knows
+// run offers the servers more load than they can handle, from all entries at once,
+// and injects the scenario's faults at random times. With oracle, admission knows
 // the engine's true limit at each moment.
-func run(seed uint64, k kind, length time.Duration, oracle bool) figures {
+func run(seed uint64, sc scenario, length time.Duration, oracle bool) runStats {
 	clock := &model.Clock{}
 	random := rand.New(rand.NewPCG(seed, 11))
 	faults := rand.New(rand.NewPCG(seed, 12))
-	var found figures
-	servers := make([]*model.Server, maxServers)
+	var stats runStats
+	servers := make([]*model.Server, serverCount)
 	for index := range servers {
 		phase := time.Duration(random.Int64N(int64(model.PollInterval)))
-		servers[index] = model.NewServer(clock, "engine", shape(k), phase)
+		servers[index] = model.NewServer(clock, "engine", engineConfig(sc), phase)
 		if oracle {
 			servers[index].UseOracle()
 		}
-		scheduleFaults(clock, faults, servers[index], k)
+		scheduleFaults(clock, faults, servers[index], sc)
 	}
 	for range entries {
-		load(clock, random, servers, &found)
+		startEntry(clock, random, servers, &stats)
 	}
 	clock.Run(length)
 	for _, server := range servers {
-		found.overloads += server.Overloads()
-		found.pressed += server.ColdStartsOverLimit()
+		stats.overloads += server.Overloads()
+		stats.startsOverLimit += server.ColdStartsOverLimit()
 	}
-	return found
+	return stats
 }
 
-func shape(k kind) model.EngineConfig {
+func engineConfig(sc scenario) model.EngineConfig {
 	return model.EngineConfig{
 		FullLimit: 32, ColdLimit: 4, WarmAfter: 12, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
-		ColdPrefillFactor: k.coldFactor, CacheBlocks: 4096, ReportLag: k.reportLag,
+		ColdPrefillFactor: sc.coldPrefillFactor, CacheBlocks: 4096, ReportLag: sc.reportLag,
 	}
 }
 
-// scheduleFaults draws the failures of one server, some ten seconds apart, and
-// sometimes two at once.
-func scheduleFaults(clock *model.Clock, random *rand.Rand, server *model.Server, k kind) {
+// scheduleFaults injects random faults into one server, some tens of seconds apart.
+// An agent restart may coincide with a cold turn.
+func scheduleFaults(clock *model.Clock, random *rand.Rand, server *model.Server, sc scenario) {
 	var faults []func()
-	if k.turns {
+	if sc.coldTurns {
 		faults = append(faults, server.TurnCold)
 	}
-	if k.restarts {
+	if sc.engineRestarts {
 		faults = append(faults, server.Restart)
 	}
-	if k.agents {
+	if sc.agentRestarts {
 		faults = append(faults, server.RestartAgent, func() {
 			server.RestartAgent()
 			server.TurnCold()
 		})
 	}
-	var next func()
-	next = func() {
+	var injectFault func()
+	injectFault = func() {
 		faults[random.IntN(len(faults))]()
-		clock.After(time.Duration((15+random.ExpFloat64()*15)*float64(time.Second)), next)
+		clock.After(time.Duration((15+random.ExpFloat64()*15)*float64(time.Second)), injectFault)
 	}
-	clock.After(time.Duration((10+random.Float64()*20)*float64(time.Second)), next)
+	clock.After(time.Duration((10+random.Float64()*20)*float64(time.Second)), injectFault)
 }
 
-// load is one entry: Poisson arrivals, each to a random server; a refused
-// request is given up on.
-func load(clock *model.Clock, random *rand.Rand, servers []*model.Server, found *figures) {
-	const perEntry = 9.0 // Requests a second.
+// startEntry simulates one entry with Poisson arrivals. Each request goes to a random
+// server and is not retried when refused.
+func startEntry(clock *model.Clock, random *rand.Rand, servers []*model.Server, stats *runStats) {
+	const requestsPerSecond = 9.0 // Of one entry.
 	var arrive func()
 	arrive = func() {
-		found.asked++
+		stats.requests++
 		server := servers[random.IntN(len(servers))]
-		server.Submit(draw(random), model.Callbacks{
-			Refused:    func(*result.Error) { found.refused++ },
+		server.Submit(drawRequest(random), model.Callbacks{
+			Refused:    func(*result.Error) { stats.refused++ },
 			FirstToken: func(int) {},
-			Done:       func() { found.done++ },
-			Broken:     func() { found.broken++ },
+			Done:       func() { stats.completed++ },
+			Broken:     func() { stats.broken++ },
 		})
-		clock.After(time.Duration(random.ExpFloat64()/perEntry*float64(time.Second)), arrive)
+		clock.After(time.Duration(random.ExpFloat64()/requestsPerSecond*float64(time.Second)), arrive)
 	}
 	clock.After(time.Duration(random.Int64N(int64(time.Second))), arrive)
 }
 
-func draw(random *rand.Rand) model.Request {
-	blocks := make([]uint64, promptBlock)
+func drawRequest(random *rand.Rand) model.Request {
+	blocks := make([]uint64, promptBlocks)
 	for index := range blocks {
 		blocks[index] = random.Uint64()
 	}
 	return model.Request{
-		Org: "org", Weight: 1, Timeout: deadline, AnswerTokens: 10 + int(random.ExpFloat64()*meanAnswer),
-		Prompt: prefix.Prompt{Tokens: promptBlock * prefix.BlockTokens, Blocks: blocks},
+		Org: "org", Weight: 1, Timeout: requestTimeout, AnswerTokens: 10 + int(random.ExpFloat64()*meanAnswerTokens),
+		Prompt: prefix.Prompt{Tokens: promptBlocks * prefix.BlockTokens, Blocks: blocks},
 	}
 }
--- a/ctl/experiment/model/clock.go
+++ b/ctl/experiment/model/clock.go
@@ -14,9 +14,9 @@
 // Clock is a simulated clock that runs scheduled functions in the order of their
 // times.
 type Clock struct {
-	now     time.Duration
-	lastSeq uint64
-	queue   callQueue
+	now   time.Duration
+	seq   uint64
+	queue callQueue
 }
 
 // Now returns the time since the start of the run.
@@ -27,8 +27,8 @@
 
 // After schedules the function to run after the wait.
 func (c *Clock) After(wait time.Duration, run func()) {
-	c.lastSeq++
-	heap.Push(&c.queue, scheduledCall{at: c.now + max(0, wait), seq: c.lastSeq, run: run})
+	c.seq++
+	heap.Push(&c.queue, scheduledCall{at: c.now + max(0, wait), seq: c.seq, run: run})
 }
 
 // Every schedules the function to run first after the phase, then at each
--- a/ctl/experiment/model/oracle.go
+++ b/ctl/experiment/model/oracle.go
@@ -10,7 +10,7 @@
 // is an upper bound for comparison: a real agent can't know that limit.
 func (s *Server) UseOracle() { s.oracle = true }
 
-func (s *Server) submitToOracle(p pendingRequest) {
+func (s *Server) submitToOracle(p pending) {
 	if len(s.oracleQueue) >= maxOracleQueue {
 		p.callbacks.Refused(&result.Error{Code: result.Overloaded})
 		return
@@ -23,7 +23,7 @@
 	for s.oracle && len(s.oracleQueue) > 0 && s.oracleHasCapacity() {
 		next := s.oracleQueue[0]
 		s.oracleQueue = s.oracleQueue[1:]
-		s.start(next)
+		s.run(next)
 	}
 }
 
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -39,13 +39,13 @@
 	agent        admission.State
 	agentStarted time.Time
 	lastTicket   uint64
-	pending      map[uint64]pendingRequest
+	pending      map[uint64]pending
 	offers       map[uint64]admission.Offer
 	oracle       bool // Admit by the engine's true limit instead of the policy.
-	oracleQueue  []pendingRequest
+	oracleQueue  []pending
 }
 
-type pendingRequest struct {
+type pending struct {
 	request   Request
 	callbacks Callbacks
 	ticket    uint64
@@ -55,7 +55,7 @@
 func NewServer(clock *Clock, name string, config EngineConfig, phase time.Duration) *Server {
 	s := &Server{
 		Name: name, clock: clock, engine: newEngine(clock, config), agentStarted: clock.Time(),
-		pending: map[uint64]pendingRequest{}, offers: map[uint64]admission.Offer{},
+		pending: map[uint64]pending{}, offers: map[uint64]admission.Offer{},
 	}
 	s.configure()
 	clock.Every(phase, PollInterval, s.poll)
@@ -82,7 +82,7 @@
 // Submit asks the agent to run the request.
 func (s *Server) Submit(request Request, callbacks Callbacks) {
 	s.lastTicket++
-	p := pendingRequest{request: request, callbacks: callbacks, ticket: s.lastTicket}
+	p := pending{request: request, callbacks: callbacks, ticket: s.lastTicket}
 	if s.oracle {
 		s.submitToOracle(p)
 		return
@@ -108,17 +108,17 @@
 		case admission.Admit:
 			p := s.pending[effect.Ticket]
 			delete(s.pending, effect.Ticket)
-			s.start(p)
+			s.run(p)
 		}
 	}
 }
 
-// start runs the request at the engine. Its first token and its end reach the
+// run runs the request at the engine. Its first token and its end reach the
 // agent as events, unless the agent has restarted since.
-func (s *Server) start(p pendingRequest) {
-	agentStarted := s.agentStarted
+func (s *Server) run(p pending) {
+	agentAtStart := s.agentStarted
 	sendToAgent := func(event reduce.Event) {
-		if s.agentStarted.Equal(agentStarted) && !s.oracle {
+		if s.agentStarted.Equal(agentAtStart) && !s.oracle {
 			s.step(event)
 		}
 	}
@@ -205,7 +205,7 @@
 func (s *Server) RestartAgent() {
 	s.agentStarted = s.clock.Time()
 	waiting := s.pending
-	s.pending = map[uint64]pendingRequest{}
+	s.pending = map[uint64]pending{}
 	s.configure()
 	for _, p := range waiting {
 		p.callbacks.Refused(&result.Error{Code: result.NoBackendServer})
--- a/ctl/experiment/retries/retries.go
+++ b/ctl/experiment/retries/retries.go
@@ -1,5 +1,5 @@
-// Package retries measures attempts and goodput when half of the backend
-// servers stop at once under load.
+// Package retries measures attempts per request and goodput when half of the
+// backend servers stop at once under load.
 package retries
 
 import (
@@ -20,28 +20,28 @@
 func Run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
 	report := experiment.Report{Title: "Retries"}
 	table := experiment.Table{
-		Title: fmt.Sprintf("%d backend servers, half stop; %d entries, %.0f requests/s", servers, entries, entries*perEntry),
+		Title: fmt.Sprintf("%d backend servers, half stop; %d entries, %.0f requests/s", servers, entries, entries*requestsPerSecond),
 		Columns: []string{
 			"policy", "attempts/request", "goodput of what is left %", "refused %", "broken", "slowest refusal",
 		},
 	}
 	for _, p := range policies {
-		var stopped, left figures
+		var stopped, baseline runStats
 		for seed := range options.Seeds {
 			if err := ctx.Err(); err != nil {
 				return report, err
 			}
 			stopped.add(run(options.Seed+uint64(seed), p, false))
-			left.add(run(options.Seed+uint64(seed), p, true))
+			baseline.add(run(options.Seed+uint64(seed), p, true))
 		}
 		table.Rows = append(table.Rows, []string{
 			p.name, fmt.Sprintf("%.3f", stopped.attemptsPerRequest()),
-			fmt.Sprintf("%.1f", 100*float64(stopped.done)/float64(left.done)),
-			fmt.Sprintf("%.1f", 100*float64(stopped.refused)/float64(stopped.asked)),
-			fmt.Sprint(stopped.broken), fmt.Sprint(stopped.slowest),
+			fmt.Sprintf("%.1f", 100*float64(stopped.completed)/float64(baseline.completed)),
+			fmt.Sprintf("%.1f", 100*float64(stopped.refused)/float64(stopped.requests)),
+			fmt.Sprint(stopped.broken), fmt.Sprint(stopped.slowestRefusal),
 		})
 	}
 	report.Tables = []experiment.Table{table}
-	report.Notes = []string{"what is left: the same requests offered to the remaining half alone"}
+	report.Notes = []string{"\"goodput of what is left\" compares with a run in which the same requests are offered to only the remaining half of the servers"}
 	return report, nil
 }
--- a/ctl/experiment/retries/retries_test.go
+++ b/ctl/experiment/retries/retries_test.go
@@ -10,22 +10,22 @@
 
 const (
 	maxAttemptsPerRequest = 1.2
-	goodputShare          = 0.9
+	minGoodputShare       = 0.9
 )
 
-func TestHalfOfTheServersStopWithoutARetryStorm(t *testing.T) {
-	ours := policies[len(policies)-1]
+func TestRetriesStayBoundedWhenHalfOfTheServersStop(t *testing.T) {
+	budgeted := policies[len(policies)-1]
 	for seed := range uint64(2) {
-		stopped, left := run(seed, ours, false), run(seed, ours, true)
-		t.Logf("seed %d: %+v, left %+v", seed, stopped, left)
+		stopped, baseline := run(seed, budgeted, false), run(seed, budgeted, true)
+		t.Logf("seed %d: %+v, remaining half alone %+v", seed, stopped, baseline)
 		if got := stopped.attemptsPerRequest(); got >= maxAttemptsPerRequest {
 			t.Errorf("seed %d: %.3f attempts per request", seed, got)
 		}
-		if share := float64(stopped.done) / float64(left.done); share < goodputShare {
-			t.Errorf("seed %d: goodput is %.2f of what is left", seed, share)
+		if share := float64(stopped.completed) / float64(baseline.completed); share < minGoodputShare {
+			t.Errorf("seed %d: goodput is %.2f of that of the remaining half alone", seed, share)
 		}
-		if stopped.late > 0 {
-			t.Errorf("seed %d: %d refusals do not say when to come back", seed, stopped.late)
+		if stopped.withoutRetryAfter > 0 {
+			t.Errorf("seed %d: %d refusals have no RetryAfter", seed, stopped.withoutRetryAfter)
 		}
 	}
 }
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	servers      = 24
-	entries      = 6
-	perEntry     = 16.0 // Requests a second; the fleet carries about 105 in all.
-	stopAt       = 60 * time.Second
-	settled      = 5 * time.Second // After the stop, until goodput is counted.
-	runLength    = 120 * time.Second
-	trip         = time.Millisecond
-	deadline     = 10 * time.Second
-	promptBlocks = 32
-	meanAnswer   = 250
-	probeRounds  = 2
+	servers           = 24
+	entries           = 6
+	requestsPerSecond = 16.0 // Of one entry; the fleet can serve about 105 in total.
+	stopAt            = 60 * time.Second
+	settleTime        = 5 * time.Second // From the stop until goodput is counted.
+	runLength         = 120 * time.Second
+	roundTripTime     = time.Millisecond
+	requestTimeout    = 10 * time.Second
+	promptBlocks      = 32
+	meanAnswerTokens  = 250
+	probeRounds       = 2
 )
 
-// policy is a way of retrying.
+// policy is a retry policy.
 type policy struct {
-	name    string
-	blind   bool // Choose any server without asking.
-	retries func(b retry.Budget, attempt retry.Attempt) (retry.Budget, bool)
+	name          string
+	withoutProbes bool // Choose a random server instead of probing.
+	shouldRetry   func(b retry.Budget, attempt retry.Attempt) (retry.Budget, bool)
 }
 
 var policies = []policy{
-	{name: "no retries", retries: func(b retry.Budget, _ retry.Attempt) (retry.Budget, bool) { return b, false }},
-	{name: "up to 3 attempts", retries: always},
-	{name: "up to 3 attempts, chosen at random", retries: always, blind: true},
-	{name: "persimmonwind", retries: budgeted},
+	{name: "no retries", shouldRetry: func(b retry.Budget, _ retry.Attempt) (retry.Budget, bool) { return b, false }},
+	{name: "up to 3 attempts", shouldRetry: retryAlways},
+	{name: "up to 3 attempts, chosen at random", shouldRetry: retryAlways, withoutProbes: true},
+	{name: "persimmonwind", shouldRetry: retryWithinBudget},
 }
 
-func always(b retry.Budget, attempt retry.Attempt) (retry.Budget, bool) {
+func retryAlways(b retry.Budget, attempt retry.Attempt) (retry.Budget, bool) {
 	return b, retry.Retriable(attempt)
 }
 
-func budgeted(b retry.Budget, attempt retry.Attempt) (retry.Budget, bool) {
+func retryWithinBudget(b retry.Budget, attempt retry.Attempt) (retry.Budget, bool) {
 	if !retry.Retriable(attempt) {
 		return b, false
 	}
@@ -54,47 +54,47 @@
 	return b.Withdraw()
 }
 
-// figures are what a run shows of the requests that arrive after the stop.
-type figures struct {
-	asked, attempts, refused, broken int
-	late                             int // Refusals without a time to come back.
-	done                             int // Answered after the fleet has settled.
-	slowest                          time.Duration
+// runStats holds the results of a run, for the requests that arrive after the stop.
+type runStats struct {
+	requests, attempts, refused, broken int
+	withoutRetryAfter                   int // Refusals without a RetryAfter.
+	completed                           int // Requests completed more than settleTime after the stop, whenever they arrived.
+	slowestRefusal                      time.Duration
 }
 
-func (f *figures) add(other figures) {
-	f.asked += other.asked
-	f.attempts += other.attempts
-	f.refused += other.refused
-	f.broken += other.broken
-	f.late += other.late
-	f.done += other.done
-	f.slowest = max(f.slowest, other.slowest)
+func (s *runStats) add(other runStats) {
+	s.requests += other.requests
+	s.attempts += other.attempts
+	s.refused += other.refused
+	s.broken += other.broken
+	s.withoutRetryAfter += other.withoutRetryAfter
+	s.completed += other.completed
+	s.slowestRefusal = max(s.slowestRefusal, other.slowestRefusal)
 }
 
-func (f figures) attemptsPerRequest() float64 { return float64(f.attempts) / float64(f.asked) }
+func (s runStats) attemptsPerRequest() float64 { return float64(s.attempts) / float64(s.requests) }
 
-// runner is one run.
+// runner simulates one run.
 type runner struct {
 	clock   *model.Clock
 	random  *rand.Rand
 	servers []*model.Server
 	names   []string
 	policy  policy
-	found   figures
+	stats   runStats
 }
 
-// run offers requests to the servers, of which half stop at stopAt, or, where
-// halved, were never there.
-func run(seed uint64, p policy, halved bool) figures {
+// run offers requests to the servers. Half of them stop at stopAt or, with
+// halfFleet, don't exist.
+func run(seed uint64, p policy, halfFleet bool) runStats {
 	r := &runner{clock: &model.Clock{}, random: rand.New(rand.NewPCG(seed, 21)), policy: p}
 	for index := range servers {
 		phase := time.Duration(r.random.Int64N(int64(model.PollInterval)))
-		if halved && index%2 == 1 {
+		if halfFleet && index%2 == 1 {
 			continue
 		}
 		name := fmt.Sprintf("engine-%d", index)
-		server := model.NewServer(r.clock, name, shape(), phase)
+		server := model.NewServer(r.clock, name, engineConfig(), phase)
 		server.WarmUp()
 		r.servers = append(r.servers, server)
 		r.names = append(r.names, name)
@@ -103,48 +103,48 @@
 		}
 	}
 	for entry := range entries {
-		r.load(rand.New(rand.NewPCG(seed, uint64(100+entry))))
+		r.startEntry(rand.New(rand.NewPCG(seed, uint64(100+entry))))
 	}
 	r.clock.Run(runLength)
-	return r.found
+	return r.stats
 }
 
-func shape() model.EngineConfig {
+func engineConfig() model.EngineConfig {
 	return model.EngineConfig{
 		FullLimit: 32, ColdLimit: 4, WarmAfter: 8, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
 		ColdPrefillFactor: 4, CacheBlocks: 4096, ReportLag: 500 * time.Millisecond,
 	}
 }
 
-// load is one entry with its own retry budget.
-func (r *runner) load(arrivals *rand.Rand) {
+// startEntry simulates one entry with its own retry budget.
+func (r *runner) startEntry(arrivals *rand.Rand) {
 	budget := retry.NewBudget()
 	var arrive func()
 	arrive = func() {
 		budget = budget.Deposit()
-		q := &request{runner: r, budget: &budget, arrived: r.clock.Now(), work: draw(arrivals), excluded: map[int]bool{}}
-		q.counted = q.arrived >= stopAt && q.arrived < runLength-deadline
+		q := &request{runner: r, budget: &budget, arrived: r.clock.Now(), work: drawRequest(arrivals), excluded: map[int]bool{}}
+		q.counted = q.arrived >= stopAt && q.arrived < runLength-requestTimeout
 		if q.counted {
-			r.found.asked++
+			r.stats.requests++
 		}
 		q.attempt(1)
-		r.clock.After(time.Duration(arrivals.ExpFloat64()/perEntry*float64(time.Second)), arrive)
+		r.clock.After(time.Duration(arrivals.ExpFloat64()/requestsPerSecond*float64(time.Second)), arrive)
 	}
 	r.clock.After(0, arrive)
 }
 
-func draw(random *rand.Rand) model.Request {
+func drawRequest(random *rand.Rand) model.Request {
 	blocks := make([]uint64, promptBlocks)
 	for index := range blocks {
 		blocks[index] = random.Uint64()
 	}
 	return model.Request{
-		Org: "org", Weight: 1, Timeout: deadline, AnswerTokens: 10 + int(random.ExpFloat64()*meanAnswer),
+		Org: "org", Weight: 1, Timeout: requestTimeout, AnswerTokens: 10 + int(random.ExpFloat64()*meanAnswerTokens),
 		Prompt: prefix.Prompt{Tokens: promptBlocks * prefix.BlockTokens, Blocks: blocks},
 	}
 }
 
-// request is one caller's request.
+// request is a request of one caller.
 type request struct {
 	runner   *runner
 	budget   *retry.Budget
@@ -158,83 +158,83 @@
 	r := q.runner
 	server, refusal := q.choose()
 	if refusal != nil {
-		q.giveUp(refusal)
+		q.recordFailure(refusal)
 		return
 	}
 	if q.counted {
-		r.found.attempts++
+		r.stats.attempts++
 	}
-	begun := false
-	r.clock.After(trip, func() {
+	responseStarted := false
+	r.clock.After(roundTripTime, func() {
 		r.servers[server].Submit(q.work, model.Callbacks{
-			Refused:    func(err *result.Error) { q.failed(number, server, err, false) },
-			FirstToken: func(int) { begun = true },
+			Refused:    func(err *result.Error) { q.handleFailure(number, server, err, false) },
+			FirstToken: func(int) { responseStarted = true },
 			Done: func() {
-				if r.clock.Now() >= stopAt+settled {
-					r.found.done++
+				if r.clock.Now() >= stopAt+settleTime {
+					r.stats.completed++
 				}
 			},
-			Broken: func() { q.failed(number, server, &result.Error{Code: result.CutAnswer}, begun) },
+			Broken: func() { q.handleFailure(number, server, &result.Error{Code: result.CutAnswer}, responseStarted) },
 		})
 	})
 }
 
-func (q *request) failed(number, server int, err *result.Error, begun bool) {
+func (q *request) handleFailure(number, server int, err *result.Error, responseStarted bool) {
 	attempt := retry.Attempt{
-		Number: number, Err: err, ResponseStarted: begun, Idempotent: true, Waited: q.runner.clock.Now() - q.arrived,
+		Number: number, Err: err, ResponseStarted: responseStarted, Idempotent: true, Waited: q.runner.clock.Now() - q.arrived,
 		Remaining: q.work.Timeout - (q.runner.clock.Now() - q.arrived),
 	}
-	var again bool
-	if *q.budget, again = q.runner.policy.retries(*q.budget, attempt); !again {
-		q.giveUp(err)
+	var retryAllowed bool
+	if *q.budget, retryAllowed = q.runner.policy.shouldRetry(*q.budget, attempt); !retryAllowed {
+		q.recordFailure(err)
 		return
 	}
 	q.excluded[server] = true
 	q.attempt(number + 1)
 }
 
-func (q *request) giveUp(err *result.Error) {
+func (q *request) recordFailure(err *result.Error) {
 	if !q.counted {
 		return
 	}
-	found := &q.runner.found
+	stats := &q.runner.stats
 	if err.Code == result.CutAnswer {
-		found.broken++
+		stats.broken++
 		return
 	}
-	found.refused++
+	stats.refused++
 	if retry.FinalError(err, q.runner.random.Uint64()).RetryAfter <= 0 {
-		found.late++
+		stats.withoutRetryAfter++
 	}
-	found.slowest = max(found.slowest, q.runner.clock.Now()-q.arrived)
+	stats.slowestRefusal = max(stats.slowestRefusal, q.runner.clock.Now()-q.arrived)
 }
 
-// choose asks a few agents as an entry does, in up to probeRounds rounds.
+// choose probes a few agents as an entry does, in up to probeRounds rounds.
 func (q *request) choose() (int, *result.Error) {
 	r := q.runner
-	free := q.free()
+	untried := q.untried()
 	var refusal *result.Error
 	for range probeRounds {
-		if len(free) == 0 {
+		if len(untried) == 0 {
 			break
 		}
-		if r.policy.blind {
-			return free[r.random.IntN(len(free))], nil
+		if r.policy.withoutProbes {
+			return untried[r.random.IntN(len(untried))], nil
 		}
-		asked, rest := q.few(free)
-		offers := make([]choose.Offer, len(asked))
-		for index, server := range asked {
+		candidates, rest := q.splitCandidates(untried)
+		offers := make([]choose.Offer, len(candidates))
+		for index, server := range candidates {
 			offer := r.servers[server].Probe(q.work.Prompt)
 			offers[index] = choose.Offer{
 				Refuses: offer.Refuses, RetryAfter: offer.RetryAfter, FirstToken: offer.FirstToken,
-				RTT: trip, Running: offer.Running, Headroom: offer.Headroom,
+				RTT: roundTripTime, Running: offer.Running, Headroom: offer.Headroom,
 			}
 		}
-		index, err := choose.Best(offers, deadline, r.random.Uint64())
+		index, err := choose.Best(offers, requestTimeout, r.random.Uint64())
 		if err == nil {
-			return asked[index], nil
+			return candidates[index], nil
 		}
-		refusal, free = err, rest
+		refusal, untried = err, rest
 	}
 	if refusal == nil {
 		refusal = &result.Error{Code: result.NoBackendServer}
@@ -242,32 +242,32 @@
 	return 0, refusal
 }
 
-func (q *request) free() []int {
-	var free []int
+func (q *request) untried() []int {
+	var untried []int
 	for index := range q.runner.servers {
 		if !q.excluded[index] {
-			free = append(free, index)
+			untried = append(untried, index)
 		}
 	}
-	return free
+	return untried
 }
 
-// few splits the servers into those to ask and the rest.
-func (q *request) few(free []int) (asked, rest []int) {
-	names := make([]string, len(free))
-	for index, server := range free {
+// splitCandidates splits the servers into those to probe and the rest.
+func (q *request) splitCandidates(untried []int) (candidates, rest []int) {
+	names := make([]string, len(untried))
+	for index, server := range untried {
 		names[index] = q.runner.names[server]
 	}
 	chosen := map[int]bool{}
 	for _, index := range choose.Candidates(names, choose.Work{Model: "m", Prompt: q.work.Prompt}, q.runner.random.Uint64()) {
 		chosen[index] = true
 	}
-	for index, server := range free {
+	for index, server := range untried {
 		if chosen[index] {
-			asked = append(asked, server)
+			candidates = append(candidates, server)
 		} else {
 			rest = append(rest, server)
 		}
 	}
-	return asked, rest
+	return candidates, rest
 }
--- a/ctl/experiment/shares/shares.go
+++ b/ctl/experiment/shares/shares.go
@@ -43,7 +43,7 @@
 	beyondBurst      int     // Organisations that got more than their limit, the tolerance and one burst.
 }
 
-func (s runStats) summarise() summary {
+func (s runStats) summary() summary {
 	seconds := (runLength - warmUp).Seconds()
 	result := summary{busyMin: math.Inf(1)}
 	var overAdmitted, overLimits, underAdmitted, underRequests, meanInUse, slots, requests float64
@@ -93,7 +93,7 @@
 			if err := ctx.Err(); err != nil {
 				return report, err
 			}
-			result := run(options.Seed, sz, loseHome).summarise()
+			result := run(options.Seed, sz, loseHome).summary()
 			percent := func(value float64) string { return fmt.Sprintf("%.1f", 100*value) }
 			table.Rows = append(table.Rows, []string{
 				fmt.Sprint(sz.entries), fmt.Sprint(sz.orgs), fmt.Sprint(loseHome), percent(result.busyMin), percent(result.busyMax),
--- a/ctl/experiment/shares/shares_test.go
+++ b/ctl/experiment/shares/shares_test.go
@@ -10,7 +10,7 @@
 
 func TestLimitsHoldAcrossEntries(t *testing.T) {
 	for _, sz := range sizes[:2] {
-		result := run(1, sz, false).summarise()
+		result := run(1, sz, false).summary()
 		t.Logf("%+v: %+v", sz, result)
 		if result.busyMin < 1-tolerance || result.busyMax > 1+tolerance {
 			t.Errorf("%d entries: busy organisations got %.2f to %.2f of their limits", sz.entries, result.busyMin, result.busyMax)
