--- a/ctl/experiment/choice/policies.go
+++ b/ctl/experiment/choice/policies.go
@@ -24,7 +24,7 @@
 // policy chooses a server for a request. Excluded servers have been tried already.
 type policy interface {
 	name() string
-	choose(work model.Request, excluded map[int]bool) (decision, bool)
+	choose(work model.Work, excluded map[int]bool) (decision, bool)
 }
 
 // fleet is the set of servers from which the policies choose.
@@ -52,7 +52,7 @@
 
 func (randomPolicy) name() string { return "random" }
 
-func (p randomPolicy) choose(_ model.Request, excluded map[int]bool) (decision, bool) {
+func (p randomPolicy) choose(_ model.Work, excluded map[int]bool) (decision, bool) {
 	untried := p.untried(excluded)
 	if len(untried) == 0 {
 		return decision{}, false
@@ -79,7 +79,7 @@
 
 func (*leastLoaded) name() string { return "least loaded, stale reports" }
 
-func (p *leastLoaded) choose(_ model.Request, excluded map[int]bool) (decision, bool) {
+func (p *leastLoaded) choose(_ model.Work, excluded map[int]bool) (decision, bool) {
 	untried := p.untried(excluded)
 	best, ties := -1, 0
 	for _, index := range untried {
@@ -102,7 +102,7 @@
 
 func (twoChoices) name() string { return "power of two" }
 
-func (p twoChoices) choose(work model.Request, excluded map[int]bool) (decision, bool) {
+func (p twoChoices) choose(work model.Work, excluded map[int]bool) (decision, bool) {
 	untried := p.untried(excluded)
 	if len(untried) == 0 {
 		return decision{}, false
@@ -124,7 +124,7 @@
 
 func (candidateProbes) name() string { return "persimmonwind" }
 
-func (p candidateProbes) choose(work model.Request, excluded map[int]bool) (decision, bool) {
+func (p candidateProbes) choose(work model.Work, excluded map[int]bool) (decision, bool) {
 	untried := p.untried(excluded)
 	names := make([]string, len(untried))
 	for index, server := range untried {
@@ -140,7 +140,7 @@
 		}
 	}
 	cost := len(candidates) * probeBytes(len(work.Prompt.Blocks))
-	index, err := choose.Best(offers, work.Timeout, p.random.Uint64())
+	index, err := choose.Best(offers, work.Deadline, p.random.Uint64())
 	if err != nil && err.Code != result.OK {
 		return decision{controlBytes: cost}, false
 	}
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -51,7 +51,7 @@
 
 func engineConfig(s scenario) model.EngineConfig {
 	config := model.EngineConfig{
-		FullLimit: 32, ColdLimit: 4, WarmAfter: 8, PrefillTime: prefillTime, StepTime: stepTime, ColdPrefillFactor: 4,
+		Full: 32, Cold: 4, WarmAfter: 8, PrefillTime: prefillTime, StepTime: stepTime, ColdPrefillFactor: 4,
 		CacheBlocks: 8192, ReportLag: 500 * time.Millisecond, EventLag: 200 * time.Millisecond,
 	}
 	if s.unreliableEvents {
@@ -118,7 +118,7 @@
 }
 
 // send sends one request, with up to maxAttempts attempts.
-func (r *runner) send(work model.Request) {
+func (r *runner) send(work model.Work) {
 	arrived := r.fleet.clock.Now()
 	counted := arrived >= warmUp
 	if counted {
@@ -151,7 +151,7 @@
 		r.fleet.clock.After(chosen.delay+roundTripTime/2, func() {
 			r.fleet.servers[chosen.server].Submit(work, model.Callbacks{
 				Refused: func(*result.Error) { retry() },
-				FirstToken: func(cached int) {
+				Begun: func(cached int) {
 					if counted {
 						r.recordFirstToken(arrived, work, cached)
 					}
@@ -164,7 +164,7 @@
 	attempt(1)
 }
 
-func (r *runner) recordFirstToken(arrived time.Duration, work model.Request, cachedTokens int) {
+func (r *runner) recordFirstToken(arrived time.Duration, work model.Work, cachedTokens int) {
 	took := r.fleet.clock.Now() + roundTripTime/2 - arrived
 	r.runStats.firstTokenMS = append(r.runStats.firstTokenMS, float64(took.Microseconds())/1000)
 	r.runStats.promptTokens += work.Prompt.Tokens
--- a/ctl/experiment/choice/workload.go
+++ b/ctl/experiment/choice/workload.go
@@ -71,14 +71,14 @@
 }
 
 // nextRequest returns a random request.
-func (w *workload) nextRequest() model.Request {
+func (w *workload) nextRequest() model.Work {
 	org := w.org()
 	blocks := w.drawPrompt(org)
 	tokens := len(blocks)*prefix.BlockTokens + tailTokens
-	return model.Request{
-		Org: orgName(org), Weight: 1, Timeout: requestTimeout,
-		Prompt:       prefix.Prompt{Tokens: tokens, Blocks: blocks},
-		AnswerTokens: 1 + int(w.random.ExpFloat64()*(meanAnswerTokens-1)),
+	return model.Work{
+		Org: orgName(org), Weight: 1, Deadline: requestTimeout,
+		Prompt: prefix.Prompt{Tokens: tokens, Blocks: blocks},
+		Tokens: 1 + int(w.random.ExpFloat64()*(meanAnswerTokens-1)),
 	}
 }
 
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -10,8 +10,8 @@
 
 // EngineConfig holds the parameters of one simulated engine.
 type EngineConfig struct {
-	FullLimit         int           // Concurrent requests when warm.
-	ColdLimit         int           // Concurrent requests, started in cold start, that the engine can handle.
+	Full              int           // Concurrent requests when warm.
+	Cold              int           // Concurrent requests, started in cold start, that the engine can handle.
 	WarmAfter         int           // Completed requests until the engine is warm.
 	PrefillTime       time.Duration // Per uncached prompt token.
 	StepTime          time.Duration // Per decode step, which yields one token.
@@ -89,10 +89,10 @@
 		e.clock.After(0, g.callbacks.broken)
 		return
 	}
-	if e.cold && len(e.generations) >= e.ColdLimit {
+	if e.cold && len(e.generations) >= e.Cold {
 		e.coldStartsOverLimit++
 	}
-	if e.cold && e.coldRunning >= e.ColdLimit {
+	if e.cold && e.coldRunning >= e.Cold {
 		e.overloads++
 		e.generations[g.ticket] = g
 		e.reboot()
--- a/ctl/experiment/model/oracle.go
+++ b/ctl/experiment/model/oracle.go
@@ -29,7 +29,7 @@
 
 func (s *Server) oracleHasCapacity() bool {
 	if s.engine.cold {
-		return s.engine.coldRunning < s.engine.ColdLimit
+		return s.engine.coldRunning < s.engine.Cold
 	}
-	return len(s.engine.generations) < s.engine.FullLimit
+	return len(s.engine.generations) < s.engine.Full
 }
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -12,23 +12,23 @@
 // PollInterval is the time between two reads of an engine's report.
 const PollInterval = 100 * time.Millisecond
 
-// Request is one generation request.
-type Request struct {
-	Org          string
-	Weight       float64
-	Priority     int
-	Prompt       prefix.Prompt
-	AnswerTokens int
-	Timeout      time.Duration
+// Work is one generation request.
+type Work struct {
+	Org      string
+	Weight   float64
+	Priority int
+	Prompt   prefix.Prompt
+	Tokens   int
+	Deadline time.Duration
 }
 
 // Callbacks receives the result of one attempt. Exactly one of Refused, Done and
 // Broken is called; FirstToken is called before Done.
 type Callbacks struct {
-	Refused    func(err *result.Error)
-	FirstToken func(cachedTokens int)
-	Done       func()
-	Broken     func()
+	Refused func(err *result.Error)
+	Begun   func(cachedTokens int)
+	Done    func()
+	Broken  func()
 }
 
 // Server is one backend server with its agent.
@@ -46,7 +46,7 @@
 }
 
 type pending struct {
-	request   Request
+	request   Work
 	callbacks Callbacks
 	ticket    uint64
 }
@@ -64,7 +64,7 @@
 
 func (s *Server) configure() {
 	s.agent = admission.State{}.Configure(admission.Settings{
-		Full: s.engine.FullLimit, Cold: s.engine.ColdLimit, ReportsLoad: true,
+		Full: s.engine.Full, Cold: s.engine.Cold, ReportsLoad: true,
 	})
 }
 
@@ -80,7 +80,7 @@
 }
 
 // Submit asks the agent to run the request.
-func (s *Server) Submit(request Request, callbacks Callbacks) {
+func (s *Server) Submit(request Work, callbacks Callbacks) {
 	s.lastTicket++
 	p := pending{request: request, callbacks: callbacks, ticket: s.lastTicket}
 	if s.oracle {
@@ -90,7 +90,7 @@
 	s.pending[p.ticket] = p
 	s.step(admission.Asked{
 		Ticket: p.ticket, Org: request.Org, Weight: request.Weight, Priority: request.Priority,
-		Deadline: s.clock.Time().Add(request.Timeout), Prompt: request.Prompt,
+		Deadline: s.clock.Time().Add(request.Deadline), Prompt: request.Prompt,
 	})
 }
 
@@ -123,10 +123,10 @@
 		}
 	}
 	s.engine.start(&generation{
-		ticket: p.ticket, prompt: p.request.Prompt, answerTokens: p.request.AnswerTokens,
+		ticket: p.ticket, prompt: p.request.Prompt, answerTokens: p.request.Tokens,
 		callbacks: engineCallbacks{
 			firstToken: func(cached int) {
-				p.callbacks.FirstToken(cached)
+				p.callbacks.Begun(cached)
 				sendToAgent(admission.Begun{Ticket: p.ticket})
 			},
 			done: func() {
