--- a/ctl/experiment/datacentre/datacentre.go
+++ b/ctl/experiment/datacentre/datacentre.go
@@ -1,5 +1,5 @@
-// Package datacentre measures the service while a data centre leaves and
-// returns cold, against a baseline that returns it at once.
+// Package datacentre measures the service while a data centre is taken out under
+// load and returns in cold start. The baseline sends it full load at once.
 package datacentre
 
 import (
@@ -23,40 +23,40 @@
 )
 
 const (
-	callersAddress = "127.0.0.1:18480"
-	adminAddress   = "127.0.0.1:18481"
-
-	fullLimit   = 8 // Generations at a time of each of the three engines.
-	coldLimit   = 2
-	rate        = 85.0 // Requests a second; two engines have slots for 100.
-	beforeTime  = 8 * time.Second
-	leaveTime   = 12 * time.Second
-	returnTime  = 15 * time.Second
-	changeAfter = 2 * time.Second // From the start of a phase.
-	outBound    = 5 * time.Second
-	waitTimeout = 9 * time.Second
-	readyLimit  = 10 * time.Second
+	entryAddress = "127.0.0.1:18480"
+	adminAddress = "127.0.0.1:18481"
+
+	fullLimit       = 8 // Concurrent generations of each of the three engines.
+	coldLimit       = 2
+	rate            = 85.0 // Requests per second; two engines can serve 100.
+	beforeDuration  = 8 * time.Second
+	leaveDuration   = 12 * time.Second
+	returnDuration  = 15 * time.Second
+	changeDelay     = 2 * time.Second // From the start of a phase until its change.
+	maxTakeOutDelay = 5 * time.Second
+	waitTimeout     = 9 * time.Second
+	readyTimeout    = 10 * time.Second
 
 	leavingEngine     = "engine-3"
 	leavingDataCentre = "dc-3"
 )
 
-// Experiment measures a data centre's leaving and return.
+// Experiment measures the service while a data centre is taken out and returned.
 var Experiment = experiment.Experiment{
 	Name:    "data-centre",
-	Summary: "Service while a data centre leaves under load and returns cold",
+	Summary: "service while a data centre is taken out under load and returns in cold start",
 	Run:     run,
 }
 
 func run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
 	table := experiment.Table{
-		Title: "A third of the engines leaves under load near what the rest carries, restarts, and returns",
+		Title: "A third of the engines is taken out under load near the capacity of the rest, restarts and returns",
 		Columns: []string{"return", "phase", "requests", "whole", "refused", "cut or lost", "first token p50", "p95", "p99",
 			"started 5 s after the take-out", "falls", "in force everywhere"},
 	}
 	for seed := range uint64(max(options.Seeds, 1)) {
-		for _, configured := range []int{coldLimit, fullLimit} {
-			rows, err := measure(ctx, options.Seed+seed, configured)
+		for _, configuredCold := range []int{coldLimit, fullLimit} {
+			rows, err := measure(ctx, options.Seed+seed, configuredCold)
 			if err != nil {
 				return experiment.Report{}, err
 			}
@@ -64,16 +64,16 @@
 		}
 	}
 	return experiment.Report{
-		Title: "A data centre leaves and returns", Tables: []experiment.Table{table},
+		Title: "Take-out and return of a data centre", Tables: []experiment.Table{table},
 		Notes: []string{
-			fmt.Sprintf("Three engines with %d slots, %d in cold start; %.0f requests a second; one process for the whole system; callers repeat nothing.", fullLimit, coldLimit, rate),
-			"The baseline is told that a cold engine bears as much as a warm one, and so returns it at once.",
+			fmt.Sprintf("Three engines with %d slots, %d in cold start; %.0f requests per second; the whole system runs in one process; callers don't retry.", fullLimit, coldLimit, rate),
+			"The baseline is configured with the same limit for a cold engine as for a warm one, so it sends the returned engine full load at once.",
 		},
 	}, nil
 }
 
-// bench is one running system with its load.
-type bench struct {
+// testRun is one running system with its load generator.
+type testRun struct {
 	system *dev.System
 	admin  *adminclient.Client
 	seed   uint64
@@ -92,30 +92,31 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	system, err := dev.New(dev.Options{
-		Listen: callersAddress, Admin: adminAddress, ConfigDir: dir, Log: logrus.NewEntry(logger), EngineColdLimit: coldLimit,
+		Listen: entryAddress, Admin: adminAddress, ConfigDir: dir, Log: logrus.NewEntry(logger), EngineColdLimit: coldLimit,
 	})
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		_ = system.Run(ctx)
 	}()
 	defer func() {
 		stop()
-		<-ended
+		<-stopped
 	}()
-	b := &bench{system: system, admin: adminclient.New([]string{"http://" + adminAddress}, dev.OperatorToken), seed: seed, name: "ramped"}
+	r := &testRun{system: system, admin: adminclient.New([]string{"http://" + adminAddress}, dev.OperatorToken), seed: seed, name: "ramped"}
 	if configuredCold > coldLimit {
-		b.name = "at once"
+		r.name = "at once"
 	}
-	err = b.run(ctx)
-	return b.rows, err
+	err = r.run(ctx)
+	return r.rows, err
 }
 
-// writeConfig writes the development configuration with small engines.
+// writeConfig writes the development configuration, with smaller engine limits,
+// to a temporary directory.
 func writeConfig(configuredCold int) (string, error) {
 	files, err := dev.ReadFiles("")
 	if err != nil {
@@ -137,29 +138,29 @@
 	return dir, nil
 }
 
-func (b *bench) run(ctx context.Context) error {
-	if err := b.awaitReady(ctx); err != nil {
+func (r *testRun) run(ctx context.Context) error {
+	if err := r.awaitReady(ctx); err != nil {
 		return err
 	}
-	if err := b.phase(ctx, "before", beforeTime, func(context.Context) (string, error) { return "", nil }); err != nil {
+	if err := r.runPhase(ctx, "before", beforeDuration, func(context.Context) (string, error) { return "", nil }); err != nil {
 		return err
 	}
-	if err := b.phase(ctx, "leaves", leaveTime, func(ctx context.Context) (string, error) { return b.change(ctx, true) }); err != nil {
+	if err := r.runPhase(ctx, "leaves", leaveDuration, func(ctx context.Context) (string, error) { return r.setTakenOut(ctx, true) }); err != nil {
 		return err
 	}
-	return b.phase(ctx, "returns", returnTime, func(ctx context.Context) (string, error) {
-		b.system.Engines[leavingEngine].Restart()
-		return b.change(ctx, false)
+	return r.runPhase(ctx, "returns", returnDuration, func(ctx context.Context) (string, error) {
+		r.system.Engines[leavingEngine].Restart()
+		return r.setTakenOut(ctx, false)
 	})
 }
 
-func (b *bench) awaitReady(ctx context.Context) error {
-	for deadline := time.Now().Add(readyLimit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
-		if status, err := b.admin.Status(ctx); err == nil && allInForce(status) {
+func (r *testRun) awaitReady(ctx context.Context) error {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+		if status, err := r.admin.Status(ctx); err == nil && allInForce(status) {
 			return nil
 		}
 	}
-	return errors.New("the development system did not become ready")
+	return errors.New("development system did not become ready in time")
 }
 
 func allInForce(status adminapi.Status) bool {
@@ -171,24 +172,24 @@
 	return len(status.Processes) > 1
 }
 
-// change takes out or returns the data centre and tells how long it took until
-// that was in force everywhere.
-func (b *bench) change(ctx context.Context, out bool) (string, error) {
+// setTakenOut takes out or returns the data centre. Its result is the time until
+// the change was in force everywhere.
+func (r *testRun) setTakenOut(ctx context.Context, out bool) (string, error) {
 	began := time.Now()
-	accepted, err := b.admin.SetTakenOut(ctx, adminapi.PathDataCentres, leavingDataCentre, out, adminapi.TargetRequest{})
+	accepted, err := r.admin.SetTakenOut(ctx, adminapi.PathDataCentres, leavingDataCentre, out, adminapi.TargetRequest{})
 	if err != nil {
 		return "", err
 	}
-	if _, err := b.admin.Wait(ctx, accepted.Revision, waitTimeout); err != nil {
+	if _, err := r.admin.Wait(ctx, accepted.Revision, waitTimeout); err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("%.0f ms", float64(time.Since(began).Microseconds())/1000), nil
 }
 
-// phase sends load and makes the change in its course.
-func (b *bench) phase(ctx context.Context, name string, duration time.Duration, change func(context.Context) (string, error)) error {
-	engine := b.system.Engines[leavingEngine]
-	falls := b.falls()
+// runPhase sends load for the duration and makes the change meanwhile.
+func (r *testRun) runPhase(ctx context.Context, name string, duration time.Duration, change func(context.Context) (string, error)) error {
+	engine := r.system.Engines[leavingEngine]
+	overloads := r.overloads()
 	type outcome struct {
 		took  string
 		err   error
@@ -196,34 +197,34 @@
 	}
 	changed := make(chan outcome, 1)
 	go func() {
-		time.Sleep(changeAfter)
+		time.Sleep(changeDelay)
 		took, err := change(ctx)
-		time.Sleep(outBound)
+		time.Sleep(maxTakeOutDelay)
 		changed <- outcome{took, err, engine.Started()}
 	}()
-	result, err := load.Run(ctx, b.loadOptions(duration), nil)
-	made := <-changed
-	if err := errors.Join(err, made.err); err != nil {
+	result, err := load.Run(ctx, r.loadOptions(duration), nil)
+	changeOutcome := <-changed
+	if err := errors.Join(err, changeOutcome.err); err != nil {
 		return err
 	}
 	started := ""
 	if name == "leaves" {
-		started = fmt.Sprint(engine.Started() - made.after)
-	}
-	side := result.Entry
-	lost := side.Requests - side.Outcomes[load.Whole] - side.Outcomes[load.Refused]
-	b.rows = append(b.rows, []string{
-		b.name, name, fmt.Sprint(side.Requests), fmt.Sprint(side.Outcomes[load.Whole]), fmt.Sprint(side.Outcomes[load.Refused]), fmt.Sprint(lost),
-		seconds(side.FirstToken.P50), seconds(side.FirstToken.P95), seconds(side.FirstToken.P99),
-		started, fmt.Sprint(b.falls() - falls), made.took,
+		started = fmt.Sprint(engine.Started() - changeOutcome.after)
+	}
+	entryResult := result.Entry
+	lost := entryResult.Requests - entryResult.Outcomes[load.Whole] - entryResult.Outcomes[load.Refused]
+	r.rows = append(r.rows, []string{
+		r.name, name, fmt.Sprint(entryResult.Requests), fmt.Sprint(entryResult.Outcomes[load.Whole]), fmt.Sprint(entryResult.Outcomes[load.Refused]), fmt.Sprint(lost),
+		seconds(entryResult.FirstToken.P50), seconds(entryResult.FirstToken.P95), seconds(entryResult.FirstToken.P99),
+		started, fmt.Sprint(r.overloads() - overloads), changeOutcome.took,
 	})
 	return nil
 }
 
-func (b *bench) loadOptions(duration time.Duration) load.Options {
+func (r *testRun) loadOptions(duration time.Duration) load.Options {
 	options := load.DefaultOptions()
-	options.Entries = []string{"http://" + callersAddress}
-	options.Seed = b.seed
+	options.Entries = []string{"http://" + entryAddress}
+	options.Seed = r.seed
 	options.Arrivals.Rate = rate
 	options.Duration, options.WarmUp = duration, 0
 	options.Workload.MinTokens, options.Workload.MaxTokens = 32, 128
@@ -231,10 +232,11 @@
 	return options
 }
 
-// falls counts how often any engine fell over in cold start.
-func (b *bench) falls() int {
+// overloads returns how often all engines together crashed from overload in cold
+// start.
+func (r *testRun) overloads() int {
 	total := 0
-	for _, engine := range b.system.Engines {
+	for _, engine := range r.system.Engines {
 		total += engine.Overloads()
 	}
 	return total
--- a/ctl/experiment/evidence/evidence.go
+++ b/ctl/experiment/evidence/evidence.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	dataCentres = 3
-	entries     = 2 // In each data centre.
-	agents      = 1 // In each data centre.
-	settleTime  = 3 * time.Second
-	restartTime = time.Second
-	// takeOutBound is when a data centre that was taken out must get no new
-	// work.
-	takeOutBound = 5 * time.Second
-	watchTime    = 10 * time.Second
-	workers      = 4
-	pauseTime    = 8 * time.Second
+	dataCentres  = 3
+	entries      = 2 // In each data centre.
+	agents       = 1 // In each data centre.
+	settleTime   = 3 * time.Second
+	restartDelay = time.Second
+	// maxTakeOutDelay is the time after a take-out from which the data centre must
+	// start no new work.
+	maxTakeOutDelay = 5 * time.Second
+	observeTime     = 10 * time.Second
+	workers         = 4
+	pauseTime       = 8 * time.Second
 )
 
-// Experiment compares the rules of evidence.
+// Experiment compares the rules for evidence that a configuration is current.
 var Experiment = experiment.Experiment{
 	Name:    "evidence",
-	Summary: "Rules by which an agent takes its configuration for current, over all cuts",
+	Summary: "rules by which an agent treats its configuration as current, over all network partitions",
 	Run:     run,
 }
 
-// variants lists the policies compared. The bit makes no difference to a rule
-// that takes no peer as evidence, but for refusing itself.
-func variants() []evidence.Policy {
+// policyVariants lists the policies compared. Under a rule that accepts no contact
+// with a peer as evidence, the start-up check has no effect other than its own
+// refusals.
+func policyVariants() []evidence.Policy {
 	var all []evidence.Policy
 	for _, rule := range []evidence.ContactRule{evidence.StoreOnly, evidence.EveryDataCentre, evidence.OtherDataCentre, evidence.AnyPeer} {
-		for _, bit := range []evidence.StartupCheck{evidence.NoStartupCheck, evidence.PeerStartupCheck, evidence.StoreStartupCheck} {
-			all = append(all, evidence.Policy{ContactRule: rule, StartupCheck: bit})
+		for _, check := range []evidence.StartupCheck{evidence.NoStartupCheck, evidence.PeerStartupCheck, evidence.StoreStartupCheck} {
+			all = append(all, evidence.Policy{ContactRule: rule, StartupCheck: check})
 		}
 	}
 	return all
@@ -47,16 +48,16 @@
 func run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
 	seeds := max(options.Seeds, 1)
 	report := experiment.Report{Title: "Evidence that a configuration is current"}
-	unsafe := experiment.Table{
-		Title:   "Runs with new work in the taken-out data centre after 5 s",
+	unsafeTable := experiment.Table{
+		Title:   "Runs in which the taken-out data centre would start new work after 5 s",
 		Columns: []string{"rule", "bit", "runs", "entry lives", "after a power cut", "entry dies at once", "entry in a data centre that is out"},
 	}
-	refused := experiment.Table{
-		Title:   "Share of the time for which agents refuse work while the store is down for all and nothing changes",
+	refusedTable := experiment.Table{
+		Title:   "Share of the time in which agents refuse work while the store is down for all and nothing changes",
 		Columns: []string{"rule", "bit", "all links up", "an agent restarted", "a data centre restarted", "all restarted", "over all cuts of links"},
 	}
-	policies := variants()
-	unsafe.Rows, refused.Rows = make([][]string, len(policies)), make([][]string, len(policies))
+	policies := policyVariants()
+	unsafeTable.Rows, refusedTable.Rows = make([][]string, len(policies)), make([][]string, len(policies))
 	slots := make(chan struct{}, workers)
 	var group sync.WaitGroup
 	for index, policy := range policies {
@@ -64,8 +65,8 @@
 		group.Go(func() {
 			defer func() { <-slots }()
 			if ctx.Err() == nil {
-				unsafe.Rows[index] = takeOuts(policy, options.Seed, seeds).cells(policy)
-				refused.Rows[index] = outages(policy, options.Seed, seeds)
+				unsafeTable.Rows[index] = countUnsafeRuns(policy, options.Seed, seeds).cells(policy)
+				refusedTable.Rows[index] = outageRow(policy, options.Seed, seeds)
 			}
 		})
 	}
@@ -73,12 +74,12 @@
 	if err := ctx.Err(); err != nil {
 		return report, err
 	}
-	report.Tables = append(report.Tables, unsafe, refused, propagation(options))
+	report.Tables = append(report.Tables, unsafeTable, refusedTable, propagation(options))
 	report.Notes = append(report.Notes,
 		fmt.Sprintf("%d data centres with %d entries and %d agent each; 64 subsets of cut links; %d seeds from %d.", dataCentres, entries, agents, seeds, options.Seed),
-		"\"entry lives\" counts all runs but those of the columns to its right.",
+		"\"entry lives\" counts all runs except those of the columns to its right.",
 		"A power cut restarts every process of the accepting entry's data centre or of all data centres.",
-		"The last column needs a change that the store's Submit refuses (result code 4011).",
+		"In the last column the change goes through an entry in a data centre that is taken out; the store's Submit refuses such a change (result code 4011).",
 	)
 	return report, nil
 }
@@ -99,78 +100,80 @@
 	}
 }
 
-const subsets = 1 << 6
+const allLinkSubsets = 1 << 6
 
-// restartPattern says which processes restart after the change.
-type restartPattern int
+// processFault says which processes restart after the change, or that the agents
+// of the taken-out data centre are paused during it.
+type processFault int
 
 const (
-	restartNone restartPattern = iota
-	restartAgent
+	noFault processFault = iota
+	restartTakenOutAgents
 	restartTakenOut
 	restartAccepting
 	restartAll
-	pauseAgent
-	restartPatterns
+	pauseTakenOutAgents
+	processFaultCount
 )
 
-// takeOut is one run: the first data centre is taken out through an entry in
-// another or the same one.
-type takeOut struct {
-	subset    int
-	accepting int           // Data centre of the entry.
-	wait      time.Duration // Between the cuts and the change.
-	restart   restartPattern
-	dies      bool // The entry dies right after the commit.
-	outBefore bool // The third data centre was taken out before.
-	heals     bool // The links between data centres come back after the restart.
+// takeOutCase describes one run: the first data centre is taken out through an
+// entry in the same or another data centre.
+type takeOutCase struct {
+	cutLinks        int
+	accepting       int           // Data centre of the entry that accepts the change.
+	delay           time.Duration // From the cuts to the change.
+	restart         processFault
+	entryDies       bool // The entry crashes right after the commit.
+	thirdAlreadyOut bool // The third data centre was taken out before the run.
+	linksHeal       bool // The links between data centres are restored after the restart.
 }
 
-// unsafeCounts counts runs with new work after the bound.
+// unsafeCounts counts all runs and, by their circumstances, those in which the
+// taken-out data centre would start new work after maxTakeOutDelay.
 type unsafeCounts struct {
-	runs, lives, power, dies, fromOut int
+	runs, entryLives, powerCut, entryDies, entryTakenOut int
 }
 
 func (c unsafeCounts) cells(policy evidence.Policy) []string {
 	return []string{
 		policy.ContactRule.String(), policy.StartupCheck.String(), fmt.Sprint(c.runs),
-		fmt.Sprint(c.lives), fmt.Sprint(c.power), fmt.Sprint(c.dies), fmt.Sprint(c.fromOut),
+		fmt.Sprint(c.entryLives), fmt.Sprint(c.powerCut), fmt.Sprint(c.entryDies), fmt.Sprint(c.entryTakenOut),
 	}
 }
 
-func takeOuts(policy evidence.Policy, seed uint64, seeds int) unsafeCounts {
+func countUnsafeRuns(policy evidence.Policy, seed uint64, seeds int) unsafeCounts {
 	var counts unsafeCounts
 	for index := range uint64(seeds) {
 		for _, c := range takeOutCases() {
 			counts.runs++
-			if !c.unsafe(rand.New(rand.NewPCG(seed+index, uint64(c.subset))), policy) {
+			if !c.violatesBound(rand.New(rand.NewPCG(seed+index, uint64(c.cutLinks))), policy) {
 				continue
 			}
 			switch {
-			case c.outBefore && c.accepting == dataCentres-1:
-				counts.fromOut++
-			case c.dies:
-				counts.dies++
+			case c.thirdAlreadyOut && c.accepting == dataCentres-1:
+				counts.entryTakenOut++
+			case c.entryDies:
+				counts.entryDies++
 			case c.restart == restartAccepting || c.restart == restartAll:
-				counts.power++
+				counts.powerCut++
 			default:
-				counts.lives++
+				counts.entryLives++
 			}
 		}
 	}
 	return counts
 }
 
-func takeOutCases() []takeOut {
-	var all []takeOut
-	for subset := range subsets {
+func takeOutCases() []takeOutCase {
+	var all []takeOutCase
+	for cutLinks := range allLinkSubsets {
 		for accepting := range dataCentres {
-			for _, wait := range []time.Duration{0, takeOutBound * 2} {
-				for restart := range restartPatterns {
-					for _, dies := range []bool{false, true} {
+			for _, delay := range []time.Duration{0, maxTakeOutDelay * 2} {
+				for restart := range processFaultCount {
+					for _, entryDies := range []bool{false, true} {
 						for variation := range 4 {
-							outBefore, heals := variation&1 == 1, variation&2 == 2
-							all = append(all, takeOut{subset, accepting, wait, restart, dies, outBefore, heals})
+							thirdAlreadyOut, linksHeal := variation&1 == 1, variation&2 == 2
+							all = append(all, takeOutCase{cutLinks, accepting, delay, restart, entryDies, thirdAlreadyOut, linksHeal})
 						}
 					}
 				}
@@ -180,58 +183,58 @@
 	return all
 }
 
-// unsafe reports whether an agent of the taken-out data centre would start new
-// work after the bound. The accepting entry reaches the store at the moment of
-// the commit, even where its link is cut from then on.
-func (c takeOut) unsafe(random *rand.Rand, policy evidence.Policy) bool {
+// violatesBound reports whether an agent of the taken-out data centre would start
+// new work after maxTakeOutDelay. The accepting entry reaches the store at the
+// moment of the commit even if its link to the store is cut.
+func (c takeOutCase) violatesBound(random *rand.Rand, policy evidence.Policy) bool {
 	n := newNetwork(random, policy, dataCentres, entries, agents)
 	var before []int
-	if c.outBefore {
+	if c.thirdAlreadyOut {
 		before = []int{dataCentres - 1}
 	}
 	n.store = snapshot(1, dataCentres, before...)
-	n.run(settleTime, nil)
-	n.applyCuts(c.subset)
-	n.run(c.wait, nil)
-	c.pause(n, true)
-	n.accept(n.entries[c.accepting][0], snapshot(2, dataCentres, append(before, 0)...), c.dies)
-	n.run(restartTime, nil)
-	c.restartSome(n)
-	if c.heals {
-		n.applyCuts(c.subset &^ (linkSubsets - 1))
+	n.advance(settleTime, nil)
+	n.applyCuts(c.cutLinks)
+	n.advance(c.delay, nil)
+	c.setPaused(n, true)
+	n.commit(n.entries[c.accepting][0], snapshot(2, dataCentres, append(before, 0)...), c.entryDies)
+	n.advance(restartDelay, nil)
+	c.restartProcesses(n)
+	if c.linksHeal {
+		n.applyCuts(c.cutLinks &^ (dataCentreLinkSubsets - 1))
 	}
-	n.run(takeOutBound-restartTime, nil)
+	n.advance(maxTakeOutDelay-restartDelay, nil)
 	found := false
-	check := func() { found = found || c.startsWork(n) }
-	n.run(pauseTime-takeOutBound, check)
-	c.pause(n, false)
+	check := func() { found = found || c.permitsWorkInTakenOut(n) }
+	n.advance(pauseTime-maxTakeOutDelay, check)
+	c.setPaused(n, false)
 	check()
-	n.run(watchTime, check)
+	n.advance(observeTime, check)
 	return found
 }
 
-func (c takeOut) startsWork(n *network) bool {
+func (c takeOutCase) permitsWorkInTakenOut(n *network) bool {
 	for _, p := range n.processes {
-		if p.agent && p.dataCentre == 0 && n.permits(p) {
+		if p.agent && p.dataCentre == 0 && n.permitsNewWork(p) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c takeOut) pause(n *network, paused bool) {
+func (c takeOutCase) setPaused(n *network, paused bool) {
 	for _, p := range n.processes {
-		if c.restart == pauseAgent && p.agent && p.dataCentre == 0 {
+		if c.restart == pauseTakenOutAgents && p.agent && p.dataCentre == 0 {
 			p.paused = paused
 		}
 	}
 }
 
-func (c takeOut) restartSome(n *network) {
+func (c takeOutCase) restartProcesses(n *network) {
 	for _, p := range n.processes {
 		restarts := false
 		switch c.restart {
-		case restartAgent:
+		case restartTakenOutAgents:
 			restarts = p.agent && p.dataCentre == 0
 		case restartTakenOut:
 			restarts = p.dataCentre == 0
--- a/ctl/experiment/evidence/network.go
+++ b/ctl/experiment/evidence/network.go
@@ -1,7 +1,7 @@
-// Package evidence compares the rules by which an agent may take its
-// configuration for current, over all subsets of cut links between three data
-// centres and the store. It drives the reducers of the processes with a fake
-// network that delivers at once or not at all.
+// Package evidence compares the rules by which an agent may treat its
+// configuration as current, over all subsets of cut links between three data
+// centres and the store. It drives the reducers of the processes with a simulated
+// network that delivers each message at once or not at all.
 package evidence
 
 import (
@@ -17,12 +17,14 @@
 )
 
 const (
-	tick = 250 * time.Millisecond
-	// fetchPeers is the number of peers asked for a newer configuration.
-	fetchPeers = 3
+	tickInterval = 250 * time.Millisecond
+	// fetchPeersPerDataCentre is how many peers are asked for a newer configuration
+	// in each data centre.
+	fetchPeersPerDataCentre = 3
 )
 
-// process is one process with the reducers that know its configuration.
+// process is one entry or agent with the state of the reducers that track its
+// configuration.
 type process struct {
 	id         string
 	dataCentre int
@@ -34,7 +36,8 @@
 	inbox      []reduce.Event
 }
 
-// network joins processes in data centres with one store.
+// network connects the processes of several data centres with each other and with
+// one store.
 type network struct {
 	random     *rand.Rand
 	policy     evidence.Policy
@@ -43,7 +46,7 @@
 	entries    [][]*process // By data centre.
 	store      *config.Snapshot
 	storeCut   []bool   // By data centre.
-	cut        [][]bool // By two data centres.
+	cut        [][]bool // By pair of data centres.
 	storeReads int
 	exchanges  int
 }
@@ -67,7 +70,7 @@
 	return n
 }
 
-// restart empties the process's memory.
+// restart resets the process's state to that of a new process.
 func (n *network) restart(p *process) {
 	p.view = view.State{PollAfter: view.EntryPollAfter}
 	if p.agent {
@@ -77,7 +80,7 @@
 	p.inbox = nil
 }
 
-// snapshot returns a configuration with the named data centres taken out.
+// snapshot returns a configuration with the given data centres taken out.
 func snapshot(revision uint64, dataCentres int, out ...int) *config.Snapshot {
 	takenOut := map[int]bool{}
 	for _, index := range out {
@@ -86,7 +89,7 @@
 	var text strings.Builder
 	text.WriteString(`{"data_centres": [`)
 	for index := range dataCentres {
-		fmt.Fprintf(&text, `{"name": %q, "region": "r", "taken_out": %v},`, name(index), takenOut[index])
+		fmt.Fprintf(&text, `{"name": %q, "region": "r", "taken_out": %v},`, dataCentreName(index), takenOut[index])
 	}
 	text.WriteString("]}")
 	built, err := config.Build(revision, config.Files{config.FileDataCentres: []byte(text.String())})
@@ -96,18 +99,17 @@
 	return built
 }
 
-func name(dataCentre int) string { return fmt.Sprintf("dc-%d", dataCentre+1) }
+func dataCentreName(dataCentre int) string { return fmt.Sprintf("dc-%d", dataCentre+1) }
 
-// reaches reports whether a request from one process gets an answer of the
-// other.
+// reaches reports whether a request from one process is answered by the other.
 func (n *network) reaches(from, to *process) bool {
 	return !to.dead && !to.paused && !n.cut[from.dataCentre][to.dataCentre]
 }
 
-// run advances the time and calls check after each tick.
-func (n *network) run(duration time.Duration, check func()) {
+// advance runs the network for the duration and calls check after each tick.
+func (n *network) advance(duration time.Duration, check func()) {
 	for end := n.now.Add(duration); n.now.Before(end); {
-		n.now = n.now.Add(tick)
+		n.now = n.now.Add(tickInterval)
 		for _, p := range n.processes {
 			if !p.dead && !p.paused {
 				n.step(p, reduce.Tick{})
@@ -129,7 +131,7 @@
 		case view.Fetch:
 			n.fetch(p, effect)
 		case evidence.AskPeers:
-			n.ask(p, effect)
+			n.askPeers(p, effect)
 		}
 	}
 }
@@ -160,7 +162,7 @@
 func (n *network) fetchFromPeers(p *process) bool {
 	var newest *config.Snapshot
 	for dataCentre := range n.entries {
-		for range fetchPeers {
+		for range fetchPeersPerDataCentre {
 			peer := n.drawPeer(p, dataCentre)
 			if peer == nil || !n.reaches(p, peer) || peer.view.InForce == nil {
 				continue
@@ -177,7 +179,8 @@
 	return true
 }
 
-// drawPeer returns another entry in the data centre, nil where there is none.
+// drawPeer returns a random other entry in the data centre, or nil if there is
+// none.
 func (n *network) drawPeer(p *process, dataCentre int) *process {
 	entries := n.entries[dataCentre]
 	peer := entries[n.random.IntN(len(entries))]
@@ -190,14 +193,14 @@
 	return n.drawPeer(p, dataCentre)
 }
 
-func (n *network) ask(p *process, effect evidence.AskPeers) {
+func (n *network) askPeers(p *process, effect evidence.AskPeers) {
 	if len(effect.DataCentres) == 0 {
 		n.exchange(p, n.random.IntN(len(n.entries)))
 		return
 	}
 	for dataCentre := range n.entries {
 		for _, asked := range effect.DataCentres {
-			if asked == name(dataCentre) {
+			if asked == dataCentreName(dataCentre) {
 				n.exchange(p, dataCentre)
 			}
 		}
@@ -213,36 +216,36 @@
 	if p.view.Revision() > peer.view.Revision() {
 		n.step(peer, view.RevisionSeen{Revision: p.view.Revision()})
 	}
-	met := view.ExchangeAnswered{
-		Peer: peer.id, DataCentre: name(peer.dataCentre), Revision: peer.view.Revision(), BeganAt: n.now,
+	answer := view.ExchangeAnswered{
+		Peer: peer.id, DataCentre: dataCentreName(peer.dataCentre), Revision: peer.view.Revision(), BeganAt: n.now,
 		Started: peer.evidence.Started,
 	}
 	if !peer.view.CurrentAt.IsZero() {
-		met.Current, met.Age = true, peer.view.Age(n.now)
+		answer.Current, answer.Age = true, peer.view.Age(n.now)
 	}
-	n.step(p, met)
+	n.step(p, answer)
 }
 
-// accept makes the snapshot the accepted one through the entry, which offers
-// it to all that it reaches unless it dies at once.
-func (n *network) accept(entry *process, accepted *config.Snapshot, dies bool) {
-	n.store = accepted
-	if dies {
+// commit stores the snapshot through the entry. The entry then offers it to every
+// process that it reaches, unless it crashes right after the commit.
+func (n *network) commit(entry *process, committed *config.Snapshot, entryDies bool) {
+	n.store = committed
+	if entryDies {
 		entry.dead = true
 		return
 	}
-	n.step(entry, view.Fetched{Snapshot: accepted})
+	n.step(entry, view.Fetched{Snapshot: committed})
 	for _, p := range n.processes {
 		if p != entry && n.reaches(entry, p) {
-			n.step(p, view.Fetched{Snapshot: accepted})
+			n.step(p, view.Fetched{Snapshot: committed})
 		}
 	}
 }
 
-// permits reports whether the process would start new work now.
-func (n *network) permits(p *process) bool {
-	if p.dead || p.paused || p.view.InForce == nil || p.view.InForce.DataCentres[name(p.dataCentre)].TakenOut {
+// permitsNewWork reports whether the process would start new work now.
+func (n *network) permitsNewWork(p *process) bool {
+	if p.dead || p.paused || p.view.InForce == nil || p.view.InForce.DataCentres[dataCentreName(p.dataCentre)].TakenOut {
 		return false
 	}
-	return p.evidence.CheckNewWork(p.view, name(p.dataCentre), n.now) == nil
+	return p.evidence.CheckNewWork(p.view, dataCentreName(p.dataCentre), n.now) == nil
 }
--- a/ctl/experiment/expertmaps/expertmaps.go
+++ b/ctl/experiment/expertmaps/expertmaps.go
@@ -1,6 +1,6 @@
 // Package expertmaps compares policies for the expert map on the same drifting
-// popularity: never change, full recompute, the incremental planner, and a
-// planner that knows the true popularity.
+// expert popularity: a fixed map, full recomputation, the incremental planner, and
+// an oracle that knows the true popularity.
 package expertmaps
 
 import (
@@ -16,18 +16,18 @@
 )
 
 const (
-	stepSeconds       = 0.027 // A step without skew.
-	expertPart        = 0.6   // Part of a step that experts take.
-	tokensPerStep     = 8192 * 8
-	weightBytes       = 44e6
-	storeBytesPerSec  = 2e9
-	weightsPerSecond  = 45   // What storeBytesPerSec allows.
-	loadSlowdown      = 0.02 // Part by which steps are slower while weights load.
-	switchSeconds     = 1e-3
-	intervalMinutes   = 5
-	horizonMinutes    = 30
-	secondsPerMinute  = 60
-	sampledStepsEvery = 4 // Steps of an interval whose sampling noise is drawn.
+	stepSeconds         = 0.027 // A step without skew.
+	expertFraction      = 0.6   // Fraction of a step's time that the experts take.
+	tokensPerStep       = 8192 * 8
+	expertBytes         = 44e6
+	storeBytesPerSecond = 2e9
+	expertsPerSecond    = 45   // storeBytesPerSecond divided by expertBytes, rounded down.
+	loadSlowdown        = 0.02 // Relative slowdown of steps while weights load.
+	switchSeconds       = 1e-3
+	intervalMinutes     = 5
+	horizonMinutes      = 30
+	secondsPerMinute    = 60
+	sampledSteps        = 4 // Steps per interval that are simulated with sampling noise.
 )
 
 // Experiment compares the policies at the target size.
@@ -37,15 +37,15 @@
 	Run:     run,
 }
 
-// outcome is what one policy did in one scenario.
-type outcome struct {
-	policy   string
-	skew     []float64 // By interval, of the expected load.
-	noisy    []float64 // By sampled step, with the sampling noise.
-	moves    []float64 // By interval.
-	switches int
-	seconds  float64 // Mean total time of a step, all costs in it.
-	planTime time.Duration
+// policyResult holds the results of one policy in one scenario.
+type policyResult struct {
+	policy          string
+	skew            []float64 // By interval, under the expected load.
+	sampledSkew     []float64 // By sampled step, with sampling noise.
+	moves           []float64 // Experts moved, by interval.
+	switches        int
+	meanStepSeconds float64       // Including moves and switches; the total time of all steps until comparePolicies divides it.
+	planTime        time.Duration // Longest time of one planning call.
 }
 
 func run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
@@ -60,10 +60,10 @@
 			if ctx.Err() != nil {
 				return report, ctx.Err()
 			}
-			for i, outcomes := range compareAll(shape, options.Seed+seed) {
-				addRows(&table, scenarios[i], options.Seed+seed, outcomes)
+			for i, results := range compareScenarios(shape, options.Seed+seed) {
+				addRows(&table, scenarios[i], options.Seed+seed, results)
 				if slots == 5 && seed == 0 {
-					report.Plots = append(report.Plots, plots(scenarios[i], outcomes)...)
+					report.Plots = append(report.Plots, plots(scenarios[i], results)...)
 				}
 			}
 		}
@@ -72,12 +72,12 @@
 	return report, nil
 }
 
-// compareAll runs the scenarios side by side.
-func compareAll(shape planner.Shape, seed uint64) [][]outcome {
-	all := make([][]outcome, len(scenarios))
+// compareScenarios runs the scenarios concurrently.
+func compareScenarios(shape planner.Shape, seed uint64) [][]policyResult {
+	all := make([][]policyResult, len(scenarios))
 	var group sync.WaitGroup
 	for i, scenario := range scenarios {
-		group.Go(func() { all[i] = compare(scenario, shape, seed) })
+		group.Go(func() { all[i] = comparePolicies(scenario, shape, seed) })
 	}
 	group.Wait()
 	return all
@@ -85,80 +85,81 @@
 
 func notes() []string {
 	return []string{
-		fmt.Sprintf("A step without skew takes %.0f ms, %.0f%% of it in experts.", stepSeconds*1e3, expertPart*100),
-		fmt.Sprintf("An expert weighs %.0f MB; the weight store gives %.0f GB/s to the group; steps are %.0f%% slower while it loads; a switch takes %.0f ms.",
-			weightBytes/1e6, storeBytesPerSec/1e9, loadSlowdown*100, switchSeconds*1e3),
-		"Every policy starts from the same map. Plans are made every 5 minutes from the counts of the 5 minutes before.",
+		fmt.Sprintf("A step without skew takes %.0f ms, %.0f%% of it in experts.", stepSeconds*1e3, expertFraction*100),
+		fmt.Sprintf("An expert's weights take %.0f MB; the weight store delivers %.0f GB/s to the group; steps are %.0f%% slower while weights load; a switch takes %.0f ms.",
+			expertBytes/1e6, storeBytesPerSecond/1e9, loadSlowdown*100, switchSeconds*1e3),
+		"Every policy starts from the same map. Plans are made every 5 minutes from the counts of the previous 5 minutes.",
 	}
 }
 
-// compare runs every policy on the same popularity.
-func compare(scenario string, shape planner.Shape, seed uint64) []outcome {
-	policies := []policy{never{}, &recompute{}, &recompute{relabel: true}, &incremental{}, knowing{}}
+// comparePolicies runs every policy on the same popularity.
+func comparePolicies(scenario string, shape planner.Shape, seed uint64) []policyResult {
+	policies := []policy{keepCurrent{}, &recompute{}, &recompute{relabel: true}, &incremental{}, oracle{}}
 	intervals := int(dayHours * secondsPerMinute / intervalMinutes)
-	source := newSource(scenario, shape, seed)
-	first := source.at(0)
+	model := newPopularityModel(scenario, shape, seed)
+	first := model.trueLoad(0)
 	start := planner.Refine(shape, planner.Recompute(shape, first, nil), first, nil)
-	outcomes := make([]outcome, len(policies))
+	results := make([]policyResult, len(policies))
 	current := make([]planner.Placement, len(policies))
 	for i, p := range policies {
-		outcomes[i], current[i] = outcome{policy: p.name()}, start
+		results[i], current[i] = policyResult{policy: p.name()}, start
 	}
-	observed := source.observe(first)
+	observed := model.observe(first)
 	for interval := range intervals {
 		hour := float64(interval) * intervalMinutes / secondsPerMinute
-		truth, slowness := source.at(hour), source.slowness(hour)
-		noise := drawSteps(truth, seed, uint64(interval))
+		truth, slowness := model.trueLoad(hour), model.slowness(hour)
+		noise := sampleSteps(truth, seed, uint64(interval))
 		for i, p := range policies {
-			v := view{shape: shape, costs: costs(shape), observed: observed, truth: truth, slowness: slowness, current: current[i]}
-			current[i] = outcomes[i].step(p, v, noise)
+			input := planningInput{shape: shape, costs: costs(shape), observed: observed, truth: truth, slowness: slowness, current: current[i]}
+			current[i] = results[i].runInterval(p, input, noise)
 		}
-		observed = source.observe(truth)
+		observed = model.observe(truth)
 	}
-	for i := range outcomes {
-		outcomes[i].seconds /= float64(intervals) * intervalSteps()
+	for i := range results {
+		results[i].meanStepSeconds /= float64(intervals) * stepsPerInterval()
 	}
-	return outcomes
+	return results
 }
 
-func drawSteps(truth [][]float64, seed, interval uint64) [][][]float64 {
+func sampleSteps(truth [][]float64, seed, interval uint64) [][][]float64 {
 	random := rand.New(rand.NewPCG(seed, interval+2))
-	steps := make([][][]float64, sampledStepsEvery)
+	steps := make([][][]float64, sampledSteps)
 	for i := range steps {
-		steps[i] = sample(truth, tokensPerStep, random)
+		steps[i] = sampleStep(truth, tokensPerStep, random)
 	}
 	return steps
 }
 
-func intervalSteps() float64 { return intervalMinutes * secondsPerMinute / stepSeconds }
+func stepsPerInterval() float64 { return intervalMinutes * secondsPerMinute / stepSeconds }
 
 func costs(shape planner.Shape) planner.Costs {
 	even := float64(shape.Experts) / float64(shape.Ranks) * float64(shape.Layers)
 	return planner.Costs{
-		SecondsPerLoad: stepSeconds * expertPart / even,
-		MoveSeconds:    weightBytes / storeBytesPerSec * loadSlowdown,
+		SecondsPerLoad: stepSeconds * expertFraction / even,
+		MoveSeconds:    expertBytes / storeBytesPerSecond * loadSlowdown,
 		SwitchSeconds:  switchSeconds,
 		HorizonSteps:   horizonMinutes * secondsPerMinute / stepSeconds,
-		MaxMoves:       intervalMinutes * secondsPerMinute * weightsPerSecond,
+		MaxMoves:       intervalMinutes * secondsPerMinute * expertsPerSecond,
 	}
 }
 
-// step lets the policy plan, then measures one interval with its map.
-func (o *outcome) step(p policy, v view, noise [][][]float64) planner.Placement {
+// runInterval calls the policy for a new placement, then measures one interval
+// with it.
+func (r *policyResult) runInterval(p policy, input planningInput, noise [][][]float64) planner.Placement {
 	began := time.Now()
-	next := p.next(v)
-	o.planTime = max(o.planTime, time.Since(began))
-	moves := float64(planner.CountMoves(v.shape, v.current, next))
-	skew := planner.Skew(v.shape, next, v.truth, v.slowness)
-	o.skew = append(o.skew, skew)
-	o.moves = append(o.moves, moves)
+	next := p.next(input)
+	r.planTime = max(r.planTime, time.Since(began))
+	moves := float64(planner.CountMoves(input.shape, input.current, next))
+	skew := planner.Skew(input.shape, next, input.truth, input.slowness)
+	r.skew = append(r.skew, skew)
+	r.moves = append(r.moves, moves)
 	for _, load := range noise {
-		o.noisy = append(o.noisy, planner.Skew(v.shape, next, load, v.slowness))
+		r.sampledSkew = append(r.sampledSkew, planner.Skew(input.shape, next, load, input.slowness))
 	}
-	o.seconds += intervalSteps() * stepSeconds * (1 - expertPart + expertPart*skew)
-	if _, free := p.(knowing); !free && moves > 0 {
-		o.switches++
-		o.seconds += moves*v.costs.MoveSeconds + switchSeconds
+	r.meanStepSeconds += stepsPerInterval() * stepSeconds * (1 - expertFraction + expertFraction*skew)
+	if _, isOracle := p.(oracle); !isOracle && moves > 0 {
+		r.switches++
+		r.meanStepSeconds += moves*input.costs.MoveSeconds + switchSeconds
 	}
 	return next
 }
@@ -173,8 +174,8 @@
 
 func sum(values []float64) float64 { return mean(values) * float64(len(values)) }
 
-func percentile(values []float64, part float64) float64 {
+func percentile(values []float64, fraction float64) float64 {
 	sorted := append([]float64(nil), values...)
 	sort.Float64s(sorted)
-	return sorted[int(part*float64(len(sorted)-1))]
+	return sorted[int(fraction*float64(len(sorted)-1))]
 }
--- a/ctl/experiment/expertmaps/expertmaps_test.go
+++ b/ctl/experiment/expertmaps/expertmaps_test.go
@@ -11,18 +11,18 @@
 func TestCompareSmallGroup(t *testing.T) {
 	Convey("On a small group with day drift", t, func() {
 		shape := planner.Shape{Ranks: 16, Slots: 5, Experts: 64, Layers: 2}
-		outcomes := compare(dayDrift, shape, 1)
-		byName := map[string]outcome{}
-		for _, o := range outcomes {
+		results := comparePolicies(dayDrift, shape, 1)
+		byName := map[string]policyResult{}
+		for _, o := range results {
 			byName[o.policy] = o
 		}
-		ours, never := byName["incremental"], byName["never change"]
+		planned, unchanged := byName["incremental"], byName["never change"]
 
-		Convey("the incremental planner has less skew than never changing", func() {
-			So(mean(ours.skew), ShouldBeLessThan, mean(never.skew))
+		Convey("the incremental planner has less skew than a fixed map", func() {
+			So(mean(planned.skew), ShouldBeLessThan, mean(unchanged.skew))
 		})
-		Convey("it moves less than the plain recompute", func() {
-			So(sum(ours.moves), ShouldBeLessThan, sum(byName["recompute, plain"].moves))
+		Convey("it moves fewer experts than a plain recomputation", func() {
+			So(sum(planned.moves), ShouldBeLessThan, sum(byName["recompute, plain"].moves))
 		})
 	})
 }
--- a/ctl/experiment/expertmaps/policies.go
+++ b/ctl/experiment/expertmaps/policies.go
@@ -2,12 +2,12 @@
 
 import "persimmonwind.dev/policy/planner"
 
-// view is what a policy may see when it plans.
-type view struct {
+// planningInput is the input of a policy.
+type planningInput struct {
 	shape    planner.Shape
 	costs    planner.Costs
-	observed [][]float64 // Last interval's; nil layers were not observed.
-	truth    [][]float64 // For the knowing planner alone.
+	observed [][]float64 // Load in the last interval; nil for layers that were not observed.
+	truth    [][]float64 // Expected load of the next interval, for the oracle only.
 	slowness []float64
 	current  planner.Placement
 }
@@ -15,15 +15,15 @@
 // policy chooses the next placement.
 type policy interface {
 	name() string
-	next(v view) planner.Placement
+	next(input planningInput) planner.Placement
 }
 
-type never struct{}
+type keepCurrent struct{}
 
-func (never) name() string                  { return "never change" }
-func (never) next(v view) planner.Placement { return v.current }
+func (keepCurrent) name() string                               { return "never change" }
+func (keepCurrent) next(input planningInput) planner.Placement { return input.current }
 
-// recompute plans afresh from the last observation of every layer.
+// recompute computes a new placement from the last observation of every layer.
 type recompute struct {
 	relabel bool
 	last    [][]float64
@@ -36,21 +36,21 @@
 	return "recompute, plain"
 }
 
-func (r *recompute) next(v view) planner.Placement {
+func (r *recompute) next(input planningInput) planner.Placement {
 	if r.last == nil {
-		r.last = make([][]float64, v.shape.Layers)
+		r.last = make([][]float64, input.shape.Layers)
 	}
-	next := v.current.Clone()
-	for layer, observed := range v.observed {
+	next := input.current.Clone()
+	for layer, observed := range input.observed {
 		if observed != nil {
 			r.last[layer] = observed
 		}
 		if r.last[layer] != nil {
-			next[layer] = planner.Recompute(v.shape, [][]float64{r.last[layer]}, nil)[0]
+			next[layer] = planner.Recompute(input.shape, [][]float64{r.last[layer]}, nil)[0]
 		}
 	}
 	if r.relabel {
-		return planner.Relabel(v.shape, v.current, next)
+		return planner.Relabel(input.shape, input.current, next)
 	}
 	return next
 }
@@ -59,18 +59,18 @@
 
 func (*incremental) name() string { return "incremental" }
 
-func (i *incremental) next(v view) planner.Placement {
+func (i *incremental) next(input planningInput) planner.Placement {
 	return planner.Decide(&i.state, planner.Input{
-		Shape: v.shape, Costs: v.costs, Observed: v.observed, Slowness: v.slowness, Current: v.current,
+		Shape: input.shape, Costs: input.costs, Observed: input.observed, Slowness: input.slowness, Current: input.current,
 	}).Placement
 }
 
-// knowing plans for the true popularity and pays nothing for its moves.
-type knowing struct{}
+// oracle plans for the true popularity. Its moves cost nothing.
+type oracle struct{}
 
-func (knowing) name() string { return "knowing planner" }
+func (oracle) name() string { return "knowing planner" }
 
-func (knowing) next(v view) planner.Placement {
-	fresh := planner.Recompute(v.shape, v.truth, v.slowness)
-	return planner.Refine(v.shape, fresh, v.truth, v.slowness)
+func (oracle) next(input planningInput) planner.Placement {
+	fresh := planner.Recompute(input.shape, input.truth, input.slowness)
+	return planner.Refine(input.shape, fresh, input.truth, input.slowness)
 }
--- a/ctl/experiment/expertmaps/popularity.go
+++ b/ctl/experiment/expertmaps/popularity.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	spread        = 0.8  // Standard deviation of an expert's log popularity.
-	countNoise    = 0.02 // Of one interval's observation, relative.
-	driftAmount   = 0.5  // Amplitude of the drift of log popularity.
-	periodicHours = 1.0
-	shiftPart     = 0.3 // Part of the experts that a sudden shift changes.
-	noiseAmount   = 0.1 // Relative noise of each interval in the noise scenario.
-	gapPart       = 0.05
-	straggler     = 1.3 // Time of the straggling rank for one unit of load.
-	dayHours      = 24.0
+	logPopularityStdDev  = 0.8  // Standard deviation of an expert's log popularity.
+	observationNoise     = 0.02 // Relative noise of the observation of one interval.
+	driftAmplitude       = 0.5  // Amplitude of the drift of log popularity.
+	periodHours          = 1.0
+	shiftedFraction      = 0.3  // Fraction of the experts that a sudden shift changes.
+	highObservationNoise = 0.1  // Like observationNoise, in the noise scenario.
+	unobservedFraction   = 0.05 // Probability that an interval's observation lacks a layer.
+	stragglerSlowness    = 1.3  // Time of the straggling rank for one unit of load; 1 for the others.
+	dayHours             = 24.0
 )
 
 // Names of the scenarios.
 const (
-	dayDrift    = "day drift"
-	suddenShift = "sudden shift"
-	periodic    = "periodic"
-	noiseOnly   = "noise"
-	stragglerOn = "straggling rank"
+	dayDrift       = "day drift"
+	suddenShift    = "sudden shift"
+	periodic       = "periodic"
+	noiseOnly      = "noise"
+	stragglingRank = "straggling rank"
 )
 
-var scenarios = []string{dayDrift, suddenShift, periodic, noiseOnly, stragglerOn}
+var scenarios = []string{dayDrift, suddenShift, periodic, noiseOnly, stragglingRank}
 
-// source draws the popularity of the experts over a day.
-type source struct {
+// popularityModel is a random model of the experts' popularity over a day.
+type popularityModel struct {
 	scenario string
 	shape    planner.Shape
 	base     [][]float64 // Log popularity.
@@ -40,16 +40,16 @@
 	random   *rand.Rand
 }
 
-func newSource(scenario string, shape planner.Shape, seed uint64) *source {
-	s := &source{scenario: scenario, shape: shape, random: rand.New(rand.NewPCG(seed, 1))}
+func newPopularityModel(scenario string, shape planner.Shape, seed uint64) *popularityModel {
+	s := &popularityModel{scenario: scenario, shape: shape, random: rand.New(rand.NewPCG(seed, 1))}
 	for range shape.Layers {
 		base, shifted, phase := make([]float64, shape.Experts), make([]float64, shape.Experts), make([]float64, shape.Experts)
 		for expert := range base {
-			base[expert] = spread * s.random.NormFloat64()
+			base[expert] = logPopularityStdDev * s.random.NormFloat64()
 			phase[expert] = 2 * math.Pi * s.random.Float64()
 			shifted[expert] = base[expert]
-			if s.random.Float64() < shiftPart {
-				shifted[expert] = spread * s.random.NormFloat64()
+			if s.random.Float64() < shiftedFraction {
+				shifted[expert] = logPopularityStdDev * s.random.NormFloat64()
 			}
 		}
 		s.base, s.shifted, s.phase = append(s.base, base), append(s.shifted, shifted), append(s.phase, phase)
@@ -57,27 +57,27 @@
 	return s
 }
 
-// at returns the true popularity at the hour; a layer's popularity sums to the
-// number of its experts.
-func (s *source) at(hour float64) [][]float64 {
+// trueLoad returns the true popularity of the experts at the hour. The popularity of
+// a layer's experts sums to their number.
+func (s *popularityModel) trueLoad(hour float64) [][]float64 {
 	load := make([][]float64, s.shape.Layers)
 	for layer := range load {
 		load[layer] = make([]float64, s.shape.Experts)
 		for expert := range load[layer] {
-			load[layer][expert] = math.Exp(s.log(layer, expert, hour))
+			load[layer][expert] = math.Exp(s.logPopularity(layer, expert, hour))
 		}
 		normalise(load[layer])
 	}
 	return load
 }
 
-func (s *source) log(layer, expert int, hour float64) float64 {
+func (s *popularityModel) logPopularity(layer, expert int, hour float64) float64 {
 	base, phase := s.base[layer][expert], s.phase[layer][expert]
 	switch s.scenario {
-	case dayDrift, stragglerOn:
-		return base + driftAmount*math.Sin(2*math.Pi*hour/dayHours+phase)
+	case dayDrift, stragglingRank:
+		return base + driftAmplitude*math.Sin(2*math.Pi*hour/dayHours+phase)
 	case periodic:
-		return base + driftAmount*math.Sin(2*math.Pi*hour/periodicHours+phase)
+		return base + driftAmplitude*math.Sin(2*math.Pi*hour/periodHours+phase)
 	case suddenShift:
 		if hour >= dayHours/2 {
 			return s.shifted[layer][expert]
@@ -86,27 +86,28 @@
 	return base
 }
 
-// slowness returns the ranks' times for one unit of load.
-func (s *source) slowness(hour float64) []float64 {
+// slowness returns the time of each rank for one unit of load.
+func (s *popularityModel) slowness(hour float64) []float64 {
 	slowness := make([]float64, s.shape.Ranks)
 	for rank := range slowness {
 		slowness[rank] = 1
 	}
-	if s.scenario == stragglerOn && hour >= dayHours/4 {
-		slowness[s.shape.Ranks/2] = straggler
+	if s.scenario == stragglingRank && hour >= dayHours/4 {
+		slowness[s.shape.Ranks/2] = stragglerSlowness
 	}
 	return slowness
 }
 
-// observe returns what is counted of the popularity: noisy, with gaps.
-func (s *source) observe(load [][]float64) [][]float64 {
-	noise := countNoise
+// observe returns the popularity as the counters report it: with noise, and with
+// layers missing.
+func (s *popularityModel) observe(load [][]float64) [][]float64 {
+	noise := observationNoise
 	if s.scenario == noiseOnly {
-		noise = noiseAmount
+		noise = highObservationNoise
 	}
 	observed := make([][]float64, len(load))
 	for layer := range load {
-		if s.random.Float64() < gapPart {
+		if s.random.Float64() < unobservedFraction {
 			continue
 		}
 		observed[layer] = make([]float64, len(load[layer]))
@@ -127,8 +128,9 @@
 	}
 }
 
-// sample draws the tokens of one step from the expected load.
-func sample(load [][]float64, tokens float64, random *rand.Rand) [][]float64 {
+// sampleStep draws the tokens of each expert in one step, with Gaussian noise of
+// the Poisson variance, and returns them in units of the expected load.
+func sampleStep(load [][]float64, tokens float64, random *rand.Rand) [][]float64 {
 	drawn := make([][]float64, len(load))
 	for layer := range load {
 		drawn[layer] = make([]float64, len(load[layer]))
--- a/ctl/experiment/expertmaps/report.go
+++ b/ctl/experiment/expertmaps/report.go
@@ -17,21 +17,21 @@
 	}
 }
 
-func addRows(table *experiment.Table, scenario string, seed uint64, outcomes []outcome) {
-	for _, o := range outcomes {
+func addRows(table *experiment.Table, scenario string, seed uint64, results []policyResult) {
+	for _, o := range results {
 		moved := sum(o.moves)
-		loading := moved * weightBytes / storeBytesPerSec / (dayHours * secondsPerMinute * secondsPerMinute)
+		loadingFraction := moved * expertBytes / storeBytesPerSecond / (dayHours * secondsPerMinute * secondsPerMinute)
 		table.Rows = append(table.Rows, []string{
 			scenario, fmt.Sprint(seed), o.policy,
 			fmt.Sprintf("%.4f", mean(o.skew)), fmt.Sprintf("%.4f", percentile(o.skew, 0.99)),
-			fmt.Sprintf("%.4f", mean(o.noisy)), fmt.Sprintf("%.4f", percentile(o.noisy, 0.99)),
-			fmt.Sprintf("%.0f", moved), fmt.Sprint(o.switches), fmt.Sprintf("%.2f", 100*loading),
-			fmt.Sprintf("%.4f", o.seconds*1e3), fmt.Sprintf("%.0f", o.planTime.Seconds()*1e3),
+			fmt.Sprintf("%.4f", mean(o.sampledSkew)), fmt.Sprintf("%.4f", percentile(o.sampledSkew, 0.99)),
+			fmt.Sprintf("%.0f", moved), fmt.Sprint(o.switches), fmt.Sprintf("%.2f", 100*loadingFraction),
+			fmt.Sprintf("%.4f", o.meanStepSeconds*1e3), fmt.Sprintf("%.0f", o.planTime.Seconds()*1e3),
 		})
 	}
 }
 
-func plots(scenario string, outcomes []outcome) []experiment.Plot {
+func plots(scenario string, results []policyResult) []experiment.Plot {
 	name := strings.ReplaceAll(scenario, " ", "-")
 	skew := experiment.Plot{
 		Name: "expert-maps-skew-" + name, Title: "Skew, " + scenario + ", 5 slots a rank",
@@ -41,7 +41,7 @@
 		Name: "expert-maps-moves-" + name, Title: "Weights moved, " + scenario + ", 5 slots a rank",
 		XLabel: "time (h)", YLabel: "experts moved so far (1)",
 	}
-	for _, o := range outcomes {
+	for _, o := range results {
 		hours, total := make([]float64, len(o.skew)), make([]float64, len(o.skew))
 		var moved float64
 		for i := range hours {
@@ -50,7 +50,7 @@
 			total[i] = moved
 		}
 		skew.Series = append(skew.Series, experiment.Series{Name: o.policy, X: hours, Y: o.skew})
-		if o.policy != (knowing{}).name() {
+		if o.policy != (oracle{}).name() {
 			moves.Series = append(moves.Series, experiment.Series{Name: o.policy, X: hours, Y: total})
 		}
 	}
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -35,7 +35,7 @@
 	generations         map[uint64]*generation
 	prefillBusyUntil    time.Duration
 	overloads           int
-	coldStartsOverLimit int // Starts in cold start with ColdLimit or more requests running, whenever those were started.
+	coldStartsOverLimit int // Starts in cold start with Cold or more requests running, whenever those were started.
 	cache               *cache
 	reports             []admission.Reported
 }
@@ -46,7 +46,7 @@
 	answerTokens int
 	cold         bool // Started in cold start.
 	ended        bool
-	callbacks    engineCallbacks
+	notify       engineCallbacks
 }
 
 type engineCallbacks struct {
@@ -66,7 +66,7 @@
 	e.bootCount++
 	for _, g := range e.generations {
 		g.ended = true
-		e.clock.After(0, g.callbacks.broken)
+		e.clock.After(0, g.notify.broken)
 	}
 	clear(e.generations)
 	e.prefillBusyUntil = 0
@@ -83,10 +83,10 @@
 }
 
 // start starts a generation. An engine in cold start crashes and reboots when it
-// already runs ColdLimit requests that were started in that cold start.
+// already runs Cold requests that were started in that cold start.
 func (e *engine) start(g *generation) {
 	if e.dead {
-		e.clock.After(0, g.callbacks.broken)
+		e.clock.After(0, g.notify.broken)
 		return
 	}
 	if e.cold && len(e.generations) >= e.Cold {
@@ -119,7 +119,7 @@
 	if g.ended {
 		return
 	}
-	g.callbacks.firstToken(cached)
+	g.notify.firstToken(cached)
 	decode := time.Duration(float64(e.StepTime) * e.stepSlowdown() * float64(g.answerTokens))
 	e.clock.After(decode, func() { e.finish(g) })
 }
@@ -137,7 +137,7 @@
 	if e.completed >= e.WarmAfter {
 		e.cold = false
 	}
-	g.callbacks.done()
+	g.notify.done()
 }
 
 // report returns the load report of ReportLag ago, or false if there is none yet.
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -18,12 +18,12 @@
 	Weight   float64
 	Priority int
 	Prompt   prefix.Prompt
-	Tokens   int
-	Deadline time.Duration
+	Tokens   int           // Of the answer.
+	Deadline time.Duration // From the submission.
 }
 
 // Callbacks receives the result of one attempt. Exactly one of Refused, Done and
-// Broken is called; FirstToken is called before Done.
+// Broken is called. Begun is called at the first token, before Done.
 type Callbacks struct {
 	Refused func(err *result.Error)
 	Begun   func(cachedTokens int)
@@ -46,7 +46,7 @@
 }
 
 type pending struct {
-	request   Work
+	work      Work
 	callbacks Callbacks
 	ticket    uint64
 }
@@ -79,18 +79,18 @@
 	return offer
 }
 
-// Submit asks the agent to run the request.
-func (s *Server) Submit(request Work, callbacks Callbacks) {
+// Submit asks the agent to run the work.
+func (s *Server) Submit(work Work, callbacks Callbacks) {
 	s.lastTicket++
-	p := pending{request: request, callbacks: callbacks, ticket: s.lastTicket}
+	p := pending{work: work, callbacks: callbacks, ticket: s.lastTicket}
 	if s.oracle {
 		s.submitToOracle(p)
 		return
 	}
 	s.pending[p.ticket] = p
 	s.step(admission.Asked{
-		Ticket: p.ticket, Org: request.Org, Weight: request.Weight, Priority: request.Priority,
-		Deadline: s.clock.Time().Add(request.Deadline), Prompt: request.Prompt,
+		Ticket: p.ticket, Org: work.Org, Weight: work.Weight, Priority: work.Priority,
+		Deadline: s.clock.Time().Add(work.Deadline), Prompt: work.Prompt,
 	})
 }
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// run runs the request at the engine. Its first token and its end reach the
-// agent as events, unless the agent has restarted since.
+// run starts the work at the engine. Its first token and its end reach the agent
+// as events, unless the agent has restarted since.
 func (s *Server) run(p pending) {
 	agentAtStart := s.agentStarted
 	sendToAgent := func(event reduce.Event) {
@@ -123,8 +123,8 @@
 		}
 	}
 	s.engine.start(&generation{
-		ticket: p.ticket, prompt: p.request.Prompt, answerTokens: p.request.Tokens,
-		callbacks: engineCallbacks{
+		ticket: p.ticket, prompt: p.work.Prompt, answerTokens: p.work.Tokens,
+		notify: engineCallbacks{
 			firstToken: func(cached int) {
 				p.callbacks.Begun(cached)
 				sendToAgent(admission.Begun{Ticket: p.ticket})
