--- a/ctl/experiment/datacentre/datacentre.go
+++ b/ctl/experiment/datacentre/datacentre.go
@@ -1,5 +1,5 @@
 // Package datacentre measures the service while a data centre is taken out under
-// load and returns in cold start. The baseline sends it full load at once.
+// load and returns in cold start. In the baseline it gets full load at once.
 package datacentre
 
 import (
@@ -67,7 +67,7 @@
 		Title: "Take-out and return of a data centre", Tables: []experiment.Table{table},
 		Notes: []string{
 			fmt.Sprintf("Three engines with %d slots, %d in cold start; %.0f requests per second; the whole system runs in one process; callers don't retry.", fullLimit, coldLimit, rate),
-			"The baseline is configured with the same limit for a cold engine as for a warm one, so it sends the returned engine full load at once.",
+			"The baseline is configured with the same limit for a cold engine as for a warm one, so the returned engine gets full load at once.",
 		},
 	}, nil
 }
--- a/ctl/experiment/expertmaps/report.go
+++ b/ctl/experiment/expertmaps/report.go
@@ -9,7 +9,7 @@
 
 func newTable(slots int) experiment.Table {
 	return experiment.Table{
-		Title: fmt.Sprintf("%d expert slots a rank", slots),
+		Title: fmt.Sprintf("%d expert slots per rank", slots),
 		Columns: []string{
 			"scenario", "seed", "policy", "skew mean", "skew p99", "with sampling noise mean", "p99",
 			"weights moved", "switches", "steps disturbed %", "step ms", "slowest plan ms",
@@ -34,11 +34,11 @@
 func plots(scenario string, results []policyResult) []experiment.Plot {
 	name := strings.ReplaceAll(scenario, " ", "-")
 	skew := experiment.Plot{
-		Name: "expert-maps-skew-" + name, Title: "Skew, " + scenario + ", 5 slots a rank",
+		Name: "expert-maps-skew-" + name, Title: "Skew, " + scenario + ", 5 slots per rank",
 		XLabel: "time (h)", YLabel: "slowest / even (1)",
 	}
 	moves := experiment.Plot{
-		Name: "expert-maps-moves-" + name, Title: "Weights moved, " + scenario + ", 5 slots a rank",
+		Name: "expert-maps-moves-" + name, Title: "Weights moved, " + scenario + ", 5 slots per rank",
 		XLabel: "time (h)", YLabel: "experts moved so far (1)",
 	}
 	for _, o := range results {
--- a/ctl/experiment/model/oracle.go
+++ b/ctl/experiment/model/oracle.go
@@ -6,8 +6,8 @@
 // limit.
 const maxOracleQueue = 16
 
-// UseOracle makes the server admit by the engine's true limit at each moment. It
-// is an upper bound for comparison: a real agent can't know that limit.
+// UseOracle makes the server admit by the engine's true limit at each moment, which
+// no real agent can know.
 func (s *Server) UseOracle() { s.oracle = true }
 
 func (s *Server) submitToOracle(p pending) {
