--- a/server/deployed/agent.go
+++ b/server/deployed/agent.go
@@ -92,7 +92,7 @@
 
 // followTopology keeps the agent's topology up to date with the store until ctx ends.
 func (a *Agent) followTopology(ctx context.Context) {
-	follower := newFollower(a.store, agentSettle, a.log, func(*topology.Snapshot) {})
+	follower := newFollower(a.store, agentBatchDelay, a.log, func(*topology.Snapshot) {})
 	a.follower.Store(follower)
 	// A follower returns no error when its context ends.
 	_ = follower.run(ctx)
--- a/server/deployed/topology.go
+++ b/server/deployed/topology.go
@@ -20,12 +20,12 @@
 const (
 	// tickInterval is how often the control state checks its timeouts.
 	tickInterval = 100 * time.Millisecond
-	// entrySettle is short compared with 2 s, the shortest time within which a change
+	// entryBatchDelay is short compared with 2 s, the shortest time within which a change
 	// must be in force.
-	entrySettle = 150 * time.Millisecond
-	// agentSettle may be longer, since agents only read the members of their group and
+	entryBatchDelay = 150 * time.Millisecond
+	// agentBatchDelay may be longer, since agents only read the members of their group and
 	// the engine model.
-	agentSettle = time.Second
+	agentBatchDelay = time.Second
 )
 
 // follower keeps a process's topology up to date with the platform's store.
@@ -33,12 +33,12 @@
 	store  *platform.Store
 	loop   *loop.Loop[topology.State, *topology.Snapshot]
 	log    *logrus.Entry
-	settle time.Duration // Delay after a change in which a watch collects further changes.
+	batchDelay time.Duration // Delay after a change in which a watch collects further changes.
 }
 
 // newFollower returns a follower that passes each new snapshot to install.
-func newFollower(store *platform.Store, settle time.Duration, log *logrus.Entry, install func(*topology.Snapshot)) *follower {
-	f := &follower{store: store, log: log, settle: settle}
+func newFollower(store *platform.Store, batchDelay time.Duration, log *logrus.Entry, install func(*topology.Snapshot)) *follower {
+	f := &follower{store: store, log: log, batchDelay: batchDelay}
 	var previous *topology.Snapshot
 	var last topology.State
 	view := func(state topology.State) *topology.Snapshot {
@@ -65,7 +65,7 @@
 // run follows the store until ctx ends.
 func (f *follower) run(ctx context.Context) error {
 	for _, table := range []string{platform.TableOperators, platform.TableServers} {
-		w := &watch.Watch{Store: f.store, Table: table, Post: f.loop.Post, Log: f.log, BatchDelay: f.settle}
+		w := &watch.Watch{Store: f.store, Table: table, Post: f.loop.Post, Log: f.log, BatchDelay: f.batchDelay}
 		go w.Run(ctx)
 	}
 	return f.loop.Run(ctx, topology.New(), tickInterval)
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -56,14 +56,14 @@
 	deadline     time.Time              // The caller's deadline or the end of the route's timeout, whichever is sooner.
 
 	sends                 int    // Attempts that reached a connection.
-	possibleRuns          int    // Attempts that the server may have executed.
-	foundClosed           bool   // An attempt was refused because the group is closed.
-	refused               bool   // The dispatcher has refused the request; no attempt follows.
+	possibleExecutions          int    // Attempts that the server may have executed.
+	foundGroupClosed           bool   // An attempt was refused because the group is closed.
+	refusedByDispatcher               bool   // The dispatcher has refused the request; no attempt follows.
 	avoidServer           string // The server of the latest failed attempt.
 	server                string // The server of the latest attempt; for the log.
 	responseStarted       bool   // The status and headers have been sent to the caller.
 	lastEventID           string // ID of the latest event that the caller has.
-	events                int
+	relayedEvents                int
 	firstByteAt           time.Time
 	predictedFirstEventAt time.Time     // Predicted time of the first event; zero for no prediction.
 	longestEventGap       time.Duration // Between two events from one server.
@@ -106,12 +106,12 @@
 func (c *call) shouldRetry(attemptNumber int, failure *result.Error) bool {
 	reason := ""
 	switch {
-	case c.refused:
+	case c.refusedByDispatcher:
 		reason = "refused_by_desk"
-	case c.sends >= maxSends || c.possibleRuns >= c.route.MaxAttempts:
+	case c.sends >= maxSends || c.possibleExecutions >= c.route.MaxAttempts:
 		reason = "attempts_used_up"
 	case !retry.Retriable(retry.Attempt{
-		Number: max(1, c.possibleRuns), Err: failure, // Refusals are limited by maxSends.
+		Number: max(1, c.possibleExecutions), Err: failure, // Refusals are limited by maxSends.
 		ResponseStarted: c.responseStarted && !c.resumable(),
 		Idempotent:      c.route.Repeatable(),
 		Waited:          time.Since(c.arrived),
@@ -123,7 +123,7 @@
 	}
 	logevent.Write(c.log, logevent.AttemptFailed, logrus.Fields{
 		"server": c.server, "attempt": attemptNumber, "code": int(failure.Code), "error": failure.Error(),
-		"again": reason == "", "reason": reason, "runs": c.possibleRuns, "begun": c.responseStarted,
+		"again": reason == "", "reason": reason, "runs": c.possibleExecutions, "begun": c.responseStarted,
 		"config": c.snapshot.Config.Version,
 	})
 	return reason == ""
@@ -136,7 +136,7 @@
 
 // finalError returns the error that the caller gets after the last attempt.
 func (c *call) finalError(failure *result.Error) *result.Error {
-	if c.possibleRuns > 0 && failure.NotRun() {
+	if c.possibleExecutions > 0 && failure.NotRun() {
 		// The last error says that the request did not run, but an earlier attempt
 		// may have run.
 		return result.Errorf(result.BackendFailed, "an earlier attempt may have run; last error: %v", failure)
@@ -148,14 +148,14 @@
 func (c *call) attempt(ctx context.Context, service string) *result.Error {
 	decision, err := c.gateway.dispatchers.acquire(ctx, service, c.ticket(), c.logDecision)
 	if err != nil {
-		if c.possibleRuns == 0 {
+		if c.possibleExecutions == 0 {
 			return result.Errorf(result.DeadlineTooShort, "no server slot became free before the deadline")
 		}
 		return result.Errorf(result.DeadlineExceeded, "no server slot became free before the deadline")
 	}
 	c.logDecision(decision)
 	if decision.Verdict == dispatch.Refuse {
-		c.refused = true
+		c.refusedByDispatcher = true
 		refusal := result.Errorf(result.Overloaded, "%s", decision.Reason)
 		refusal.RetryAfter = decision.RetryAfter
 		return refusal
@@ -171,7 +171,7 @@
 	}
 	c.avoidServer = decision.Server.ID
 	if closed && outcome == dispatch.Busy {
-		c.foundClosed = true
+		c.foundGroupClosed = true
 		failure = result.Errorf(result.GroupWaiting, "%s", failure.Detail)
 		failure.RetryAfter = groupClosedRetryAfter
 	}
@@ -185,7 +185,7 @@
 	}
 	return dispatch.Ticket{
 		Arrived: c.arrived, SLODeadline: c.arrived.Add(c.route.Objective), Deadline: c.latestStart(),
-		Priority: priority, Avoid: c.avoidServer, FoundClosed: c.foundClosed,
+		Priority: priority, Avoid: c.avoidServer, FoundClosed: c.foundGroupClosed,
 	}
 }
 
@@ -214,7 +214,7 @@
 // be migrated off the server meanwhile. The outcome is what the dispatcher learns
 // about the server.
 func (c *call) sendMigratable(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
-	if !c.resumable() || c.possibleRuns+1 >= c.route.MaxAttempts {
+	if !c.resumable() || c.possibleExecutions+1 >= c.route.MaxAttempts {
 		return c.send(ctx, service, server)
 	}
 	ctx, migrate := context.WithCancelCause(ctx)
@@ -228,7 +228,7 @@
 func (c *call) send(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
 	conn, err := c.gateway.pool.Get(ctx, upstream.Target{
 		Address: server.Address, NonRepeatable: !c.route.Repeatable(),
-		MaxIdle: c.snapshot.Service(service).MaxConnections / (2 * assumedEntries),
+		MaxIdle: c.snapshot.Service(service).MaxConnections / (2 * assumedEntryCount),
 	})
 	if err != nil {
 		return dispatch.Unreachable, result.Errorf(result.NoBackendServer, "%v", err)
@@ -236,7 +236,7 @@
 	c.sends++
 	exchange, err := c.gateway.pool.Do(ctx, conn, c.forward(server))
 	if err != nil {
-		c.possibleRuns++
+		c.possibleExecutions++
 		return c.classifyFailure(ctx, err)
 	}
 	decoded := platform.DecodeResponse(exchange.Response.StatusCode, exchange.Response.Header)
@@ -249,8 +249,8 @@
 		}
 		return dispatch.Busy, refusal
 	}
-	c.possibleRuns++
-	c.gateway.dispatchers.accepted(service)
+	c.possibleExecutions++
+	c.gateway.dispatchers.observeAccepted(service)
 	if decoded.Encoded || !decoded.Stamped {
 		exchange.Abort()
 		return dispatch.Failed, result.Errorf(result.BackendFailed, "invalid answer: status %d, stamped %t, encoded %t", exchange.Response.StatusCode, decoded.Stamped, decoded.Encoded)
--- a/server/gateway/deliver.go
+++ b/server/gateway/deliver.go
@@ -121,7 +121,7 @@
 // recordEnd logs the end of the call and updates the metrics.
 func (c *call) recordEnd(failure *result.Error) {
 	code := result.OK
-	fields := logrus.Fields{"sends": c.sends, "runs": c.possibleRuns, "server": c.server, "total_ms": time.Since(c.arrived).Milliseconds()}
+	fields := logrus.Fields{"sends": c.sends, "runs": c.possibleExecutions, "server": c.server, "total_ms": time.Since(c.arrived).Milliseconds()}
 	if failure != nil {
 		code = failure.Code
 		fields["error"] = failure.Error()
@@ -139,8 +139,8 @@
 		fields["first_ms"] = c.firstByteAt.Sub(c.arrived).Milliseconds()
 		c.gateway.metrics.firstAnswer.Observe(c.firstByteAt.Sub(c.arrived).Seconds())
 	}
-	if c.events > 0 {
-		fields["events"], fields["longest_gap_ms"] = c.events, c.longestEventGap.Milliseconds()
+	if c.relayedEvents > 0 {
+		fields["events"], fields["longest_gap_ms"] = c.relayedEvents, c.longestEventGap.Milliseconds()
 		if !c.predictedFirstEventAt.IsZero() {
 			fields["predicted_first_ms"] = c.predictedFirstEventAt.Sub(c.arrived).Milliseconds()
 			c.gateway.metrics.predictionError.Observe(c.firstByteAt.Sub(c.predictedFirstEventAt).Abs().Seconds())
--- a/server/gateway/dispatchers.go
+++ b/server/gateway/dispatchers.go
@@ -31,8 +31,8 @@
 
 type dispatcher struct {
 	*dispatch.Dispatcher
-	waiting    map[uint64]chan dispatch.Decision
-	migratable map[string]map[*call]context.CancelCauseFunc // By server: cancels the exchange of a stream, so that it is migrated.
+	waitingTickets    map[uint64]chan dispatch.Decision
+	migratableStreams map[string]map[*call]context.CancelCauseFunc // By server: cancels the exchange of a stream, so that it is migrated.
 }
 
 func newDispatchers(warmUp dispatch.WarmUpLimit, log *logrus.Entry) *dispatchers {
@@ -50,7 +50,7 @@
 	targets := interTokenTargets(snapshot.Config)
 	for name := range snapshot.Config.Services {
 		if d.byService[name] == nil {
-			d.byService[name] = &dispatcher{Dispatcher: dispatch.NewDispatcher(d.warmUp), waiting: map[uint64]chan dispatch.Decision{}, migratable: map[string]map[*call]context.CancelCauseFunc{}}
+			d.byService[name] = &dispatcher{Dispatcher: dispatch.NewDispatcher(d.warmUp), waitingTickets: map[uint64]chan dispatch.Decision{}, migratableStreams: map[string]map[*call]context.CancelCauseFunc{}}
 		}
 	}
 	for name, dispatcher := range d.byService {
@@ -92,7 +92,7 @@
 		return decision, nil
 	}
 	decided := make(chan dispatch.Decision, 1)
-	dispatcher.waiting[ticket.ID] = decided
+	dispatcher.waitingTickets[ticket.ID] = decided
 	d.mu.Unlock()
 	onWait(decision)
 	select {
@@ -110,7 +110,7 @@
 		}
 	default:
 		dispatcher.Cancel(ticket.ID)
-		delete(dispatcher.waiting, ticket.ID)
+		delete(dispatcher.waitingTickets, ticket.ID)
 	}
 	return dispatch.Decision{}, ctx.Err()
 }
@@ -125,8 +125,8 @@
 	return closed
 }
 
-// accepted records that a server of the service has begun to answer.
-func (d *dispatchers) accepted(service string) {
+// observeAccepted records that a server of the service has begun to answer.
+func (d *dispatchers) observeAccepted(service string) {
 	d.withService(service, func(dispatcher *dispatcher) { dispatcher.Accepted() })
 }
 
@@ -135,17 +135,17 @@
 	d.withService(service, func(dispatcher *dispatcher) { dispatcher.ObserveEvent(server, time.Now()) })
 }
 
-// gap records the time between two events of a stream.
-func (d *dispatchers) gap(service, server string, gap time.Duration) {
+// observeGap records the time between two events of a stream.
+func (d *dispatchers) observeGap(service, server string, gap time.Duration) {
 	d.withService(service, func(dispatcher *dispatcher) { dispatcher.ObserveGap(server, gap, time.Now()) })
 }
 
-// report records the load of a server as reported by its agent, and migrates
+// observeReport records the load of a server as reported by its agent, and migrates
 // streams off a server that slows down its group.
-func (d *dispatchers) report(service, server string, report dispatch.Report) {
+func (d *dispatchers) observeReport(service, server string, report dispatch.Report) {
 	d.withService(service, func(dispatcher *dispatcher) {
 		dispatcher.Report(server, report, time.Now())
-		if len(dispatcher.migratable[server]) > 0 && dispatcher.ShouldMigrateStreams(server, time.Now()) {
+		if len(dispatcher.migratableStreams[server]) > 0 && dispatcher.ShouldMigrateStreams(server, time.Now()) {
 			dispatcher.migrateStreams(server, errMigratedSlow)
 		}
 	})
@@ -154,7 +154,7 @@
 // migrateStreams cancels the exchanges of the migratable streams at a server, so that
 // they continue at another one.
 func (d *dispatcher) migrateStreams(server string, cause error) {
-	for _, migrate := range d.migratable[server] {
+	for _, migrate := range d.migratableStreams[server] {
 		migrate(cause)
 	}
 }
@@ -164,7 +164,7 @@
 func (d *dispatchers) migrateFromSilent(service string, dispatcher *dispatcher) {
 	for _, server := range dispatcher.FindSilent(time.Now()) {
 		logevent.Write(d.log, logevent.ServerSilent, logrus.Fields{
-			"service": service, "server": server, "movable": len(dispatcher.migratable[server]), "config": d.snapshot.Config.Version,
+			"service": service, "server": server, "movable": len(dispatcher.migratableStreams[server]), "config": d.snapshot.Config.Version,
 		})
 		dispatcher.migrateStreams(server, errMigratedSilent)
 	}
@@ -174,16 +174,16 @@
 // function is called.
 func (d *dispatchers) registerStream(service, server string, c *call, migrate context.CancelCauseFunc) (unregister func()) {
 	d.withService(service, func(dispatcher *dispatcher) {
-		if dispatcher.migratable[server] == nil {
-			dispatcher.migratable[server] = map[*call]context.CancelCauseFunc{}
+		if dispatcher.migratableStreams[server] == nil {
+			dispatcher.migratableStreams[server] = map[*call]context.CancelCauseFunc{}
 		}
-		dispatcher.migratable[server][c] = migrate
+		dispatcher.migratableStreams[server][c] = migrate
 	})
 	return func() {
 		d.withService(service, func(dispatcher *dispatcher) {
-			delete(dispatcher.migratable[server], c)
-			if len(dispatcher.migratable[server]) == 0 {
-				delete(dispatcher.migratable, server)
+			delete(dispatcher.migratableStreams[server], c)
+			if len(dispatcher.migratableStreams[server]) == 0 {
+				delete(dispatcher.migratableStreams, server)
 			}
 		})
 	}
@@ -219,13 +219,13 @@
 
 // resolveWaiting passes decisions to the requests that wait for them.
 func (d *dispatcher) resolveWaiting() {
-	if len(d.waiting) == 0 {
+	if len(d.waitingTickets) == 0 {
 		return
 	}
 	for _, decision := range d.DispatchQueued(rand.Float64, time.Now()) {
-		if decided, ok := d.waiting[decision.Ticket]; ok {
+		if decided, ok := d.waitingTickets[decision.Ticket]; ok {
 			decided <- decision
-			delete(d.waiting, decision.Ticket)
+			delete(d.waitingTickets, decision.Ticket)
 		}
 	}
 }
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	// assumedEntries is the number of entries among which shared limits are divided:
+	// assumedEntryCount is the number of entries among which shared limits are divided:
 	// a few more than the largest number of entries on today's machines, spares
 	// included.
-	assumedEntries = 8
+	assumedEntryCount = 8
 	// retryBudgetShare is the share of the allowed retries that entries use. The rest
 	// covers arrivals that the entries don't count, such as requests that are sent
 	// again after a lost answer.
@@ -55,14 +55,14 @@
 func New(settings platform.Settings, log *logrus.Entry, metrics *Metrics) *Gateway {
 	return &Gateway{
 		dispatchers: newDispatchers(dispatch.WarmUpLimit{
-			OverloadFactor: settings.WarmUpOvershoot, Allowance: settings.WarmUpAllowance, Entries: assumedEntries,
+			OverloadFactor: settings.WarmUpOvershoot, Allowance: settings.WarmUpAllowance, Entries: assumedEntryCount,
 		}, log),
 		pool:    upstream.NewPool(upstream.Dial),
 		log:     log,
 		metrics: metrics,
 		budget: retry.NewBudgetWith(
 			settings.RetryRatio*retryBudgetShare,
-			max(1, settings.RetryReserve*retryBudgetShare/assumedEntries)),
+			max(1, settings.RetryReserve*retryBudgetShare/assumedEntryCount)),
 	}
 }
 
@@ -87,7 +87,7 @@
 	for name := range snapshot.Config.Services {
 		for _, candidate := range snapshot.Candidates(name) {
 			if candidate.Address == report.Server {
-				g.dispatchers.report(name, candidate.ID, dispatch.Report{
+				g.dispatchers.observeReport(name, candidate.ID, dispatch.Report{
 					Queued: report.Queued, Active: report.Active, Open: report.Open, Pace: report.Pace,
 				})
 			}
--- a/server/gateway/stream.go
+++ b/server/gateway/stream.go
@@ -48,7 +48,7 @@
 			exchange.Abort()
 			outcome, failure := c.classifyFailure(ctx, err)
 			if outcome == dispatch.Failed {
-				failure = result.Errorf(result.CutAnswer, "after %d events: %v", c.events, err)
+				failure = result.Errorf(result.CutAnswer, "after %d events: %v", c.relayedEvents, err)
 			}
 			return outcome, failure
 		}
@@ -56,7 +56,7 @@
 		if lastAt.IsZero() {
 			c.gateway.dispatchers.observeFirstEvent(service, server)
 		} else {
-			c.gateway.dispatchers.gap(service, server, now.Sub(lastAt))
+			c.gateway.dispatchers.observeGap(service, server, now.Sub(lastAt))
 			c.longestEventGap = max(c.longestEventGap, now.Sub(lastAt))
 		}
 		lastAt = now
@@ -95,7 +95,7 @@
 	if err := http.NewResponseController(c.writer).Flush(); err != nil {
 		logevent.Write(c.log, logevent.CallerGone, logrus.Fields{"error": err.Error()})
 	}
-	c.events++
+	c.relayedEvents++
 	if id != "" {
 		c.lastEventID = id
 	}
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -36,9 +36,9 @@
 
 	mu         sync.Mutex
 	lastTicket uint64
-	pending    map[uint64]chan answer
+	pendingOrders    map[uint64]chan answer
 	plannedMap planner.Placement // Written to the object store when the change begins.
-	loaded     loadedMap
+	latestLoaded     loadedMap
 	loadingID  expertmap.ID
 
 	plannerState       planner.State // Used by the planning goroutine only, like decisionRecordedAt.
@@ -51,7 +51,7 @@
 	g := &Group{
 		node: n, engine: engine,
 		orders:  make(chan expertmap.Forward, orderQueueLength),
-		pending: map[uint64]chan answer{},
+		pendingOrders: map[uint64]chan answer{},
 	}
 	n.AddExecutor(g.execute)
 	n.AddReceiver("Group", &receiver{group: g})
@@ -78,9 +78,9 @@
 	case expertmap.Send:
 		go g.send(ctx, effect)
 	case expertmap.Forward:
-		g.enqueue(effect)
+		g.enqueueOrder(effect)
 	case expertmap.RefuseOrder:
-		g.answer(effect.Ticket, answer{refused: true, seen: effect.Seen})
+		g.answer(effect.Ticket, answer{isRefused: true, highestSeen: effect.Seen})
 		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.Seen.Fence, "ready": effect.FenceKnown})
 	case expertmap.PublishMap:
 		go g.storeMap(ctx, effect.ID)
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -29,8 +29,8 @@
 // answer is the outcome of an order.
 type answer struct {
 	state   expertmap.EngineState
-	refused bool
-	seen    expertmap.Number
+	isRefused bool
+	highestSeen    expertmap.Number
 	err     error
 }
 
@@ -44,7 +44,7 @@
 	r.group.node.Loop.Post(expertmap.OrderReceived{Ticket: ticket, Order: request.Order})
 	result := <-done
 	reply.Stamp = r.group.node.Stamp()
-	reply.State, reply.Refused, reply.Seen = result.state, result.refused, result.seen
+	reply.State, reply.Refused, reply.Seen = result.state, result.isRefused, result.highestSeen
 	return result.err
 }
 
@@ -53,20 +53,20 @@
 	defer g.mu.Unlock()
 	g.lastTicket++
 	done := make(chan answer, 1)
-	g.pending[g.lastTicket] = done
+	g.pendingOrders[g.lastTicket] = done
 	return g.lastTicket, done
 }
 
 func (g *Group) answer(ticket uint64, a answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if done, ok := g.pending[ticket]; ok {
-		delete(g.pending, ticket)
+	if done, ok := g.pendingOrders[ticket]; ok {
+		delete(g.pendingOrders, ticket)
 		done <- a
 	}
 }
 
-func (g *Group) enqueue(forward expertmap.Forward) {
+func (g *Group) enqueueOrder(forward expertmap.Forward) {
 	select {
 	case g.orders <- forward:
 	default:
@@ -116,8 +116,8 @@
 func (g *Group) mapWithWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.loaded.id == id && g.loaded.body != nil {
-		return g.loaded.body, nil
+	if g.latestLoaded.id == id && g.latestLoaded.body != nil {
+		return g.latestLoaded.body, nil
 	}
 	if g.loadingID != id {
 		g.loadingID = id
@@ -138,7 +138,7 @@
 	}
 	g.loadingID = expertmap.ID{}
 	if err == nil {
-		g.loaded = loadedMap{id: id, body: body}
+		g.latestLoaded = loadedMap{id: id, body: body}
 	}
 }
 
--- a/server/loadreport/loadreport.go
+++ b/server/loadreport/loadreport.go
@@ -81,7 +81,7 @@
 		case <-ctx.Done():
 			return
 		}
-		subscribers := p.active()
+		subscribers := p.activeSubscribers()
 		if len(subscribers) == 0 {
 			continue
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-func (p *Publisher) active() []netip.AddrPort {
+func (p *Publisher) activeSubscribers() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var active []netip.AddrPort
--- a/server/loadreport/loadreport_test.go
+++ b/server/loadreport/loadreport_test.go
@@ -53,7 +53,7 @@
 		publisher := NewPublisher(conn)
 		address := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 		publisher.subscribers[address] = time.Now().Add(-subscriptionTTL - time.Second)
-		So(publisher.active(), ShouldBeEmpty)
+		So(publisher.activeSubscribers(), ShouldBeEmpty)
 		So(publisher.subscribers, ShouldBeEmpty)
 	})
 }
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -29,9 +29,9 @@
 	// demand of the whole group, and the coordinator's network link has the bandwidth
 	// for that part.
 	countedRanksPerRound = 12
-	// remoteListsInterval is the shortest time between two reads of an engine's lists
+	// remoteListsReadInterval is the shortest time between two reads of an engine's lists
 	// from another machine. Such a read makes the engine's group pause.
-	remoteListsInterval = time.Second
+	remoteListsReadInterval = time.Second
 	// readInterval is how often every rank is read. The reads also show the agents
 	// that the coordinator is alive.
 	readInterval = 100 * time.Millisecond
@@ -72,8 +72,8 @@
 
 	nextUnknown     int // Index of the listed member at which the search for unknown members continues.
 	epoch           int64
-	remoteListsAt   time.Time // When an engine's lists were last read from another machine.
-	latestCopyOrder GiveArgs  // The latest prepare order, as changes.
+	lastRemoteListsReadAt   time.Time // When an engine's lists were last read from another machine.
+	latestPrepareOrder GiveArgs  // The latest prepare order, as changes.
 }
 
 // Member is a backend server of the service and the agent beside it.
@@ -87,8 +87,8 @@
 	Phase   mapswitch.Phase
 	Epoch   int64
 	Size    int
-	Current mapswitch.Map
-	Lists   bool
+	CurrentMap mapswitch.Map
+	NeedsLists   bool
 
 	Slowness []float64 // By rank, as reported.
 	Requests int       // At all ranks, including queued ones.
@@ -116,7 +116,7 @@
 	defer c.stop()
 	c.addresses, c.foreignSince = map[int]Member{}, map[string]time.Time{}
 	c.loop = loop.New(mapswitch.Step, func(s mapswitch.State) view {
-		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.Current, Lists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
+		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, CurrentMap: s.Current, NeedsLists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
 	}, func(effect reduce.Effect) { c.execute(ctx, effect) }, nil)
 	go c.readAll(ctx)
 	go c.planner.run(ctx, c.loop)
@@ -130,23 +130,23 @@
 	var countsAt time.Time
 	firstCounted := 0 // Index of the first rank whose counts are read.
 	for ctx.Err() == nil {
-		interval, now := readInterval, view{Lists: true}
+		interval, now := readInterval, view{NeedsLists: true}
 		if known := c.loop.View(); known != nil {
 			now = *known
 		}
 		if now.Phase != mapswitch.Idle && now.Phase != mapswitch.Survey {
 			interval = min(interval, time.Duration(now.Size)*changeReadIntervalPerRank)
 		}
-		counts := time.Since(countsAt) >= readInterval-interval/2 && !now.mayPauseForArming()
-		if counts {
+		countsDue := time.Since(countsAt) >= readInterval-interval/2 && !now.mayPauseForArming()
+		if countsDue {
 			countsAt = time.Now()
 		}
 		members := c.membersToRead(now.Size)
 		for i, member := range members {
-			readCounts := counts && (i+len(members)-firstCounted)%len(members) < countedRanksPerRound
-			go c.read(ctx, member, now.Lists, readCounts)
+			readCounts := countsDue && (i+len(members)-firstCounted)%len(members) < countedRanksPerRound
+			go c.read(ctx, member, now.NeedsLists, readCounts)
 		}
-		if counts && len(members) > 0 {
+		if countsDue && len(members) > 0 {
 			firstCounted = (firstCounted + countedRanksPerRound) % len(members)
 		}
 		wait.For(ctx, interval)
@@ -192,21 +192,21 @@
 
 // read reads a rank through its agent, or directly from the engine if the agent does
 // not answer.
-func (c *coordinator) read(ctx context.Context, member Member, lists, counts bool) {
+func (c *coordinator) read(ctx context.Context, member Member, readLists, readCounts bool) {
 	requestedAt, isDirect := time.Now(), false
-	args := ReadArgs{Caller: c.caller(), Counts: counts, Lists: lists}
+	args := ReadArgs{Caller: c.caller(), Counts: readCounts, Lists: readLists}
 	var reply ReadReply
 	if err := c.call(ctx, member.Agent, methodRead, args, &reply); err != nil {
 		// A new coordinator must read every rank before it knows the ranks, including
 		// one whose agent is unreachable: the group may pause until it has.
-		if c.stopIfFenced(err) || !lists && !c.isRank(member) {
+		if c.stopIfFenced(err) || !readLists && !c.isRank(member) {
 			return
 		}
 		// Reading counts or lists from another machine makes the group pause.
 		reply, isDirect = ReadReply{}, true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		if err := readEngine(callCtx, c.directEngine(member.Server), lists && c.allowRemoteLists(), &reply); err != nil {
+		if err := readEngine(callCtx, c.directEngine(member.Server), readLists && c.allowRemoteLists(), &reply); err != nil {
 			return // A missing answer does not change the control state.
 		}
 	}
@@ -221,10 +221,10 @@
 func (c *coordinator) allowRemoteLists() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.remoteListsAt) < remoteListsInterval {
+	if time.Since(c.lastRemoteListsReadAt) < remoteListsReadInterval {
 		return false
 	}
-	c.remoteListsAt = time.Now()
+	c.lastRemoteListsReadAt = time.Now()
 	return true
 }
 
@@ -304,13 +304,13 @@
 // give passes an order to a rank through an agent. If the agent is unreachable, orders
 // to prepare, arm or disarm go directly to the engine. Holds are set and released only
 // through an agent, which refuses a superseded coordinator.
-func (c *coordinator) give(ctx context.Context, member, through Member, give mapswitch.SendOrder) {
-	requestedAt, order := time.Now(), give.Order
-	returned := mapswitch.OrderReturned{Rank: give.Rank, Kind: order.Kind}
+func (c *coordinator) give(ctx context.Context, member, through Member, send mapswitch.SendOrder) {
+	requestedAt, order := time.Now(), send.Order
+	returned := mapswitch.OrderReturned{Rank: send.Rank, Kind: order.Kind}
 	read := mapswitch.RankRead{RequestedAt: requestedAt}
 	defer func() { c.loop.Post(returned) }()
 	var reply GiveReply
-	if err := c.giveThroughAgent(ctx, member, through, give, &reply); err != nil {
+	if err := c.giveThroughAgent(ctx, member, through, send, &reply); err != nil {
 		if c.stopIfFenced(err) || order.Kind == topology.Hold || order.Kind == topology.Release {
 			c.logOrderFailure(member, order, err.Error())
 			return
@@ -337,43 +337,43 @@
 
 // giveThroughAgent passes an order to a rank's agent. A prepare order carries only the
 // changes to the map in use, unless the agent doesn't have that map.
-func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, give mapswitch.SendOrder, reply *GiveReply) error {
-	whole := GiveArgs{Caller: c.caller(), Order: give.Order}
+func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, send mapswitch.SendOrder, reply *GiveReply) error {
+	wholeOrder := GiveArgs{Caller: c.caller(), Order: send.Order}
 	if through != member {
-		whole.Server = member.Server
-		return c.call(ctx, through.Agent, methodGive, whole, reply)
+		wholeOrder.Server = member.Server
+		return c.call(ctx, through.Agent, methodGive, wholeOrder, reply)
 	}
-	if give.BaseMap == nil {
-		return c.call(ctx, member.Agent, methodGive, whole, reply)
+	if send.BaseMap == nil {
+		return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 	}
-	args := c.copyOrder(give)
+	args := c.prepareOrderAsChanges(send)
 	if !args.hasChanges() {
-		return c.call(ctx, member.Agent, methodGive, whole, reply)
+		return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 	}
 	if err := c.call(ctx, member.Agent, methodGive, args, reply); err != nil || !reply.UnknownBase {
 		return err
 	}
 	*reply = GiveReply{}
-	return c.call(ctx, member.Agent, methodGive, whole, reply)
+	return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 }
 
-// copyOrder returns the prepare order as changes to the map in use. The result is
+// prepareOrderAsChanges returns the prepare order as changes to the map in use. The result is
 // reused for all ranks, which get the same order: comparing whole maps takes a large
 // part of a small machine's processor time.
-func (c *coordinator) copyOrder(give mapswitch.SendOrder) GiveArgs {
+func (c *coordinator) prepareOrderAsChanges(send mapswitch.SendOrder) GiveArgs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.latestCopyOrder.Order
-	if known.Version == give.Order.Version && known.Epoch == give.Order.Epoch && c.latestCopyOrder.Base == give.BaseVersion {
-		return c.latestCopyOrder
+	known := c.latestPrepareOrder.Order
+	if known.Version == send.Order.Version && known.Epoch == send.Order.Epoch && c.latestPrepareOrder.Base == send.BaseVersion {
+		return c.latestPrepareOrder
 	}
 	args := GiveArgs{
-		Caller: c.caller(), Order: give.Order,
-		Base: give.BaseVersion, Changes: mapswitch.Changes(give.BaseMap, give.Order.Map),
+		Caller: c.caller(), Order: send.Order,
+		Base: send.BaseVersion, Changes: mapswitch.Changes(send.BaseMap, send.Order.Map),
 	}
-	args.InTurn, _ = mapswitch.DealtInTurn(give.BaseMap)
+	args.InTurn, _ = mapswitch.DealtInTurn(send.BaseMap)
 	args.Order.Map = nil
-	c.latestCopyOrder = args
+	c.latestPrepareOrder = args
 	return args
 }
 
--- a/server/stream/codec.go
+++ b/server/stream/codec.go
@@ -11,12 +11,12 @@
 // and a line of exactly this form is decoded without encoding/json, which
 // handles all other lines.
 const (
-	openID     = `{"id":"`
-	openSeq    = `","seq":`
-	openFrom   = `,"from":`
-	openTokens = `,"tokens":`
-	openText   = `,"text":"`
-	closeText  = `"}`
+	idPrefix     = `{"id":"`
+	seqPrefix    = `","seq":`
+	fromPrefix   = `,"from":`
+	tokensPrefix = `,"tokens":`
+	textPrefix   = `,"text":"`
+	textSuffix  = `"}`
 )
 
 // AppendString appends the text as a JSON string.
@@ -45,24 +45,24 @@
 
 // appendPiece appends the encoded piece without a newline.
 func appendPiece(line []byte, piece Piece) ([]byte, error) {
-	if !textOnly(piece) {
+	if !isTextOnly(piece) {
 		encoded, err := json.Marshal(piece)
 		return append(line, encoded...), err
 	}
-	line = append(line, openID...)
+	line = append(line, idPrefix...)
 	line = append(line, piece.ID...)
-	line = append(line, openSeq...)
+	line = append(line, seqPrefix...)
 	line = strconv.AppendInt(line, int64(piece.Seq), 10)
-	line = append(line, openFrom...)
+	line = append(line, fromPrefix...)
 	line = strconv.AppendInt(line, int64(piece.From), 10)
-	line = append(line, openTokens...)
+	line = append(line, tokensPrefix...)
 	line = strconv.AppendInt(line, int64(piece.Tokens), 10)
-	line = append(line, openText...)
+	line = append(line, textPrefix...)
 	line = append(line, piece.Text...)
-	return append(line, closeText...), nil
+	return append(line, textSuffix...), nil
 }
 
-func textOnly(piece Piece) bool {
+func isTextOnly(piece Piece) bool {
 	rest := piece
 	rest.ID, rest.Seq, rest.From, rest.Tokens, rest.Text = "", 0, 0, 0, ""
 	return rest == Piece{} && piece.Text != "" && needsNoEscape(piece.ID) && needsNoEscape(piece.Text)
@@ -80,15 +80,15 @@
 }
 
 func parseTextOnly(line []byte, lastID string) (Piece, bool) {
-	rest, ok := bytes.CutPrefix(line, []byte(openID))
+	rest, ok := bytes.CutPrefix(line, []byte(idPrefix))
 	if !ok {
 		return Piece{}, false
 	}
-	id, rest, idOK := bytes.Cut(rest, []byte(openSeq))
-	seq, rest, seqOK := cutNumber(rest, openFrom)
-	from, rest, fromOK := cutNumber(rest, openTokens)
-	tokens, rest, tokensOK := cutNumber(rest, openText)
-	text, textOK := bytes.CutSuffix(rest, []byte(closeText))
+	id, rest, idOK := bytes.Cut(rest, []byte(seqPrefix))
+	seq, rest, seqOK := cutNumber(rest, fromPrefix)
+	from, rest, fromOK := cutNumber(rest, tokensPrefix)
+	tokens, rest, tokensOK := cutNumber(rest, textPrefix)
+	text, textOK := bytes.CutSuffix(rest, []byte(textSuffix))
 	if !idOK || !seqOK || !fromOK || !tokensOK || !textOK || !needsNoEscape(id) || !needsNoEscape(text) {
 		return Piece{}, false
 	}
