--- a/server/deployed/topology.go
+++ b/server/deployed/topology.go
@@ -30,9 +30,9 @@
 
 // follower keeps a process's topology up to date with the platform's store.
 type follower struct {
-	store  *platform.Store
-	loop   *loop.Loop[topology.State, *topology.Snapshot]
-	log    *logrus.Entry
+	store      *platform.Store
+	loop       *loop.Loop[topology.State, *topology.Snapshot]
+	log        *logrus.Entry
 	batchDelay time.Duration // Delay after a change in which a watch collects further changes.
 }
 
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -56,14 +56,14 @@
 	deadline     time.Time              // The caller's deadline or the end of the route's timeout, whichever is sooner.
 
 	sends                 int    // Attempts that reached a connection.
-	possibleExecutions          int    // Attempts that the server may have executed.
-	foundGroupClosed           bool   // An attempt was refused because the group is closed.
-	refusedByDispatcher               bool   // The dispatcher has refused the request; no attempt follows.
+	possibleExecutions    int    // Attempts that the server may have executed.
+	foundGroupClosed      bool   // An attempt was refused because the group is closed.
+	refusedByDispatcher   bool   // The dispatcher has refused the request; no attempt follows.
 	avoidServer           string // The server of the latest failed attempt.
 	server                string // The server of the latest attempt; for the log.
 	responseStarted       bool   // The status and headers have been sent to the caller.
 	lastEventID           string // ID of the latest event that the caller has.
-	relayedEvents                int
+	relayedEvents         int
 	firstByteAt           time.Time
 	predictedFirstEventAt time.Time     // Predicted time of the first event; zero for no prediction.
 	longestEventGap       time.Duration // Between two events from one server.
--- a/server/gateway/dispatchers.go
+++ b/server/gateway/dispatchers.go
@@ -135,14 +135,14 @@
 	d.withService(service, func(dispatcher *dispatcher) { dispatcher.ObserveEvent(server, time.Now()) })
 }
 
-// observeGap records the time between two events of a stream.
-func (d *dispatchers) observeGap(service, server string, gap time.Duration) {
+// gap records the time between two events of a stream.
+func (d *dispatchers) gap(service, server string, gap time.Duration) {
 	d.withService(service, func(dispatcher *dispatcher) { dispatcher.ObserveGap(server, gap, time.Now()) })
 }
 
-// observeReport records the load of a server as reported by its agent, and migrates
+// report records the load of a server as reported by its agent, and migrates
 // streams off a server that slows down its group.
-func (d *dispatchers) observeReport(service, server string, report dispatch.Report) {
+func (d *dispatchers) report(service, server string, report dispatch.Report) {
 	d.withService(service, func(dispatcher *dispatcher) {
 		dispatcher.Report(server, report, time.Now())
 		if len(dispatcher.migratableStreams[server]) > 0 && dispatcher.ShouldMigrateStreams(server, time.Now()) {
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -87,7 +87,7 @@
 	for name := range snapshot.Config.Services {
 		for _, candidate := range snapshot.Candidates(name) {
 			if candidate.Address == report.Server {
-				g.dispatchers.observeReport(name, candidate.ID, dispatch.Report{
+				g.dispatchers.report(name, candidate.ID, dispatch.Report{
 					Queued: report.Queued, Active: report.Active, Open: report.Open, Pace: report.Pace,
 				})
 			}
--- a/server/gateway/stream.go
+++ b/server/gateway/stream.go
@@ -56,7 +56,7 @@
 		if lastAt.IsZero() {
 			c.gateway.dispatchers.observeFirstEvent(service, server)
 		} else {
-			c.gateway.dispatchers.observeGap(service, server, now.Sub(lastAt))
+			c.gateway.dispatchers.gap(service, server, now.Sub(lastAt))
 			c.longestEventGap = max(c.longestEventGap, now.Sub(lastAt))
 		}
 		lastAt = now
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -34,12 +34,12 @@
 
 	orders chan expertmap.Forward // Orders for the engine, processed one at a time.
 
-	mu         sync.Mutex
-	lastTicket uint64
-	pendingOrders    map[uint64]chan answer
-	plannedMap planner.Placement // Written to the object store when the change begins.
-	latestLoaded     loadedMap
-	loadingID  expertmap.ID
+	mu            sync.Mutex
+	lastTicket    uint64
+	pendingOrders map[uint64]chan answer
+	plannedMap    planner.Placement // Written to the object store when the change begins.
+	latestLoaded  loadedMap
+	loadingID     expertmap.ID
 
 	plannerState       planner.State // Used by the planning goroutine only, like decisionRecordedAt.
 	decisionRecordedAt time.Time
@@ -50,7 +50,7 @@
 func New(n *node.Node, engine ports.RankEngine) *Group {
 	g := &Group{
 		node: n, engine: engine,
-		orders:  make(chan expertmap.Forward, orderQueueLength),
+		orders:        make(chan expertmap.Forward, orderQueueLength),
 		pendingOrders: map[uint64]chan answer{},
 	}
 	n.AddExecutor(g.execute)
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -28,10 +28,10 @@
 
 // answer is the outcome of an order.
 type answer struct {
-	state   expertmap.EngineState
-	isRefused bool
-	highestSeen    expertmap.Number
-	err     error
+	state       expertmap.EngineState
+	isRefused   bool
+	highestSeen expertmap.Number
+	err         error
 }
 
 // receiver is the RPC receiver for the coordinator's orders.
--- a/server/loadreport/loadreport.go
+++ b/server/loadreport/loadreport.go
@@ -107,15 +107,15 @@
 func (p *Publisher) activeSubscribers() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var active []netip.AddrPort
+	var activeSubscribers []netip.AddrPort
 	for address, renewedAt := range p.subscribers {
 		if time.Since(renewedAt) > subscriptionTTL {
 			delete(p.subscribers, address)
 			continue
 		}
-		active = append(active, address)
+		activeSubscribers = append(activeSubscribers, address)
 	}
-	return active
+	return activeSubscribers
 }
 
 // Subscriber receives reports at an entry.
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -70,10 +70,10 @@
 	addresses    map[int]Member       // Ranks of the current epoch.
 	foreignSince map[string]time.Time // When members last reported another group, by server.
 
-	nextUnknown     int // Index of the listed member at which the search for unknown members continues.
-	epoch           int64
-	lastRemoteListsReadAt   time.Time // When an engine's lists were last read from another machine.
-	latestPrepareOrder GiveArgs  // The latest prepare order, as changes.
+	nextUnknown           int // Index of the listed member at which the search for unknown members continues.
+	epoch                 int64
+	lastRemoteListsReadAt time.Time // When an engine's lists were last read from another machine.
+	latestPrepareOrder    GiveArgs  // The latest prepare order, as changes.
 }
 
 // Member is a backend server of the service and the agent beside it.
@@ -84,11 +84,11 @@
 
 // view is the part of the control state that the planner and the reader use.
 type view struct {
-	Phase   mapswitch.Phase
-	Epoch   int64
-	Size    int
-	CurrentMap mapswitch.Map
-	NeedsLists   bool
+	Phase         mapswitch.Phase
+	Epoch         int64
+	Size          int
+	Current       mapswitch.Map
+	MustReadLists bool
 
 	Slowness []float64 // By rank, as reported.
 	Requests int       // At all ranks, including queued ones.
@@ -116,7 +116,7 @@
 	defer c.stop()
 	c.addresses, c.foreignSince = map[int]Member{}, map[string]time.Time{}
 	c.loop = loop.New(mapswitch.Step, func(s mapswitch.State) view {
-		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, CurrentMap: s.Current, NeedsLists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
+		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.Current, MustReadLists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
 	}, func(effect reduce.Effect) { c.execute(ctx, effect) }, nil)
 	go c.readAll(ctx)
 	go c.planner.run(ctx, c.loop)
@@ -130,7 +130,7 @@
 	var countsAt time.Time
 	firstCounted := 0 // Index of the first rank whose counts are read.
 	for ctx.Err() == nil {
-		interval, now := readInterval, view{NeedsLists: true}
+		interval, now := readInterval, view{MustReadLists: true}
 		if known := c.loop.View(); known != nil {
 			now = *known
 		}
@@ -144,7 +144,7 @@
 		members := c.membersToRead(now.Size)
 		for i, member := range members {
 			readCounts := countsDue && (i+len(members)-firstCounted)%len(members) < countedRanksPerRound
-			go c.read(ctx, member, now.NeedsLists, readCounts)
+			go c.read(ctx, member, now.MustReadLists, readCounts)
 		}
 		if countsDue && len(members) > 0 {
 			firstCounted = (firstCounted + countedRanksPerRound) % len(members)
@@ -283,7 +283,7 @@
 		member, ok := c.member(effect.Rank)
 		through, okThrough := c.member(effect.Through)
 		if ok && okThrough {
-			go c.give(ctx, member, through, effect)
+			go c.sendOrder(ctx, member, through, effect)
 		}
 	case mapswitch.ReadRank:
 		if member, ok := c.member(effect.Rank); ok {
@@ -301,16 +301,16 @@
 	}
 }
 
-// give passes an order to a rank through an agent. If the agent is unreachable, orders
+// sendOrder passes an order to a rank through an agent. If the agent is unreachable, orders
 // to prepare, arm or disarm go directly to the engine. Holds are set and released only
 // through an agent, which refuses a superseded coordinator.
-func (c *coordinator) give(ctx context.Context, member, through Member, send mapswitch.SendOrder) {
-	requestedAt, order := time.Now(), send.Order
-	returned := mapswitch.OrderReturned{Rank: send.Rank, Kind: order.Kind}
+func (c *coordinator) sendOrder(ctx context.Context, member, through Member, sendOrder mapswitch.SendOrder) {
+	requestedAt, order := time.Now(), sendOrder.Order
+	returned := mapswitch.OrderReturned{Rank: sendOrder.Rank, Kind: order.Kind}
 	read := mapswitch.RankRead{RequestedAt: requestedAt}
 	defer func() { c.loop.Post(returned) }()
 	var reply GiveReply
-	if err := c.giveThroughAgent(ctx, member, through, send, &reply); err != nil {
+	if err := c.giveThroughAgent(ctx, member, through, sendOrder, &reply); err != nil {
 		if c.stopIfFenced(err) || order.Kind == topology.Hold || order.Kind == topology.Release {
 			c.logOrderFailure(member, order, err.Error())
 			return
@@ -337,16 +337,16 @@
 
 // giveThroughAgent passes an order to a rank's agent. A prepare order carries only the
 // changes to the map in use, unless the agent doesn't have that map.
-func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, send mapswitch.SendOrder, reply *GiveReply) error {
-	wholeOrder := GiveArgs{Caller: c.caller(), Order: send.Order}
+func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, sendOrder mapswitch.SendOrder, reply *GiveReply) error {
+	wholeOrder := GiveArgs{Caller: c.caller(), Order: sendOrder.Order}
 	if through != member {
 		wholeOrder.Server = member.Server
 		return c.call(ctx, through.Agent, methodGive, wholeOrder, reply)
 	}
-	if send.BaseMap == nil {
+	if sendOrder.BaseMap == nil {
 		return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 	}
-	args := c.prepareOrderAsChanges(send)
+	args := c.prepareOrderAsChanges(sendOrder)
 	if !args.hasChanges() {
 		return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 	}
@@ -360,18 +360,18 @@
 // prepareOrderAsChanges returns the prepare order as changes to the map in use. The result is
 // reused for all ranks, which get the same order: comparing whole maps takes a large
 // part of a small machine's processor time.
-func (c *coordinator) prepareOrderAsChanges(send mapswitch.SendOrder) GiveArgs {
+func (c *coordinator) prepareOrderAsChanges(sendOrder mapswitch.SendOrder) GiveArgs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.latestPrepareOrder.Order
-	if known.Version == send.Order.Version && known.Epoch == send.Order.Epoch && c.latestPrepareOrder.Base == send.BaseVersion {
+	if known.Version == sendOrder.Order.Version && known.Epoch == sendOrder.Order.Epoch && c.latestPrepareOrder.Base == sendOrder.BaseVersion {
 		return c.latestPrepareOrder
 	}
 	args := GiveArgs{
-		Caller: c.caller(), Order: send.Order,
-		Base: send.BaseVersion, Changes: mapswitch.Changes(send.BaseMap, send.Order.Map),
+		Caller: c.caller(), Order: sendOrder.Order,
+		Base: sendOrder.BaseVersion, Changes: mapswitch.Changes(sendOrder.BaseMap, sendOrder.Order.Map),
 	}
-	args.InTurn, _ = mapswitch.DealtInTurn(send.BaseMap)
+	args.InTurn, _ = mapswitch.DealtInTurn(sendOrder.BaseMap)
 	args.Order.Map = nil
 	c.latestPrepareOrder = args
 	return args
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -106,7 +106,7 @@
 func (p *planner) plan(control *loop.Loop[mapswitch.State, view]) {
 	state := control.View()
 	engine := p.engine()
-	if state == nil || engine == nil || p.demand == nil || state.Phase != mapswitch.Idle || state.CurrentMap == nil {
+	if state == nil || engine == nil || p.demand == nil || state.Phase != mapswitch.Idle || state.Current == nil {
 		return
 	}
 	if p.planConsidered || p.demand.Choices() < minChoices || time.Since(p.lastPostedAt) < planHandoverTime {
@@ -117,7 +117,7 @@
 		Ranks: state.Size, Places: engine.Places, Experts: engine.Experts, NewPerSet: engine.NewPerSet,
 		Slowness: state.Slowness,
 	}
-	plan := hotexperts.DecideLeastAverageSkew(shape, state.CurrentMap, p.demand.Load(), copyBudget(engine), engine.CopyTime())
+	plan := hotexperts.DecideLeastAverageSkew(shape, state.Current, p.demand.Load(), copyBudget(engine), engine.CopyTime())
 	p.metrics.skew.Set(plan.SkewBefore)
 	if !plan.IsWorthwhile(hotexperts.Costs{CopyTime: engine.CopyTime(), ExpertTimeShare: expertPassShare, Occupancy: state.slotUtilization(engine)}) {
 		return
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -91,8 +91,8 @@
 	mu           sync.Mutex
 	fence        uint64 // The highest fencing number seen.
 	lastCallAt   time.Time
-	lastCounts       topology.RankCounts // As last read.
-	lastCountsReadAt time.Time
+	counts       topology.RankCounts // As last read.
+	countsReadAt time.Time
 	maps         map[int64]mapswitch.Map // By version; at most two: the latest prepared map and the base of its changes.
 }
 
@@ -125,8 +125,8 @@
 func (r *Rank) countGains(counts topology.RankCounts) ([]byte, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before, elapsed := r.lastCounts, time.Since(r.lastCountsReadAt)
-	r.lastCounts, r.lastCountsReadAt = counts, time.Now()
+	before, elapsed := r.counts, time.Since(r.countsReadAt)
+	r.counts, r.countsReadAt = counts, time.Now()
 	if before.Counts == nil || before.Epoch != counts.Epoch {
 		return nil, 0
 	}
--- a/server/stream/codec.go
+++ b/server/stream/codec.go
@@ -16,7 +16,7 @@
 	fromPrefix   = `,"from":`
 	tokensPrefix = `,"tokens":`
 	textPrefix   = `,"text":"`
-	textSuffix  = `"}`
+	textSuffix   = `"}`
 )
 
 // AppendString appends the text as a JSON string.
