--- a/server/deployed/entry.go
+++ b/server/deployed/entry.go
@@ -130,9 +130,9 @@
 	case <-stop:
 		return nil
 	}
-	end := time.Now().Add(e.settings.Grace - graceMargin)
+	end := time.Now().Add(e.settings.GracePeriod - graceMargin)
 	e.draining.Store(true)
-	logevent.Write(e.log, logevent.ProcessLeaving, logrus.Fields{"grace_ms": e.settings.Grace.Milliseconds()})
+	logevent.Write(e.log, logevent.ProcessLeaving, logrus.Fields{"grace_ms": e.settings.GracePeriod.Milliseconds()})
 	callers.SetKeepAlivesEnabled(false)
 	wait.For(context.Background(), readinessLag)
 	closing, cancel := context.WithDeadline(context.Background(), end)
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -251,9 +251,9 @@
 	}
 	c.possibleExecutions++
 	c.gateway.dispatchers.observeAccepted(service)
-	if decoded.Encoded || !decoded.Stamped {
+	if decoded.HasContentEncoding || !decoded.Stamped {
 		exchange.Abort()
-		return dispatch.Failed, result.Errorf(result.BackendFailed, "invalid answer: status %d, stamped %t, encoded %t", exchange.Response.StatusCode, decoded.Stamped, decoded.Encoded)
+		return dispatch.Failed, result.Errorf(result.BackendFailed, "invalid answer: status %d, stamped %t, encoded %t", exchange.Response.StatusCode, decoded.Stamped, decoded.HasContentEncoding)
 	}
 	if c.route.Kind == topology.Stream && exchange.Response.StatusCode < http.StatusMultipleChoices {
 		return c.relayStream(ctx, service, server.ID, exchange)
