--- a/server/deployed/agent.go
+++ b/server/deployed/agent.go
@@ -28,7 +28,7 @@
 	log      *logrus.Entry
 	registry *prometheus.Registry
 	store    *platform.Store
-	follower atomic.Pointer[follower] // Set each time the agent becomes coordinator; nil before the first time.
+	follower atomic.Pointer[follower] // Replaced each time the agent becomes coordinator; nil before the first time.
 }
 
 // NewAgent returns an agent that is not running yet.
--- a/server/deployed/entry.go
+++ b/server/deployed/entry.go
@@ -30,8 +30,8 @@
 	// requests in flight ends.
 	graceMargin = 200 * time.Millisecond
 
-	headerTimeout  = 3 * time.Second  // The users' configurations set the same value.
-	idleTimeout    = 60 * time.Second // Longer than the users' callers reuse a connection.
+	headerTimeout  = 3 * time.Second  // Time to receive a request's headers; the users' configurations set the same value.
+	idleTimeout    = 60 * time.Second // How long an idle connection is kept; longer than the users' callers reuse a connection.
 	maxHeaderBytes = 64 << 10         // Above the users' limit, which nothing in front of the entry checks.
 )
 
@@ -42,7 +42,7 @@
 	gateway  *gateway.Gateway
 	follower *follower
 	registry *prometheus.Registry
-	draining atomic.Bool
+	draining atomic.Bool // The process is stopping and reports that it is not ready.
 }
 
 // NewEntry returns an entry that is not running yet.
@@ -113,6 +113,7 @@
 	return addresses
 }
 
+// serveReady answers the readiness checks of the platform's balancer.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if e.draining.Load() || !e.gateway.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/server/deployed/serve.go
+++ b/server/deployed/serve.go
@@ -36,12 +36,14 @@
 	})
 }
 
+// newRegistry returns a metrics registry with the metrics of the Go runtime.
 func newRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
 	return registry
 }
 
+// metricsHandler serves the registry's metrics at metricsPath.
 func metricsHandler(registry *prometheus.Registry) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(metricsPath, promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
--- a/server/deployed/topology.go
+++ b/server/deployed/topology.go
@@ -18,13 +18,15 @@
 )
 
 const (
-	// tickInterval is how often the control state checks its timeouts.
+	// tickInterval is how often the topology state checks its timeouts.
 	tickInterval = 100 * time.Millisecond
-	// entryBatchDelay is short compared with 2 s, the shortest time within which a change
+	// entryBatchDelay is how long an entry collects further changes of a table after a
+	// change. It is short compared with 2 s, the shortest time within which a change
 	// must be in force.
 	entryBatchDelay = 150 * time.Millisecond
-	// agentBatchDelay may be longer, since agents only read the members of their group and
-	// the engine model.
+	// agentBatchDelay is how long an agent collects further changes of a table after a
+	// change. It may be longer than an entry's, since agents only read the members of
+	// their group and the engine model.
 	agentBatchDelay = time.Second
 )
 
@@ -71,6 +73,7 @@
 	return f.loop.Run(ctx, topology.New(), tickInterval)
 }
 
+// execute logs a change of the topology.
 func (f *follower) execute(effect reduce.Effect) {
 	change, ok := effect.(topology.Change)
 	if !ok {
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	notReadyRetryAfter  = 500 * time.Millisecond // Longer than a restarted entry takes to read its tables.
-	defaultMaxBodyBytes = 4 << 20                // Used if the configuration sets no limit.
+	notReadyRetryAfter  = 500 * time.Millisecond // Retry-After while not ready; longer than a restarted entry takes to read its tables.
+	defaultMaxBodyBytes = 4 << 20                // Largest request body if the configuration sets no limit.
 	// groupClosedRetryAfter is the Retry-After sent to callers whose group accepts
 	// no work: a rank that was cut off is back after some seconds.
 	groupClosedRetryAfter = 2 * time.Second
@@ -30,8 +30,8 @@
 	maxSends = 5
 
 	// A caller gives up on a stream after the longest of three periods without an
-	// event: minStreamTimeout, or a multiple of the route's objective or of its
-	// inter-token target.
+	// event: minStreamTimeout, objectiveTimeoutFactor times the route's latency
+	// objective, or interTokenTimeoutFactor times its inter-token target.
 	minStreamTimeout        = 2 * time.Second
 	objectiveTimeoutFactor  = 4 // Multiple of the route's latency objective.
 	interTokenTimeoutFactor = 8 // Multiple of the route's inter-token target.
@@ -52,7 +52,7 @@
 	route    *topology.Route
 	body     []byte
 
-	organisation *topology.Organisation // Nil for public routes and if no organisations are configured.
+	organisation *topology.Organisation // The caller; nil for public routes and if no organisations are configured.
 	deadline     time.Time              // The caller's deadline or the end of the route's timeout, whichever is sooner.
 
 	sends                 int    // Attempts that reached a connection.
@@ -66,8 +66,8 @@
 	relayedEvents         int
 	firstByteAt           time.Time
 	predictedFirstEventAt time.Time     // Predicted time of the first event; zero for no prediction.
-	longestEventGap       time.Duration // Between two events from one server.
-	fallbackAnswer        *answer       // A server's error response, delivered unless a retry succeeds.
+	longestEventGap       time.Duration // Longest time between two events from one server.
+	fallbackAnswer        *answer       // A server's error response, sent to the caller unless a retry succeeds.
 }
 
 // answer is a backend server's complete answer.
@@ -129,7 +129,8 @@
 	return reason == ""
 }
 
-// resumable reports whether a started stream may be continued by another server.
+// resumable reports whether another server may continue the stream after it has
+// started.
 func (c *call) resumable() bool {
 	return c.route.Kind == topology.Stream && c.route.Resumable
 }
@@ -178,6 +179,8 @@
 	return failure
 }
 
+// ticket returns the description of the request by which the dispatcher queues it and
+// assigns it to a server.
 func (c *call) ticket() dispatch.Ticket {
 	priority := c.route.Priority
 	if c.organisation != nil && c.organisation.HasPriority {
@@ -224,7 +227,7 @@
 	return c.send(ctx, service, server)
 }
 
-// send sends the request and relays the answer.
+// send sends the request to the server and relays the answer to the caller.
 func (c *call) send(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
 	conn, err := c.gateway.pool.Get(ctx, upstream.Target{
 		Address: server.Address, NonRepeatable: !c.route.Repeatable(),
@@ -261,6 +264,8 @@
 	return c.relayBuffered(ctx, exchange)
 }
 
+// forward returns the request to the server: the caller's request with the headers
+// that the gateway sets.
 func (c *call) forward(server topology.Candidate) upstream.Request {
 	forward := platform.ForwardOptions{Server: server.ID, Remaining: time.Until(c.deadline), LastEventID: c.lastEventID}
 	if c.organisation != nil {
@@ -290,6 +295,8 @@
 	}
 }
 
+// logDecision logs the dispatcher's decision, except for a plain request that is sent
+// at once.
 func (c *call) logDecision(decision dispatch.Decision) {
 	if decision.Verdict == dispatch.Go && c.sends == 0 && decision.Limit == 0 && c.route.Kind != topology.Stream {
 		return // A plain request sent at once; only its end is logged.
--- a/server/gateway/dispatchers.go
+++ b/server/gateway/dispatchers.go
@@ -14,11 +14,12 @@
 )
 
 // queuePollInterval is how often waiting requests are reconsidered, in addition to
-// the times at which slots become free. It is a fraction of a pass.
+// the times at which slots become free. It is a fraction of the duration of a pass.
 const queuePollInterval = 20 * time.Millisecond
 
 // dispatchers holds one dispatcher for each service, serializes the calls to it and
-// blocks requests until it has decided about them.
+// blocks requests until it has decided about them. A ticket represents a request that
+// needs a slot at a server of the service.
 type dispatchers struct {
 	warmUp dispatch.WarmUpLimit
 	log    *logrus.Entry
@@ -29,10 +30,11 @@
 	nextTicketID uint64
 }
 
+// dispatcher is the dispatcher of one service with the requests that wait for it.
 type dispatcher struct {
 	*dispatch.Dispatcher
 	waitingTickets    map[uint64]chan dispatch.Decision
-	migratableStreams map[string]map[*call]context.CancelCauseFunc // By server: cancels the exchange of a stream, so that it is migrated.
+	migratableStreams map[string]map[*call]context.CancelCauseFunc // By server; each function cancels the exchange of one stream, so that another server continues it.
 }
 
 func newDispatchers(warmUp dispatch.WarmUpLimit, log *logrus.Entry) *dispatchers {
@@ -115,8 +117,8 @@
 	return dispatch.Decision{}, ctx.Err()
 }
 
-// release frees a slot at the server. It reports whether the server's group is
-// closed for new work.
+// release frees the slot of a request at the server. It reports whether the server's
+// group is closed, that is, accepts no new work.
 func (d *dispatchers) release(service, server string, outcome dispatch.Outcome) (closed bool) {
 	d.withService(service, func(dispatcher *dispatcher) {
 		closed = dispatcher.Done(server, outcome, time.Now())
@@ -189,6 +191,8 @@
 	}
 }
 
+// withService calls update with the service's dispatcher, if there is one, under the
+// lock.
 func (d *dispatchers) withService(service string, update func(*dispatcher)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,8 +201,8 @@
 	}
 }
 
-// pollQueues reconsiders the waiting requests and looks for silent servers at each
-// interval until ctx ends.
+// pollQueues reconsiders the waiting requests, and migrates streams off servers that
+// send no events, at each queuePollInterval until ctx ends.
 func (d *dispatchers) pollQueues(ctx context.Context) {
 	ticker := time.NewTicker(queuePollInterval)
 	defer ticker.Stop()
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -1,6 +1,11 @@
 // Package gateway is the HTTP front end of an entry instance on the users'
 // platform: it chooses a backend server for each request, sends the request
 // directly to it and relays only complete answers and complete stream events.
+//
+// An attempt assigns a request to a backend server and sends it there. A retry budget,
+// a token bucket that every new request refills a little, limits the attempts that
+// follow any failure but a failed connection. The ranks of a model group compute
+// together in passes; some intervals are given relative to the duration of a pass.
 package gateway
 
 import (
@@ -26,13 +31,13 @@
 )
 
 const (
-	// assumedEntryCount is the number of entries among which shared limits are divided:
-	// a few more than the largest number of entries on today's machines, spares
-	// included.
+	// assumedEntryCount is the number of entries among which limits that all entries
+	// share are divided: a few more than the largest number of entries on today's
+	// machines, spares included.
 	assumedEntryCount = 8
-	// retryBudgetShare is the share of the allowed retries that entries use. The rest
-	// covers arrivals that the entries don't count, such as requests that are sent
-	// again after a lost answer.
+	// retryBudgetShare is the share of the platform's retry limit that the entries'
+	// retry budgets use. The rest covers arrivals that the entries don't count, such as
+	// requests that are sent again after a lost answer.
 	retryBudgetShare = 0.6
 	// defaultDeadline applies to requests without a deadline header.
 	defaultDeadline = 30 * time.Second
@@ -47,7 +52,7 @@
 	metrics     *Metrics
 
 	mu     sync.Mutex
-	budget retry.Budget
+	budget retry.Budget // Bounds the retries of this entry.
 }
 
 // New returns a gateway without a snapshot, which refuses all requests until Install
@@ -101,6 +106,8 @@
 	g.dispatchers.pollQueues(ctx)
 }
 
+// closeIdle closes idle connections that have expired or lead to servers that get no
+// requests, once per second until ctx ends.
 func (g *Gateway) closeIdle(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -147,7 +154,8 @@
 	call.run()
 }
 
-// authorize finds the request's route and organisation.
+// authorize finds the request's route and organisation and sets its deadline. It
+// returns the reason for a refusal, or nil.
 func (c *call) authorize(snapshot *topology.Snapshot) *result.Error {
 	if snapshot == nil || !snapshot.Ready {
 		refusal := result.Errorf(result.NotReady, "no configuration or no list of backend servers has been read yet")
@@ -177,7 +185,8 @@
 	return nil
 }
 
-// readBody reads the whole body, up to the configured limit.
+// readBody reads the whole request body. It returns an error for a body that exceeds
+// the configured limit.
 func (c *call) readBody() *result.Error {
 	limit := c.snapshot.Config.Limits.BodyBytes
 	if limit <= 0 {
@@ -201,7 +210,7 @@
 	return nil
 }
 
-// spendRetryBudget takes one retry out of the budget. It reports false if the
+// spendRetryBudget takes one retry out of the retry budget. It returns false if the
 // budget is used up.
 func (g *Gateway) spendRetryBudget() bool {
 	g.mu.Lock()
@@ -211,7 +220,8 @@
 	return ok
 }
 
-// creditRetryBudget adds the share of one new request to the budget.
+// creditRetryBudget adds to the retry budget the fraction of a retry that each new
+// request allows.
 func (g *Gateway) creditRetryBudget() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/server/gateway/metrics.go
+++ b/server/gateway/metrics.go
@@ -15,11 +15,11 @@
 
 // Metrics holds the gateway's request metrics.
 type Metrics struct {
-	requests    *prometheus.CounterVec
-	duration    prometheus.Histogram
-	firstAnswer prometheus.Histogram
+	requests    *prometheus.CounterVec // Ended requests, by result code.
+	duration    prometheus.Histogram   // Time to the end of the answer.
+	firstAnswer prometheus.Histogram   // Time to the first byte of the answer.
 
-	predictionError prometheus.Histogram
+	predictionError prometheus.Histogram // Difference between the predicted and the actual time of a stream's first event.
 }
 
 // NewMetrics registers the gateway's metrics.
--- a/server/gateway/stream.go
+++ b/server/gateway/stream.go
@@ -29,8 +29,9 @@
 	errTruncatedEvent = errors.New("stream ended in the middle of an event")
 )
 
-// relayStream relays complete events as they arrive. A stream that another server
-// continues keeps the status and headers of its first answer.
+// relayStream relays complete events of a server's stream to the caller as they
+// arrive. A stream that another server continues keeps the status and headers of the
+// first server's answer.
 func (c *call) relayStream(ctx context.Context, service, server string, exchange *upstream.Exchange) (dispatch.Outcome, *result.Error) {
 	reader := bufio.NewReader(exchange.Response.Body)
 	var lastAt time.Time
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// startStream sends the status and headers of the first answer to the caller.
+// startStream sends the status and headers of the first server's answer to the caller.
 func (c *call) startStream(response *http.Response) {
 	if c.responseStarted {
 		return
@@ -90,6 +91,7 @@
 	c.writer.WriteHeader(response.StatusCode)
 }
 
+// relayEvent sends one event to the caller at once.
 func (c *call) relayEvent(event []byte, id string) {
 	c.write(event)
 	if err := http.NewResponseController(c.writer).Flush(); err != nil {
--- a/server/group/decision.go
+++ b/server/group/decision.go
@@ -21,11 +21,11 @@
 type Decision struct {
 	At         time.Time `json:"at"`
 	Group      string    `json:"group"`
-	Map        string    `json:"map"` // In force at the time of the decision.
+	Map        string    `json:"map"` // ID of the map in force at the time of the decision.
 	Reason     string    `json:"reason"`
 	Moves      int       `json:"moves"`
-	SkewBefore float64   `json:"skew_before"` // Forecast.
-	SkewAfter  float64   `json:"skew_after"`  // Forecast.
+	SkewBefore float64   `json:"skew_before"` // Forecast skew of the load with the map in force.
+	SkewAfter  float64   `json:"skew_after"`  // Forecast skew of the load after the moves.
 }
 
 // DecisionKey returns the key of the row in the table service that holds a
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -23,11 +23,15 @@
 )
 
 const (
-	callTimeout   = 2 * time.Second
+	// callTimeout bounds a call to the table service, the object store, another agent
+	// or the engine.
+	callTimeout = 2 * time.Second
+	// weightTimeout bounds loading a rank's weights for one map.
 	weightTimeout = 9 * time.Minute
 )
 
-// Group carries out the expert map decisions of one agent in its group.
+// Group carries out the expert map decisions of one agent in its group. A ticket
+// identifies a received order whose RPC call waits for the outcome.
 type Group struct {
 	node   *node.Node
 	engine ports.RankEngine
@@ -36,8 +40,8 @@
 
 	mu            sync.Mutex
 	lastTicket    uint64
-	pendingOrders map[uint64]chan answer
-	plannedMap    planner.Placement // Written to the object store when the change begins.
+	pendingOrders map[uint64]chan answer // Received orders that have no outcome yet, by ticket.
+	plannedMap    planner.Placement      // Written to the object store when the change begins.
 	latestLoaded  loadedMap
 	loadingID     expertmap.ID
 
@@ -92,6 +96,7 @@
 	return true
 }
 
+// logNotice logs a change of phase, or the ranks for which the change waits.
 func (g *Group) logNotice(n expertmap.Notice) {
 	event := logevent.MapPhase
 	if len(n.Ranks) > 0 {
@@ -113,7 +118,7 @@
 }
 
 // storeMap writes the planned map to the object store under the change's ID.
-// Ranks retry until it is there.
+// Until the map is there, the ranks fail to read it and try again.
 func (g *Group) storeMap(ctx context.Context, id expertmap.ID) {
 	g.mu.Lock()
 	placement := g.plannedMap
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -26,7 +26,7 @@
 	body []byte
 }
 
-// answer is the outcome of an order.
+// answer is the outcome of a received order, with which its RPC call returns.
 type answer struct {
 	state       expertmap.EngineState
 	isRefused   bool
@@ -48,6 +48,8 @@
 	return result.err
 }
 
+// registerOrder returns a new ticket and the channel that receives the outcome of its
+// order.
 func (g *Group) registerOrder() (uint64, <-chan answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -57,6 +59,7 @@
 	return g.lastTicket, done
 }
 
+// answer delivers the outcome of the ticket's order to its waiting RPC call.
 func (g *Group) answer(ticket uint64, a answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,6 +69,8 @@
 	}
 }
 
+// enqueueOrder queues the order for the engine. It fails the order if the queue is
+// full.
 func (g *Group) enqueueOrder(forward expertmap.Forward) {
 	select {
 	case g.orders <- forward:
@@ -84,6 +89,8 @@
 	g.answer(forward.Ticket, answer{state: state, err: err})
 }
 
+// sendToEngine sends the order to the engine, with the map that the order needs, and
+// returns the engine's state after it.
 func (g *Group) sendToEngine(ctx context.Context, order expertmap.Order) (expertmap.EngineState, error) {
 	request := ports.RankOrder{Fence: order.Number.EngineFence(), Order: order}
 	if id, needs := requiredMap(order); needs {
@@ -111,8 +118,8 @@
 }
 
 // mapWithWeights returns the map once the rank's weights are loaded. Until then
-// it returns an error and loads them in the background, while other orders go
-// on; the coordinator retries.
+// it returns an error and loads them in the background, so that other orders are not
+// delayed; the coordinator retries.
 func (g *Group) mapWithWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -126,6 +133,8 @@
 	return nil, fmt.Errorf("weights of map %s are loading", id)
 }
 
+// loadWeights loads the map and the rank's weights for it. It keeps the result unless
+// another map has been asked for meanwhile.
 func (g *Group) loadWeights(ctx context.Context, id expertmap.ID) {
 	body, err := g.loadMapAndWeights(ctx, id)
 	if err != nil {
--- a/server/group/plan.go
+++ b/server/group/plan.go
@@ -14,12 +14,12 @@
 
 const (
 	planInterval    = time.Second
-	secondsPerStep  = 0.027
-	expertTimeShare = 0.6 // Share of a step's time that the experts take.
-	moveSeconds     = 0.44e-3
-	switchSeconds   = 1e-3
-	horizonSteps    = 66000
-	maxMoves        = 13500
+	secondsPerStep  = 0.027   // Duration of one step of the engines.
+	expertTimeShare = 0.6     // Share of a step's time that the experts take.
+	moveSeconds     = 0.44e-3 // Delay of the steps caused by loading one expert.
+	switchSeconds   = 1e-3    // Time that a change of the map takes.
+	horizonSteps    = 66000   // Steps for which the demand forecast is assumed to hold.
+	maxMoves        = 13500   // Most experts that the weight store can deliver until the next plan.
 )
 
 // runPlanner reads the engine's report periodically, and plans while this agent
@@ -37,6 +37,8 @@
 	}
 }
 
+// planOnce reads the engine's report and, if this agent is the coordinator and no
+// change is in progress, plans a new map.
 func (g *Group) planOnce(ctx context.Context) {
 	member := g.node.State().Member
 	if member.Group == "" {
@@ -69,6 +71,7 @@
 	}
 }
 
+// propose keeps the planned map and asks the control loop to change to it.
 func (g *Group) propose(placement planner.Placement, reason string) {
 	g.mu.Lock()
 	g.plannedMap = placement
@@ -89,6 +92,7 @@
 	return planner.Recompute(shape, load, nil)
 }
 
+// costs returns the costs of steps and moves for the group's reported size and load.
 func costs(report ports.RankReport) planner.Costs {
 	var total float64
 	for _, layer := range report.Popularity {
--- a/server/group/table.go
+++ b/server/group/table.go
@@ -10,6 +10,8 @@
 	"persimmonwind.dev/server/ports"
 )
 
+// leaseKey and recordKey return the keys of the group's rows in the table service:
+// the lease and the record of the map changes.
 func (g *Group) leaseKey() string  { return "groups/" + g.name() + "/lease" }
 func (g *Group) recordKey() string { return "groups/" + g.name() + "/record" }
 
@@ -33,6 +35,8 @@
 	return true
 }
 
+// read reads a row and posts the event that is made from it, or failed if the row
+// can't be read or decoded.
 func (g *Group) read(ctx context.Context, key string, failed reduce.Event, event func(ports.Row) (reduce.Event, error)) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -66,6 +70,8 @@
 	return expertmap.RecordRead{Record: value, Version: row.Version}, err
 }
 
+// decode decodes the row's value. A row that does not exist leaves the value
+// unchanged.
 func decode(row ports.Row, value any) error {
 	if row.Version == 0 {
 		return nil
--- a/server/loadreport/loadreport.go
+++ b/server/loadreport/loadreport.go
@@ -1,7 +1,7 @@
 // Package loadreport sends the load of backend servers from the agents on their
 // machines to the entries, in small datagrams: an entry subscribes at an agent,
-// and the agent sends reports until the subscription expires. The next datagram
-// makes up for a lost one.
+// and the agent sends reports until the subscription expires. A lost datagram is not
+// sent again, since the next one replaces it.
 package loadreport
 
 import (
@@ -18,7 +18,8 @@
 )
 
 const (
-	// reportInterval is how often an agent sends a report: about once per pass.
+	// reportInterval is how often an agent sends a report: about once per pass, the
+	// joint computation of all ranks of a model group.
 	reportInterval = 100 * time.Millisecond
 	// subscribeInterval is how often an entry renews its subscriptions.
 	subscribeInterval = time.Second
@@ -32,11 +33,11 @@
 
 // Report is the load of one backend server.
 type Report struct {
-	Server string // host:port.
-	Open   bool   // Its group accepts work.
-	Queued int
-	Active int
-	Pace   float64 // Above 1 for a slow server.
+	Server string  // host:port.
+	Open   bool    // The server's group accepts work.
+	Queued int     // Number of requests that wait at the server.
+	Active int     // Number of requests that run at the server.
+	Pace   float64 // Slowdown relative to a normal server; above 1 for a slow one.
 }
 
 // Publisher sends an agent's reports to its subscribers.
@@ -44,7 +45,7 @@
 	conn net.PacketConn
 
 	mu          sync.Mutex
-	subscribers map[netip.AddrPort]time.Time
+	subscribers map[netip.AddrPort]time.Time // When each subscription was last renewed.
 }
 
 // NewPublisher returns a publisher on the socket.
@@ -99,11 +100,13 @@
 		panic(fmt.Sprintf("encode load report: %v", err))
 	}
 	for _, address := range subscribers {
-		// The next report makes up for one that can't be sent.
+		// A report that can't be sent is replaced by the next one.
 		_, _ = p.conn.WriteTo(data, net.UDPAddrFromAddrPort(address))
 	}
 }
 
+// activeSubscribers removes expired subscriptions and returns the addresses of the
+// others.
 func (p *Publisher) activeSubscribers() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,6 +173,6 @@
 	if err != nil {
 		return // Not a valid address; the reader of the list has logged the row.
 	}
-	// The next subscription makes up for one that can't be sent.
+	// A subscription that can't be sent is replaced by its next renewal.
 	_, _ = s.conn.WriteTo([]byte{1}, net.UDPAddrFromAddrPort(address))
 }
--- a/server/mapcontrol/agent.go
+++ b/server/mapcontrol/agent.go
@@ -16,7 +16,8 @@
 
 const (
 	// coordinatorTimeout is how long an agent waits for a coordinator's call before it
-	// tries to acquire the lease: several rounds of reads.
+	// tries to acquire the lease. A coordinator reads every rank several times within
+	// it.
 	coordinatorTimeout = 700 * time.Millisecond
 	// rankStagger, times the rank's number, is added to coordinatorTimeout, so that the
 	// agents of a group don't all try to acquire the lease at once. A new coordinator
@@ -30,9 +31,9 @@
 
 // Metrics holds a coordinator's metrics.
 type Metrics struct {
-	phases *prometheus.CounterVec
-	skew   prometheus.Gauge
-	copies prometheus.Counter
+	phases *prometheus.CounterVec // Phases of map changes that were entered, by phase.
+	skew   prometheus.Gauge       // Load of the most loaded rank divided by the mean load.
+	copies prometheus.Counter     // Expert copies in planned map changes.
 }
 
 // NewMetrics registers a coordinator's metrics.
@@ -68,8 +69,8 @@
 	// FollowTopology keeps Members and EngineModel up to date until ctx ends. Only a
 	// coordinator needs them, and calls to the store are charged for.
 	FollowTopology func(ctx context.Context)
-	Members        func() []Member // Of the service, including those that are leaving.
-	EngineModel    func() *topology.Engine
+	Members        func() []Member         // Returns the members of the service, including those that are leaving.
+	EngineModel    func() *topology.Engine // Returns the cost model of the service's engines, nil while it is unknown.
 	Log            *logrus.Entry
 	Metrics        *Metrics
 
@@ -82,7 +83,8 @@
 	return rpc.Serve(listener, map[string]any{receiverName: a.rank}, a.Log)
 }
 
-// Prepare prepares the agent. It must be called before Serve and Run.
+// Prepare creates the agent's RPC receiver and connection pool. It must be called
+// before Serve and Run.
 func (a *Agent) Prepare() {
 	a.rank = NewRank(a.Engine, a.DirectEngine)
 	a.peers = rpc.NewPool(nil)
@@ -126,6 +128,8 @@
 	}
 }
 
+// coordinate changes the group's expert map until ctx ends or a newer coordinator has
+// called an agent.
 func (a *Agent) coordinate(ctx context.Context, state topology.RankState, fence uint64) {
 	c := &coordinator{
 		fence: fence, group: state.Group, members: a.Members, peers: a.peers, directEngine: a.DirectEngine, log: a.Log,
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -24,13 +24,15 @@
 	// callTimeout limits the time of one call to an agent, including the agent's calls
 	// to its engine.
 	callTimeout = 300 * time.Millisecond
-	// countedRanksPerRound is the number of ranks whose counts are read in one round.
+	// countedRanksPerRound is the number of ranks whose expert counts are read in one
+	// round of reads.
 	// Requests are spread evenly over all ranks, so a part of a large group shows the
 	// demand of the whole group, and the coordinator's network link has the bandwidth
 	// for that part.
 	countedRanksPerRound = 12
-	// remoteListsReadInterval is the shortest time between two reads of an engine's lists
-	// from another machine. Such a read makes the engine's group pause.
+	// remoteListsReadInterval is the shortest time between two reads of expert lists
+	// directly from engines on other machines. Such a read makes the engine's group
+	// pause.
 	remoteListsReadInterval = time.Second
 	// readInterval is how often every rank is read. The reads also show the agents
 	// that the coordinator is alive.
@@ -40,7 +42,7 @@
 	// no more calls per second than a smaller one.
 	changeReadIntervalPerRank = 2 * time.Millisecond
 	// foreignMemberTTL is how long a member that has reported another group is not read
-	// again; foreignMemberTTLWhileSearching is the same while ranks of the
+	// again, and foreignMemberTTLWhileSearching is how long while ranks of the
 	// coordinator's group are missing. Servers join other groups only when they
 	// restart, which takes seconds.
 	foreignMemberTTL               = 5 * time.Second
@@ -49,17 +51,19 @@
 	// large service has dozens of groups, each with a coordinator that searches for its
 	// ranks, and each read of another machine opens a connection.
 	maxUnknownReads = 128
-	// tickInterval is how often the coordinator checks for orders without effect.
+	// tickInterval is how often the coordinator checks for orders that have not taken
+	// effect and must be sent again.
 	tickInterval = 10 * time.Millisecond
 )
 
-// coordinator changes the expert map of one group under one lease.
+// coordinator changes the expert map of one group for the holder of the group's lease.
+// It stops when it learns of a newer coordinator.
 type coordinator struct {
-	fence        uint64
+	fence        uint64 // Fencing number of the lease.
 	group        string
-	members      func() []Member
-	peers        *rpc.Pool
-	directEngine func(address string) Engine
+	members      func() []Member             // Returns the listed members of the service, of all its groups.
+	peers        *rpc.Pool                   // Connections to the agents.
+	directEngine func(address string) Engine // Returns the client of an engine whose agent is unreachable.
 	log          *logrus.Entry
 	loop         *loop.Loop[mapswitch.State, view]
 	planner      *planner
@@ -67,13 +71,13 @@
 	metrics      *Metrics
 
 	mu           sync.Mutex
-	addresses    map[int]Member       // Ranks of the current epoch.
+	addresses    map[int]Member       // Members of the group in the current epoch, by rank.
 	foreignSince map[string]time.Time // When members last reported another group, by server.
 
 	nextUnknown           int // Index of the listed member at which the search for unknown members continues.
 	epoch                 int64
-	lastRemoteListsReadAt time.Time // When an engine's lists were last read from another machine.
-	latestPrepareOrder    GiveArgs  // The latest prepare order, as changes.
+	lastRemoteListsReadAt time.Time // When expert lists were last read directly from an engine on another machine.
+	latestPrepareOrder    GiveArgs  // The latest prepare order, with changes instead of a whole map.
 }
 
 // Member is a backend server of the service and the agent beside it.
@@ -86,12 +90,12 @@
 type view struct {
 	Phase         mapswitch.Phase
 	Epoch         int64
-	Size          int
-	Current       mapswitch.Map
-	MustReadLists bool
+	Size          int           // Number of ranks in the group.
+	Current       mapswitch.Map // The map in use; nil while it is unknown.
+	MustReadLists bool          // The expert lists of the ranks must be read.
 
-	Slowness []float64 // By rank, as reported.
-	Requests int       // At all ranks, including queued ones.
+	Slowness []float64 // Time of each rank for one unit of load, relative to a normal rank, as reported.
+	Requests int       // Number of requests at all ranks, including queued ones.
 }
 
 // slotUtilization returns the share of the group's request slots that are in use.
@@ -99,8 +103,9 @@
 	return float64(v.Requests) / float64(max(1, v.Size*engine.Slots))
 }
 
-// mayPauseForArming reports whether the group may soon pause until its ranks are armed.
-// Counts would then compete with the orders for the network link.
+// mayPauseForArming reports whether the group may soon pause until its ranks are armed,
+// that is, ordered to switch maps. Reads of expert counts would then compete with the
+// orders for the network link.
 func (v view) mayPauseForArming() bool {
 	switch v.Phase {
 	case mapswitch.Holding, mapswitch.Arming, mapswitch.Releasing:
@@ -124,11 +129,11 @@
 	_ = c.loop.Run(ctx, mapswitch.New(c.fence, ownRank), tickInterval)
 }
 
-// readAll reads the ranks and members of unknown groups at each interval until ctx
-// ends.
+// readAll reads all ranks of the group, and members whose group is unknown, at each
+// interval until ctx ends. The interval is shorter while a change is in progress.
 func (c *coordinator) readAll(ctx context.Context) {
 	var countsAt time.Time
-	firstCounted := 0 // Index of the first rank whose counts are read.
+	firstCounted := 0 // Index of the first member whose counts are read in the next round.
 	for ctx.Err() == nil {
 		interval, now := readInterval, view{MustReadLists: true}
 		if known := c.loop.View(); known != nil {
@@ -202,12 +207,13 @@
 		if c.stopIfFenced(err) || !readLists && !c.isRank(member) {
 			return
 		}
-		// Reading counts or lists from another machine makes the group pause.
+		// Reading counts or lists from another machine makes the group pause, so counts
+		// are left out and lists are read rarely.
 		reply, isDirect = ReadReply{}, true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		if err := readEngine(callCtx, c.directEngine(member.Server), readLists && c.allowRemoteLists(), &reply); err != nil {
-			return // A missing answer does not change the control state.
+			return // A read without an answer does not change the control state.
 		}
 	}
 	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: requestedAt, Direct: isDirect})
@@ -216,8 +222,8 @@
 	}
 }
 
-// allowRemoteLists reports whether an engine's lists may now be read from another
-// machine, and if so records the read.
+// allowRemoteLists reports whether expert lists may now be read directly from an
+// engine on another machine, and if so records the read.
 func (c *coordinator) allowRemoteLists() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,7 +234,9 @@
 	return true
 }
 
-// recordReport updates the known ranks from a report and posts it to the control loop.
+// recordReport updates the known ranks from a rank's report and posts the report to the
+// control loop. It only marks a member of another group as foreign, and ignores reports
+// of a group that is forming.
 func (c *coordinator) recordReport(member Member, read mapswitch.RankRead) {
 	state := read.State
 	if state.Group != "" && state.Group != c.group {
@@ -301,9 +309,11 @@
 	}
 }
 
-// sendOrder passes an order to a rank through an agent. If the agent is unreachable, orders
-// to prepare, arm or disarm go directly to the engine. Holds are set and released only
-// through an agent, which refuses a superseded coordinator.
+// sendOrder sends an order to the engine of the rank member. The agent of the member
+// through passes it on: the rank's own agent, or another rank's for a hold. If that
+// agent is unreachable, orders to prepare, arm or disarm go directly to the engine.
+// Holds are set and released only through an agent, which refuses a superseded
+// coordinator.
 func (c *coordinator) sendOrder(ctx context.Context, member, through Member, sendOrder mapswitch.SendOrder) {
 	requestedAt, order := time.Now(), sendOrder.Order
 	returned := mapswitch.OrderReturned{Rank: sendOrder.Rank, Kind: order.Kind}
@@ -335,8 +345,8 @@
 	c.recordReport(member, read)
 }
 
-// giveThroughAgent passes an order to a rank's agent. A prepare order carries only the
-// changes to the map in use, unless the agent doesn't have that map.
+// giveThroughAgent sends an order to an agent. A prepare order carries only the changes
+// to the map in use, unless the agent doesn't have that map.
 func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, sendOrder mapswitch.SendOrder, reply *GiveReply) error {
 	wholeOrder := GiveArgs{Caller: c.caller(), Order: sendOrder.Order}
 	if through != member {
@@ -357,9 +367,9 @@
 	return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 }
 
-// prepareOrderAsChanges returns the prepare order as changes to the map in use. The result is
-// reused for all ranks, which get the same order: comparing whole maps takes a large
-// part of a small machine's processor time.
+// prepareOrderAsChanges returns the prepare order with changes to the map in use instead
+// of a whole map. The result is reused for all ranks, which get the same order:
+// comparing whole maps takes a large part of a small machine's processor time.
 func (c *coordinator) prepareOrderAsChanges(sendOrder mapswitch.SendOrder) GiveArgs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/server/mapcontrol/lease.go
+++ b/server/mapcontrol/lease.go
@@ -10,8 +10,8 @@
 	"persimmonwind.dev/platform"
 )
 
-// leaseTable has one row for each group, which names the coordinator of its expert
-// map.
+// leaseTable has one row for each group, the lease. Its holder is the coordinator of
+// the group's expert map, and its fencing number grows with each acquisition.
 const leaseTable = "map_leases"
 
 // maxFirstCallDelay is the longest time from acquiring the lease until the new
@@ -31,9 +31,9 @@
 // leaseRow is the value of a lease's row. It is written only when the lease is
 // acquired and not renewed: the holder's calls to the agents show that it is alive.
 type leaseRow struct {
-	Holder  string `json:"holder"`
-	Fence   uint64 `json:"fence"`
-	TakenMS int64  `json:"taken_ms"` // Monotonic time of the store, as read before the write.
+	Holder  string `json:"holder"`   // Name of the instance that acquired the lease.
+	Fence   uint64 `json:"fence"`    // Fencing number of this acquisition.
+	TakenMS int64  `json:"taken_ms"` // Monotonic time of the store when the lease was acquired, as read before the write.
 }
 
 // recentlyAcquired reports whether another agent acquired the lease so shortly before
@@ -71,7 +71,8 @@
 		return 0, errLeaseLost
 	}
 	if err != nil {
-		// The write may have taken effect; the number is not used again in either case.
+		// The write may have taken effect; the fencing number is not used again in
+		// either case.
 		return 0, fmt.Errorf("write lease: %w", err)
 	}
 	return next.Fence, nil
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -16,7 +16,7 @@
 
 const (
 	// planInterval is how often a new map is considered while no change is in
-	// progress: a fraction of a pass.
+	// progress. It is a fraction of the duration of a pass.
 	planInterval = 20 * time.Millisecond
 	// copyTimeBudget limits the time that a rank copies experts for one change, so
 	// that several changes fit between two jumps of demand.
@@ -24,15 +24,15 @@
 	// maxCopies limits the number of experts that one change copies to a rank: more
 	// are never worth waiting for, and considering them takes the planner's time.
 	maxCopies = 4
-	// planHandoverTime is the time in which the control goroutine starts to act on a
-	// posted plan.
+	// planHandoverTime is the shortest time between two posted plans. Within it the
+	// control goroutine starts to act on a posted plan.
 	planHandoverTime = 60 * time.Millisecond
 	// expertPassShare is the share of a busy group's pass that is spent on experts: a
 	// step of the users' engines takes 4.8 ms of other work and 3 to 5 ms of token
 	// work, most of which is done by experts.
 	expertPassShare = 0.4
-	// minChoices is the number of observed expert choices below which a demand
-	// forecast is noise.
+	// minChoices is the number of observed expert choices below which a forecast of
+	// the demand for experts is noise.
 	minChoices = 2000
 )
 
@@ -42,18 +42,18 @@
 	engine  func() *topology.Engine
 	log     *logrus.Entry
 	group   string
-	gains   chan rankGains
+	gains   chan rankGains // Queue of gains that the forecast does not include yet.
 	metrics *Metrics
 
-	demand         *hotexperts.Demand
-	lastPostedAt   time.Time // When the latest plan was posted to the control loop.
-	planConsidered bool      // A plan was considered for the current demand.
+	demand         *hotexperts.Demand // Forecast of the demand; nil before the first gains.
+	lastPostedAt   time.Time          // When the latest plan was posted to the control loop.
+	planConsidered bool               // A plan was considered for the current forecast.
 }
 
-// rankGains is the increase of one rank's counts over a period.
+// rankGains is the increase of one rank's expert counts over a period.
 type rankGains struct {
-	packed  []byte
-	elapsed time.Duration
+	packed  []byte        // In the encoding of hotexperts.PackCounts.
+	elapsed time.Duration // Length of the period.
 }
 
 func newPlanner(engine func() *topology.Engine, group string, log *logrus.Entry, metrics *Metrics) *planner {
@@ -70,6 +70,7 @@
 	}
 }
 
+// run applies queued gains and plans at each planInterval until ctx ends.
 func (p *planner) run(ctx context.Context, control *loop.Loop[mapswitch.State, view]) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -85,6 +86,7 @@
 	}
 }
 
+// applyGains updates the demand forecast with the gains of one rank.
 func (p *planner) applyGains(gains rankGains) {
 	engine := p.engine()
 	if engine == nil {
@@ -103,6 +105,8 @@
 	}
 }
 
+// plan posts a new map to the control loop if no change is in progress and the new
+// map is worth its copies.
 func (p *planner) plan(control *loop.Loop[mapswitch.State, view]) {
 	state := control.View()
 	engine := p.engine()
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -1,6 +1,17 @@
 // Package mapcontrol changes the expert map of a model group. The agent beside each
 // rank reads that rank and passes orders to it. The agent that holds the group's
 // lease is the coordinator: it calls the agents of all ranks over RPC.
+//
+// All ranks of a group compute together in passes. The experts are divided into
+// expert sets, each of which belongs to a set of layers, and the expert map assigns
+// the experts of each set to ranks. These terms describe a rank:
+//
+//   - its lists are the experts that it holds, one list for each expert set;
+//   - its counts are how often its requests have chosen each expert;
+//   - a prepare order makes it copy the experts of a new map version, and an arm
+//     order makes it switch to a prepared version before a given pass;
+//   - a hold order keeps the group from beginning a pass, and a release order ends
+//     the hold.
 package mapcontrol
 
 import (
@@ -42,16 +53,16 @@
 // rank's state.
 type ReadArgs struct {
 	Caller
-	Counts bool
-	Lists  bool
+	Counts bool // Whether to read the rank's counts and return their gains.
+	Lists  bool // Whether to read the rank's expert lists.
 }
 
 // ReadReply is the reply of Rank.Read.
 type ReadReply struct {
 	State   topology.RankState
-	Gains   []byte        // Packed increase of the counts since they were last read; nil for the first read.
-	Elapsed time.Duration // Time over which Gains accumulated.
-	Lists   topology.RankLists
+	Gains   []byte             // Packed increase of the counts since they were last read; nil for the first read in an epoch.
+	Elapsed time.Duration      // Time over which Gains accumulated.
+	Lists   topology.RankLists // The experts that the rank holds, by expert set; empty unless asked for.
 }
 
 // GiveArgs are the arguments of Rank.Give, which passes an order to a rank.
@@ -61,9 +72,9 @@
 	// Server is the host:port of the engine that gets the order; empty for the engine
 	// beside the agent.
 	Server string
-	// A prepare order may carry changes instead of a whole map. They apply to the map
-	// of version Base or, if InTurn is set, to the initial map of a group of that
-	// shape.
+	// Base, InTurn and Changes replace the whole map of a prepare order. Changes apply
+	// to the map of version Base or, if InTurn is set, to the initial map of a group of
+	// that shape, which assigns the experts to the ranks round-robin.
 	Base    int64
 	InTurn  mapswitch.Shape
 	Changes []mapswitch.Change
@@ -72,11 +83,11 @@
 // hasChanges reports whether the order carries changes instead of a whole map.
 func (a GiveArgs) hasChanges() bool { return a.Base != 0 || a.InTurn.Sets != 0 }
 
-// GiveReply is the rank's state after the order.
+// GiveReply is the reply of Rank.Give.
 type GiveReply struct {
-	State       topology.RankState
-	Problem     string // Empty if the engine accepted the order.
-	UnknownBase bool   // The agent doesn't have the map to which the changes apply.
+	State       topology.RankState // After the order; empty for an order to another engine.
+	Problem     string             // Why the engine refused the order or its outcome is unknown; empty if it accepted the order.
+	UnknownBase bool               // The agent doesn't have the map to which the changes apply.
 }
 
 // errFenced means that a newer coordinator has called. Coordinators recognize the
@@ -86,13 +97,13 @@
 // Rank is the RPC receiver that answers a coordinator's calls.
 type Rank struct {
 	engine       Engine
-	directEngine func(address string) Engine // For orders to other engines.
+	directEngine func(address string) Engine // Returns the client of another rank's engine.
 
 	mu           sync.Mutex
-	fence        uint64 // The highest fencing number seen.
-	lastCallAt   time.Time
-	counts       topology.RankCounts // As last read.
-	countsReadAt time.Time
+	fence        uint64                  // The highest fencing number seen.
+	lastCallAt   time.Time               // When a coordinator last called.
+	counts       topology.RankCounts     // Counts of the latest read, from which the next gains are computed.
+	countsReadAt time.Time               // When counts was read.
 	maps         map[int64]mapswitch.Map // By version; at most two: the latest prepared map and the base of its changes.
 }
 
@@ -102,8 +113,8 @@
 	return &Rank{engine: engine, directEngine: directEngine, lastCallAt: time.Now(), maps: map[int64]mapswitch.Map{}}
 }
 
-// Read returns the rank's state and, if asked for, the gains of its counts and its
-// expert lists.
+// Read returns the rank's state and, if asked for, the increase of its counts and
+// its expert lists.
 func (r *Rank) Read(args ReadArgs, reply *ReadReply) error {
 	if err := r.checkFence(args.Caller); err != nil {
 		return err
@@ -133,12 +144,12 @@
 	return hotexperts.PackCounts(before.Counts, counts.Counts), elapsed
 }
 
-// readEngine reads the engine's report and, if lists is set, its expert lists.
+// readEngine reads the engine's report and, if readLists is set, its expert lists.
 func readEngine(ctx context.Context, engine Engine, readLists bool, reply *ReadReply) error {
 	var err error
 	if readLists {
-		// Before the report, so that lists of a version that the report shows are
-		// not older than it.
+		// The lists are read before the report, so that lists of the version that the
+		// report shows are not older than it.
 		if reply.Lists, err = engine.Lists(ctx); err != nil {
 			return fmt.Errorf("read lists: %w", err)
 		}
--- a/server/stream/codec.go
+++ b/server/stream/codec.go
@@ -7,9 +7,9 @@
 	"unicode/utf8"
 )
 
-// Most pieces hold only text. They are encoded with the fields in this order,
-// and a line of exactly this form is decoded without encoding/json, which
-// handles all other lines.
+// Fixed texts between the values of an encoded piece that holds only text, as most
+// pieces do. Such a piece is encoded with the fields in this order, and a line of
+// exactly this form is decoded without encoding/json, which handles all other lines.
 const (
 	idPrefix     = `{"id":"`
 	seqPrefix    = `","seq":`
@@ -62,6 +62,8 @@
 	return append(line, textSuffix...), nil
 }
 
+// isTextOnly reports whether the piece holds only text, without any of the optional
+// fields, and needs no escapes.
 func isTextOnly(piece Piece) bool {
 	rest := piece
 	rest.ID, rest.Seq, rest.From, rest.Tokens, rest.Text = "", 0, 0, 0, ""
@@ -79,6 +81,8 @@
 	return piece, err
 }
 
+// parseTextOnly decodes a line of a piece that holds only text. It returns false for
+// any other line.
 func parseTextOnly(line []byte, lastID string) (Piece, bool) {
 	rest, ok := bytes.CutPrefix(line, []byte(idPrefix))
 	if !ok {
@@ -98,7 +102,7 @@
 	return Piece{ID: lastID, Seq: seq, From: from, Tokens: tokens, Text: string(text)}, true
 }
 
-// maxDigits keeps a number within an int.
+// maxDigits is the maximum number of digits, so that a number fits in an int.
 const maxDigits = 18
 
 // cutNumber parses a decimal number up to the separator.
--- a/server/stream/stream.go
+++ b/server/stream/stream.go
@@ -31,8 +31,9 @@
 	CachedTokens     int `json:"cached_tokens,omitempty"`
 }
 
-// Piece is one part of an answer. Seq counts pieces from 0; From counts the
-// answer's tokens before this piece.
+// Piece is one part of an answer. Seq is the number of the piece, from 0; From is
+// the number of the answer's tokens before this piece; Tokens is the number of
+// tokens in it.
 type Piece struct {
 	ID     string      `json:"id"`
 	Seq    int         `json:"seq"`
@@ -50,7 +51,8 @@
 	More bool `json:"-"`
 }
 
-// PartOf returns the piece as a part of its answer.
+// PartOf converts the piece to a part for answer.Assembler, which puts the pieces
+// of one answer in order.
 func PartOf(piece Piece) answer.Part[Piece] {
 	return answer.Part[Piece]{
 		ID: piece.ID, From: piece.From, Tokens: piece.Tokens, End: piece.End, Payload: piece,
@@ -100,8 +102,8 @@
 type Reader struct {
 	lines  *bufio.Reader
 	body   io.Closer
-	sawEnd bool
-	lastID string
+	sawEnd bool   // An end piece has been read.
+	lastID string // ID of the latest piece.
 }
 
 // NewReader returns a Reader of body.
@@ -127,9 +129,9 @@
 }
 
 // readLine returns the next line without its newline, valid until the next
-// call. A last line without a newline counts.
+// call. The last line of the stream may lack its newline.
 func (r *Reader) readLine() ([]byte, error) {
-	var accumulated []byte // A line longer than the buffer.
+	var accumulated []byte // The beginning of a line that is longer than the buffer.
 	for {
 		part, err := r.lines.ReadSlice('\n')
 		if len(accumulated)+len(part) > maxPieceBytes {
@@ -155,6 +157,7 @@
 	return bytes.IndexByte(buffered, '\n') >= 0
 }
 
+// readError returns the error of Next for an error of readLine.
 func (r *Reader) readError(err error) error {
 	if !errors.Is(err, io.EOF) {
 		return fmt.Errorf("%w: %v", ErrTruncated, err)
--- a/server/upstream/dial.go
+++ b/server/upstream/dial.go
@@ -16,10 +16,11 @@
 )
 
 const (
-	dialTimeout = 500 * time.Millisecond // A hundred round trips between data centres.
+	dialTimeout = 500 * time.Millisecond // A hundred times the round-trip time between data centres.
 
-	// A peer that neither answers nor resets is detected within about 2.5 s, less
-	// than the 3 s after which a machine counts as reachable again.
+	// The keep-alive probes and the limit on the time that sent bytes stay
+	// unacknowledged detect a peer that neither answers nor resets within about
+	// 2.5 s, less than the 3 s after which a machine counts as reachable again.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveProbes   = 3
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -40,15 +40,17 @@
 	Matches func(header http.Header) bool
 }
 
-// Exchange is a request that was sent and the head of its response.
+// Exchange is a request that was sent and the head of its response, that is, the
+// status line and the headers. The caller reads the body and then calls Finish or
+// Abort.
 type Exchange struct {
 	Response *http.Response
 
 	conn      *Conn
 	pool      *Pool
-	bodyWrite chan error // Result of the asynchronous body write; nil if the body was written inline.
-	stopWatch func() bool
-	ended     bool
+	bodyWrite chan error  // Result of the asynchronous body write; nil if the body was written inline.
+	stopWatch func() bool // Stops the reset at the end of the context; false if it has begun.
+	ended     bool        // Finish or Abort was called.
 }
 
 // Do sends the request on the connection and reads the head of its response.
@@ -68,6 +70,7 @@
 	return exchange, nil
 }
 
+// send writes the request. A long body is written in the background.
 func (e *Exchange) send(request Request) error {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.Target, request.Host)
@@ -95,6 +98,8 @@
 	return nil
 }
 
+// receiveHead reads response heads up to the one that belongs to the request, and
+// skips the responses to other requests.
 func (e *Exchange) receiveHead(request Request) error {
 	methodOnly := &http.Request{Method: request.Method}
 	for range maxMismatchedResponses {
@@ -153,6 +158,7 @@
 	return e.stopWatch()
 }
 
+// bodyWritten reports whether the whole request body has been written.
 func (e *Exchange) bodyWritten() bool {
 	if e.bodyWrite == nil {
 		return true
--- a/server/upstream/pool.go
+++ b/server/upstream/pool.go
@@ -22,11 +22,11 @@
 	// defaultIdleLimit is how long an idle connection is kept if the server sends
 	// no keep-alive timeout.
 	defaultIdleLimit = 10 * time.Second
-	// keepAliveShare is the part of the server's keep-alive timeout that is used,
-	// since the server starts counting earlier.
+	// keepAliveShare is the share of the server's keep-alive timeout for which an idle
+	// connection is kept, since the server starts counting earlier.
 	keepAliveShare = 0.7
 	// nonRepeatableIdleLimit is the idle time up to which a pooled connection is
-	// used for requests that can't be repeated.
+	// used for requests that must not be sent twice.
 	nonRepeatableIdleLimit = time.Second
 
 	readBufferBytes = 8 << 10
@@ -39,8 +39,8 @@
 // Target describes the server that a request is sent to.
 type Target struct {
 	Address string
-	// NonRepeatable means that the request can't be repeated, so that no
-	// connection with a long idle time is used.
+	// NonRepeatable means that the request must not be sent twice. Get then uses no
+	// connection that has been idle for long, since the server may be closing it.
 	NonRepeatable bool
 	// MaxIdle is the number of idle connections to the server that may be kept;
 	// those of all entries together must stay below the server's connection limit.
@@ -55,7 +55,7 @@
 	maxIdle   int
 	idleSince time.Time
 	idleLimit time.Duration
-	Reused    bool
+	Reused    bool // The connection was taken from the pool.
 }
 
 // Pool keeps idle connections by address.
@@ -137,6 +137,8 @@
 	}
 }
 
+// takeIdle removes the most recently used idle connection from the pool and returns
+// it, or nil if there is none.
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/server/watch/watch.go
+++ b/server/watch/watch.go
@@ -1,5 +1,6 @@
-// Package watch follows tables of the platform's store by long polls and posts
-// their contents and changes as events.
+// Package watch follows tables of the platform's store and posts their contents
+// and changes as events. It lists a table once and then waits for changes by long
+// polls: calls that the store answers as soon as the table changes.
 package watch
 
 import (
@@ -17,12 +18,14 @@
 )
 
 const (
-	// pollWait is how long a poll waits for a change. After a lost response the
-	// connection stays open and delivers nothing, which only the end of the wait
-	// reveals; with the slack for a slow store that takes 2.5 s, less than the 3 s
-	// within which a process must be up to date again after a disturbance.
+	// pollWait is how long a poll waits for a change. A lost response is noticed only
+	// when the poll times out, since its connection stays open and delivers nothing.
+	// The timeout is 2.5 s: pollWait plus the 0.7 s by which the store client lets a
+	// slow store exceed the wait. It is less than the 3 s within which a process must
+	// be up to date again after a disturbance.
 	pollWait = 1800 * time.Millisecond
-	// The backoff after a failed call doubles: refused calls are charged as well.
+	// initialBackoff and maxBackoff bound the delay after a failed call, which doubles
+	// with each further failure: the store charges for refused calls as well.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
 )
@@ -33,7 +36,7 @@
 	Feed(ctx context.Context, table string, after uint64, wait time.Duration) (platform.Rows, error)
 }
 
-// Watch follows one table.
+// Watch follows one table and posts its rows and changes with Post.
 type Watch struct {
 	Store Store
 	Table string
@@ -44,7 +47,7 @@
 	BatchDelay time.Duration
 
 	backoff   time.Duration
-	storeLost bool // StoreLost was posted and StoreRegained not yet.
+	storeLost bool // The store is unavailable: StoreLost was posted and StoreRegained not yet.
 }
 
 // Run follows the table until ctx ends.
@@ -99,6 +102,7 @@
 	return max(after, rows.Version), true
 }
 
+// storeAnswered resets the backoff and posts StoreRegained if the store was lost.
 func (w *Watch) storeAnswered() {
 	w.backoff = 0
 	if w.storeLost {
@@ -107,6 +111,8 @@
 	}
 }
 
+// storeFailed posts StoreLost for the first of several failures and waits for the
+// backoff.
 func (w *Watch) storeFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
