--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -42,15 +42,15 @@
 
 // call is one caller's request in flight.
 type call struct {
-	gateway  *Gateway
-	writer   http.ResponseWriter
-	http     *http.Request
-	request  platform.Request
-	log      *logrus.Entry
-	arrived  time.Time
-	snapshot *topology.Snapshot
-	route    *topology.Route
-	body     []byte
+	gateway   *Gateway
+	writer    http.ResponseWriter
+	http      *http.Request
+	request   platform.Request
+	log       *logrus.Entry
+	arrivedAt time.Time
+	snapshot  *topology.Snapshot
+	route     *topology.Route
+	body      []byte
 
 	organisation *topology.Organisation // The caller; nil for public routes and if no organisations are configured.
 	deadline     time.Time              // The caller's deadline or the end of the route's timeout, whichever is sooner.
@@ -114,7 +114,7 @@
 		Number: max(1, c.possibleExecutions), Err: failure, // Refusals are limited by maxSends.
 		ResponseStarted: c.responseStarted && !c.resumable(),
 		Idempotent:      c.route.Repeatable(),
-		Waited:          time.Since(c.arrived),
+		Waited:          time.Since(c.arrivedAt),
 		Remaining:       time.Until(c.deadline),
 	}):
 		reason = "not_retriable"
@@ -187,7 +187,7 @@
 		priority = c.organisation.Priority
 	}
 	return dispatch.Ticket{
-		Arrived: c.arrived, SLODeadline: c.arrived.Add(c.route.Objective), Deadline: c.latestStart(),
+		Arrived: c.arrivedAt, SLODeadline: c.arrivedAt.Add(c.route.Objective), Deadline: c.latestStart(),
 		Priority: priority, Avoid: c.avoidServer, FoundClosed: c.foundGroupClosed,
 	}
 }
@@ -199,7 +199,7 @@
 		return c.deadline
 	}
 	timeout := max(minStreamTimeout, objectiveTimeoutFactor*c.route.Objective, interTokenTimeoutFactor*c.route.InterTokenTarget)
-	latest := c.arrived.Add(timeout - minFirstEventTime)
+	latest := c.arrivedAt.Add(timeout - minFirstEventTime)
 	if latest.After(c.deadline) {
 		return c.deadline
 	}
@@ -307,6 +307,6 @@
 		"own": decision.OwnInFlight, "total": decision.TotalInFlight, "limit": decision.Limit,
 		"predicted_ms": decision.PredictedWait.Milliseconds(), "retry_after_ms": decision.RetryAfter.Milliseconds(),
 		"report_age_ms": decision.ReportAge.Milliseconds(), "config": c.snapshot.Config.Version,
-		"after_ms": time.Since(c.arrived).Milliseconds(),
+		"after_ms": time.Since(c.arrivedAt).Milliseconds(),
 	})
 }
--- a/server/gateway/deliver.go
+++ b/server/gateway/deliver.go
@@ -121,7 +121,7 @@
 // recordEnd logs the end of the call and updates the metrics.
 func (c *call) recordEnd(failure *result.Error) {
 	code := result.OK
-	fields := logrus.Fields{"sends": c.sends, "runs": c.possibleExecutions, "server": c.server, "total_ms": time.Since(c.arrived).Milliseconds()}
+	fields := logrus.Fields{"sends": c.sends, "runs": c.possibleExecutions, "server": c.server, "total_ms": time.Since(c.arrivedAt).Milliseconds()}
 	if failure != nil {
 		code = failure.Code
 		fields["error"] = failure.Error()
@@ -131,21 +131,21 @@
 	route := "none"
 	if c.route != nil {
 		route = c.route.Name
-		fields["deadline_ms"] = c.deadline.Sub(c.arrived).Milliseconds()
+		fields["deadline_ms"] = c.deadline.Sub(c.arrivedAt).Milliseconds()
 		fields["config"] = c.snapshot.Config.Version
 	}
 	fields["route"] = route
 	if !c.firstByteAt.IsZero() {
-		fields["first_ms"] = c.firstByteAt.Sub(c.arrived).Milliseconds()
-		c.gateway.metrics.firstAnswer.Observe(c.firstByteAt.Sub(c.arrived).Seconds())
+		fields["first_ms"] = c.firstByteAt.Sub(c.arrivedAt).Milliseconds()
+		c.gateway.metrics.firstAnswer.Observe(c.firstByteAt.Sub(c.arrivedAt).Seconds())
 	}
 	if c.relayedEvents > 0 {
 		fields["events"], fields["longest_gap_ms"] = c.relayedEvents, c.longestEventGap.Milliseconds()
 		if !c.predictedFirstEventAt.IsZero() {
-			fields["predicted_first_ms"] = c.predictedFirstEventAt.Sub(c.arrived).Milliseconds()
+			fields["predicted_first_ms"] = c.predictedFirstEventAt.Sub(c.arrivedAt).Milliseconds()
 			c.gateway.metrics.predictionError.Observe(c.firstByteAt.Sub(c.predictedFirstEventAt).Abs().Seconds())
 		}
 	}
-	c.gateway.metrics.ObserveRequest(code, time.Since(c.arrived))
+	c.gateway.metrics.ObserveRequest(code, time.Since(c.arrivedAt))
 	logevent.Write(c.log, logevent.RequestEnded, fields)
 }
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -136,13 +136,13 @@
 }
 
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := time.Now()
+	arrivedAt := time.Now()
 	request, err := platform.DecodeRequest(r.Header)
 	log := g.log.WithField("request", request.AttemptID)
 	if err != nil {
 		logevent.Write(log, logevent.HeaderRejected, logrus.Fields{"error": err.Error()})
 	}
-	call := &call{gateway: g, writer: w, http: r, request: request, log: log, arrived: arrived}
+	call := &call{gateway: g, writer: w, http: r, request: request, log: log, arrivedAt: arrivedAt}
 	if refusal := call.authorize(g.snapshot.Load()); refusal != nil {
 		call.respondError(refusal)
 		return
@@ -181,7 +181,7 @@
 	if c.route.Timeout > 0 && c.route.Timeout < limit {
 		limit = c.route.Timeout
 	}
-	c.deadline = c.arrived.Add(limit)
+	c.deadline = c.arrivedAt.Add(limit)
 	return nil
 }
 
--- a/server/gateway/gateway_test.go
+++ b/server/gateway/gateway_test.go
@@ -57,27 +57,28 @@
 	return b
 }
 
-func (b *backend) count() int {
+func (b *backend) requestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.requests)
 }
 
-func (b *backend) last() (*http.Request, string) {
+func (b *backend) lastRequest() (*http.Request, string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.requests[len(b.requests)-1], b.bodies[len(b.bodies)-1]
 }
 
-// stamped writes an answer with the server's signature.
-func stamped(w http.ResponseWriter, status int, body string) {
+// writeStampedAnswer writes an answer with the server's signature.
+func writeStampedAnswer(w http.ResponseWriter, status int, body string) {
 	w.Header().Set(header.Stamp, "signed")
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, body)
 }
 
-func refuseUnexecuted(w http.ResponseWriter) {
+// writeRefusal refuses a request with the guarantee that it did not run.
+func writeRefusal(w http.ResponseWriter) {
 	w.Header().Set(header.NotExecuted, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -95,9 +96,9 @@
 	}
 }
 
-// events writes the events with the ids from first to last. The stream then ends if
+// writeEvents writes the writeEvents with the ids from first to last. The stream then ends if
 // complete is true, and otherwise breaks off in the middle of the next event.
-func events(w http.ResponseWriter, first, last int, complete bool) {
+func writeEvents(w http.ResponseWriter, first, last int, complete bool) {
 	w.Header().Set(header.Stamp, "signed")
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -142,11 +143,14 @@
 	}
 }
 
+// newSystem returns a running gateway with the default configuration.
 func newSystem(backends ...*backend) *system {
-	return newSystemOf(configuration(), backends...)
+	return newSystemWithConfig(configuration(), backends...)
 }
 
-func newSystemOf(config *topology.Configuration, backends ...*backend) *system {
+// newSystemWithConfig returns a running gateway in front of the backends, all of them
+// servers of the service "s".
+func newSystemWithConfig(config *topology.Configuration, backends ...*backend) *system {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	settings := platform.Settings{RetryRatio: 0.2, RetryReserve: 90, WarmUpOvershoot: 1.5, WarmUpAllowance: 5}
@@ -199,7 +203,7 @@
 
 func TestForwarding(t *testing.T) {
 	Convey("Given a healthy backend server", t, func() {
-		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { stamped(w, 200, "answer") })
+		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { writeStampedAnswer(w, 200, "answer") })
 		s := newSystem(b)
 		defer s.close(b)
 
@@ -214,7 +218,7 @@
 			So(response.StatusCode, ShouldEqual, 200)
 			So(body, ShouldEqual, "answer")
 			So(response.Header.Get(header.Stamp), ShouldEqual, "signed")
-			seen, sent := b.last()
+			seen, sent := b.lastRequest()
 			So(sent, ShouldEqual, "body")
 			So(seen.RequestURI, ShouldEqual, "/safe/a%2fb//c?q=%20")
 			So(seen.Host, ShouldEqual, "h.example")
@@ -231,7 +235,7 @@
 			response, _, err = s.send("GET", "/nowhere/x", "", nil)
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 404)
-			So(b.count(), ShouldEqual, 0)
+			So(b.requestCount(), ShouldEqual, 0)
 		})
 	})
 	Convey("Without a configuration every request is refused with a Retry-After", t, func() {
@@ -254,21 +258,21 @@
 		sends      int
 		retryAfter bool
 	}{
-		{"refusal, idempotent", refuseUnexecuted, "/safe/x", 200, 2, false},
-		{"refusal, non-idempotent", refuseUnexecuted, "/once/x", 200, 2, false},
+		{"refusal, idempotent", writeRefusal, "/safe/x", 200, 2, false},
+		{"refusal, non-idempotent", writeRefusal, "/once/x", 200, 2, false},
 		{"reset, idempotent", func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, "/safe/x", 200, 2, false},
 		{"reset, non-idempotent", func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, "/once/x", 502, 1, false},
 		{"no signature, idempotent", func(w http.ResponseWriter) { w.WriteHeader(200) }, "/safe/x", 200, 2, false},
 		{"no signature, non-idempotent", func(w http.ResponseWriter) { w.WriteHeader(200) }, "/once/x", 502, 1, false},
-		{"failure, idempotent", func(w http.ResponseWriter) { stamped(w, 500, "failed") }, "/safe/x", 200, 2, false},
-		{"failure, non-idempotent", func(w http.ResponseWriter) { stamped(w, 500, "failed") }, "/once/x", 500, 1, false},
+		{"failure, idempotent", func(w http.ResponseWriter) { writeStampedAnswer(w, 500, "failed") }, "/safe/x", 200, 2, false},
+		{"failure, non-idempotent", func(w http.ResponseWriter) { writeStampedAnswer(w, 500, "failed") }, "/once/x", 500, 1, false},
 		{"a 503 that may have run, non-idempotent", func(w http.ResponseWriter) { w.WriteHeader(503) }, "/once/x", 502, 1, false},
 	}
 	for _, c := range cases {
 		Convey("After a server's "+c.name, t, func() {
 			script := firstThenRest(
 				func(w http.ResponseWriter, _ *http.Request) { c.misbehave(w) },
-				func(w http.ResponseWriter, _ *http.Request) { stamped(w, 200, "answer") },
+				func(w http.ResponseWriter, _ *http.Request) { writeStampedAnswer(w, 200, "answer") },
 			)
 			b1, b2 := newBackend("b1", script), newBackend("b2", script)
 			s := newSystem(b1, b2)
@@ -276,11 +280,11 @@
 			response, _, err := s.send("POST", c.path, "body", nil)
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, c.status)
-			So(b1.count()+b2.count(), ShouldEqual, c.sends)
+			So(b1.requestCount()+b2.requestCount(), ShouldEqual, c.sends)
 		})
 	}
 	Convey("An error response is relayed unchanged if no retry succeeds", t, func() {
-		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { stamped(w, 500, "failed") })
+		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { writeStampedAnswer(w, 500, "failed") })
 		s := newSystem(b)
 		defer s.close(b)
 		response, body, err := s.send("GET", "/safe/x", "", nil)
@@ -290,7 +294,7 @@
 		So(response.Header.Get(header.Stamp), ShouldEqual, "signed")
 	})
 	Convey("A refusal by all servers is relayed with a Retry-After", t, func() {
-		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { refuseUnexecuted(w) })
+		b := newBackend("b1", func(_ int, w http.ResponseWriter, _ *http.Request) { writeRefusal(w) })
 		s := newSystem(b)
 		defer s.close(b)
 		response, _, err := s.send("POST", "/once/x", "", nil)
@@ -328,8 +332,8 @@
 	})
 }
 
-// ids returns the ids of the events in a body.
-func ids(body string) []string {
+// eventIDs returns the eventIDs of the events in a body.
+func eventIDs(body string) []string {
 	var found []string
 	scanner := bufio.NewScanner(strings.NewReader(body))
 	for scanner.Scan() {
@@ -343,13 +347,13 @@
 func TestStreams(t *testing.T) {
 	Convey("A stream that breaks off is continued by another server, with each event sent once", t, func() {
 		script := firstThenRest(
-			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
+			func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 3, false) },
 			func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get(header.LastEvent) != "3" {
 					w.WriteHeader(400)
 					return
 				}
-				events(w, 4, 6, true)
+				writeEvents(w, 4, 6, true)
 			},
 		)
 		b1, b2 := newBackend("b1", script), newBackend("b2", script)
@@ -357,34 +361,34 @@
 		defer s.close(b1, b2)
 		_, body, err := s.send("POST", "/stream/x", "", nil)
 		So(err, ShouldBeNil)
-		So(ids(body), ShouldResemble, []string{"1", "2", "3", "4", "5", "6"})
-		So(b1.count(), ShouldEqual, 1)
-		So(b2.count(), ShouldEqual, 1)
+		So(eventIDs(body), ShouldResemble, []string{"1", "2", "3", "4", "5", "6"})
+		So(b1.requestCount(), ShouldEqual, 1)
+		So(b2.requestCount(), ShouldEqual, 1)
 	})
 	Convey("A stream that can't be continued is aborted", t, func() {
 		b := newBackend("b1", func(n int, w http.ResponseWriter, _ *http.Request) {
 			if n > 1 {
-				refuseUnexecuted(w)
+				writeRefusal(w)
 				return
 			}
-			events(w, 1, 3, false)
+			writeEvents(w, 1, 3, false)
 		})
 		s := newSystem(b)
 		defer s.close(b)
 		_, body, err := s.send("POST", "/stream/x", "", nil)
 		So(err, ShouldNotBeNil)
-		So(ids(body), ShouldResemble, []string{"1", "2", "3"})
+		So(eventIDs(body), ShouldResemble, []string{"1", "2", "3"})
 	})
 	for _, status := range []int{500, 404, 200} {
 		Convey("A started stream is aborted if another server does not continue it", t, func() {
 			script := firstThenRest(
-				func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
+				func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 3, false) },
 				func(w http.ResponseWriter, _ *http.Request) {
 					if status == 200 {
-						events(w, 3, 4, true) // The caller already has event 3.
+						writeEvents(w, 3, 4, true) // The caller already has event 3.
 						return
 					}
-					stamped(w, status, "failed")
+					writeStampedAnswer(w, status, "failed")
 				},
 			)
 			b1, b2 := newBackend("b1", script), newBackend("b2", script)
@@ -393,47 +397,47 @@
 			_, body, err := s.send("POST", "/stream/x", "", nil)
 			So(err, ShouldNotBeNil)
 			So(body, ShouldNotContainSubstring, "failed")
-			So(ids(body), ShouldResemble, []string{"1", "2", "3"})
+			So(eventIDs(body), ShouldResemble, []string{"1", "2", "3"})
 		})
 	}
 	Convey("The last event id of the caller's request is forwarded", t, func() {
 		b := newBackend("b1", func(_ int, w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(header.LastEvent) == "12" {
-				events(w, 13, 14, true)
+				writeEvents(w, 13, 14, true)
 			}
 		})
 		s := newSystem(b)
 		defer s.close(b)
 		_, body, err := s.send("POST", "/stream/x", "", func(r *http.Request) { r.Header.Set(header.LastEvent, "12") })
 		So(err, ShouldBeNil)
-		So(ids(body), ShouldResemble, []string{"13", "14"})
+		So(eventIDs(body), ShouldResemble, []string{"13", "14"})
 	})
 	Convey("Events that the caller already has are not sent again", t, func() {
 		script := firstThenRest(
-			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, false) },
-			func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3, true) },
+			func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 3, false) },
+			func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 3, true) },
 		)
 		b1, b2 := newBackend("b1", script), newBackend("b2", script)
 		s := newSystem(b1, b2)
 		defer s.close(b1, b2)
 		_, body, err := s.send("POST", "/stream/x", "", nil)
 		So(err, ShouldNotBeNil)
-		So(ids(body), ShouldResemble, []string{"1", "2", "3"})
+		So(eventIDs(body), ShouldResemble, []string{"1", "2", "3"})
 	})
 }
 
 func TestStreamAtASilentServer(t *testing.T) {
 	Convey("A stream is migrated if its server sends no events while the rest of its group does", t, func() {
 		silent := newBackend("b1", func(_ int, w http.ResponseWriter, r *http.Request) {
-			events(w, 1, 3, true)
+			writeEvents(w, 1, 3, true)
 			<-r.Context().Done()
 		})
 		healthy := newBackend("b2", func(_ int, w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get(header.LastEvent) == "3" {
-				events(w, 4, 6, true)
+				writeEvents(w, 4, 6, true)
 				return
 			}
-			events(w, 1, 1, true)
+			writeEvents(w, 1, 1, true)
 			for id := 2; id <= 40 && r.Context().Err() == nil; id++ {
 				time.Sleep(40 * time.Millisecond)
 				_, _ = fmt.Fprintf(w, "id: %d\ndata: x%d\n\n", id, id)
@@ -445,10 +449,10 @@
 		for i := range config.Routes {
 			config.Routes[i].InterTokenTarget = 120 * time.Millisecond
 		}
-		s := newSystemOf(config, silent, healthy)
+		s := newSystemWithConfig(config, silent, healthy)
 		defer s.close(silent, healthy)
 
-		bodies := make([]string, 2) // Of two streams, one on each server.
+		bodies := make([]string, 2) // Bodies of two streams, one on each server.
 		var group sync.WaitGroup
 		for i := range bodies {
 			group.Go(func() {
@@ -460,9 +464,9 @@
 			})
 		}
 		group.Wait()
-		So(silent.count(), ShouldEqual, 1)
-		So(healthy.count(), ShouldEqual, 2)
-		lengths := []int{len(ids(bodies[0])), len(ids(bodies[1]))}
+		So(silent.requestCount(), ShouldEqual, 1)
+		So(healthy.requestCount(), ShouldEqual, 2)
+		lengths := []int{len(eventIDs(bodies[0])), len(eventIDs(bodies[1]))}
 		So(lengths, ShouldContain, 6)
 	})
 }
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -43,7 +43,7 @@
 	pendingOrders map[uint64]chan answer // Received orders that have no outcome yet, by ticket.
 	plannedMap    planner.Placement      // Written to the object store when the change begins.
 	latestLoaded  loadedMap
-	loadingID     expertmap.ID
+	loadingMapID  expertmap.ID
 
 	plannerState       planner.State // Used by the planning goroutine only, like decisionRecordedAt.
 	decisionRecordedAt time.Time
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -126,8 +126,8 @@
 	if g.latestLoaded.id == id && g.latestLoaded.body != nil {
 		return g.latestLoaded.body, nil
 	}
-	if g.loadingID != id {
-		g.loadingID = id
+	if g.loadingMapID != id {
+		g.loadingMapID = id
 		go g.loadWeights(ctx, id)
 	}
 	return nil, fmt.Errorf("weights of map %s are loading", id)
@@ -142,10 +142,10 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.loadingID != id {
+	if g.loadingMapID != id {
 		return
 	}
-	g.loadingID = expertmap.ID{}
+	g.loadingMapID = expertmap.ID{}
 	if err == nil {
 		g.latestLoaded = loadedMap{id: id, body: body}
 	}
--- a/server/group/table.go
+++ b/server/group/table.go
@@ -37,17 +37,17 @@
 
 // read reads a row and posts the event that is made from it, or failed if the row
 // can't be read or decoded.
-func (g *Group) read(ctx context.Context, key string, failed reduce.Event, event func(ports.Row) (reduce.Event, error)) {
+func (g *Group) read(ctx context.Context, key string, failureEvent reduce.Event, toEvent func(ports.Row) (reduce.Event, error)) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	row, err := g.node.Store.Get(ctx, key)
 	if err != nil {
-		g.node.Loop.Post(failed)
+		g.node.Loop.Post(failureEvent)
 		return
 	}
-	read, err := event(row)
+	read, err := toEvent(row)
 	if err != nil {
-		read = failed
+		read = failureEvent
 	}
 	g.node.Loop.Post(read)
 }
--- a/server/mapcontrol/bench_test.go
+++ b/server/mapcontrol/bench_test.go
@@ -18,8 +18,8 @@
 	"persimmonwind.dev/server/rpc"
 )
 
-// modelEngines simulates the engines of a group that runs passes in lockstep. The
-// demand for experts jumps every few passes.
+// modelEngines simulates the engines of a group whose ranks run passes in lockstep.
+// The demand for experts jumps every 40 passes.
 type modelEngines struct {
 	model topology.Engine
 	size  int
@@ -27,7 +27,7 @@
 	mu       sync.Mutex
 	pass     int64
 	states   []topology.RankState
-	maps     []mapswitch.Map // Prepared, by rank.
+	maps     []mapswitch.Map // Prepared maps, by rank.
 	counts   []int64
 	switches int
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// modelEngine is the engine of one rank.
+// modelEngine is the simulated engine of one rank.
 type modelEngine struct {
 	group *modelEngines
 	rank  int
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -132,24 +132,24 @@
 // readAll reads all ranks of the group, and members whose group is unknown, at each
 // interval until ctx ends. The interval is shorter while a change is in progress.
 func (c *coordinator) readAll(ctx context.Context) {
-	var countsAt time.Time
+	var lastCountsReadAt time.Time
 	firstCounted := 0 // Index of the first member whose counts are read in the next round.
 	for ctx.Err() == nil {
-		interval, now := readInterval, view{MustReadLists: true}
+		interval, current := readInterval, view{MustReadLists: true}
 		if known := c.loop.View(); known != nil {
-			now = *known
+			current = *known
 		}
-		if now.Phase != mapswitch.Idle && now.Phase != mapswitch.Survey {
-			interval = min(interval, time.Duration(now.Size)*changeReadIntervalPerRank)
+		if current.Phase != mapswitch.Idle && current.Phase != mapswitch.Survey {
+			interval = min(interval, time.Duration(current.Size)*changeReadIntervalPerRank)
 		}
-		countsDue := time.Since(countsAt) >= readInterval-interval/2 && !now.mayPauseForArming()
+		countsDue := time.Since(lastCountsReadAt) >= readInterval-interval/2 && !current.mayPauseForArming()
 		if countsDue {
-			countsAt = time.Now()
+			lastCountsReadAt = time.Now()
 		}
-		members := c.membersToRead(now.Size)
+		members := c.membersToRead(current.Size)
 		for i, member := range members {
 			readCounts := countsDue && (i+len(members)-firstCounted)%len(members) < countedRanksPerRound
-			go c.read(ctx, member, now.MustReadLists, readCounts)
+			go c.read(ctx, member, current.MustReadLists, readCounts)
 		}
 		if countsDue && len(members) > 0 {
 			firstCounted = (firstCounted + countedRanksPerRound) % len(members)
--- a/server/mapcontrol/mapcontrol_test.go
+++ b/server/mapcontrol/mapcontrol_test.go
@@ -54,7 +54,7 @@
 
 func TestLease(t *testing.T) {
 	ctx := context.Background()
-	Convey("Each acquired lease has a higher number", t, func() {
+	Convey("Each acquired lease has a higher fencing number", t, func() {
 		store := &rowStore{}
 		last := uint64(0)
 		for range 5 {
@@ -64,7 +64,7 @@
 			last = fence
 		}
 	})
-	Convey("The number exceeds the highest number seen, and a write with a lost answer uses one up", t, func() {
+	Convey("The fencing number exceeds the highest one seen, and a write whose answer is lost uses up a number", t, func() {
 		store := &rowStore{loseAnswer: true}
 		_, err := acquireLease(ctx, store, "g", "a", 7)
 		So(err, ShouldNotBeNil)
@@ -89,7 +89,7 @@
 		_, err = acquireLease(ctx, store, "g", "c", 0)
 		So(err, ShouldBeNil)
 	})
-	Convey("Agents that race never get the same number", t, func() {
+	Convey("Agents that race never get the same fencing number", t, func() {
 		store := &rowStore{}
 		var wg sync.WaitGroup
 		fences := make(chan uint64, 20)
@@ -204,7 +204,7 @@
 				_, err := fmt.Sscanf(member.Server, "server-%d", &number)
 				So(err, ShouldBeNil)
 				if number%2 == 1 && number/64 != 20 {
-					continue // Its machine is unreachable.
+					continue // The member's machine is unreachable.
 				}
 				c.recordReport(member, mapswitch.RankRead{State: topology.RankState{
 					Group: fmt.Sprint("g-", number/64), Open: true, Epoch: 1, Rank: number % 64, Size: 64,
@@ -219,7 +219,7 @@
 		}
 		Convey("a coordinator finds its ranks even if half of the members never answer", func() {
 			So(len(c.addresses), ShouldEqual, 64)
-			So(rounds, ShouldBeLessThanOrEqualTo, 30) // Three seconds.
+			So(rounds, ShouldBeLessThanOrEqualTo, 30) // Three seconds at one round per readInterval.
 		})
 		Convey("a coordinator reads all its ranks in each round, and others up to the limit", func() {
 			read := c.membersToRead(64)
@@ -249,7 +249,7 @@
 		c.loop = loop.New(mapswitch.Step, func(mapswitch.State) view { return view{} }, func(reduce.Effect) {}, nil)
 		unreachable := Member{Server: "127.0.0.1:1", Agent: "127.0.0.1:1"}
 		c.read(context.Background(), unreachable, false, false)
-		So(c.addresses, ShouldBeEmpty) // It is not known to be a rank of the group.
+		So(c.addresses, ShouldBeEmpty) // The member is not known to be a rank of the group.
 		c.read(context.Background(), unreachable, true, false)
 		So(c.addresses[0], ShouldResemble, unreachable)
 	})
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -21,9 +21,9 @@
 	// copyTimeBudget limits the time that a rank copies experts for one change, so
 	// that several changes fit between two jumps of demand.
 	copyTimeBudget = 200 * time.Millisecond
-	// maxCopies limits the number of experts that one change copies to a rank: more
+	// maxCopiesPerRank limits the number of experts that one change copies to a rank: more
 	// are never worth waiting for, and considering them takes the planner's time.
-	maxCopies = 4
+	maxCopiesPerRank = 4
 	// planHandoverTime is the shortest time between two posted plans. Within it the
 	// control goroutine starts to act on a posted plan.
 	planHandoverTime = 60 * time.Millisecond
@@ -39,11 +39,11 @@
 // planner forecasts the demand for experts from the ranks' counts and plans new maps
 // for it.
 type planner struct {
-	engine  func() *topology.Engine
-	log     *logrus.Entry
-	group   string
-	gains   chan rankGains // Queue of gains that the forecast does not include yet.
-	metrics *Metrics
+	engineModel func() *topology.Engine
+	log         *logrus.Entry
+	group       string
+	gains       chan rankGains // Queue of gains that the forecast does not include yet.
+	metrics     *Metrics
 
 	demand         *hotexperts.Demand // Forecast of the demand; nil before the first gains.
 	lastPostedAt   time.Time          // When the latest plan was posted to the control loop.
@@ -56,9 +56,9 @@
 	elapsed time.Duration // Length of the period.
 }
 
-func newPlanner(engine func() *topology.Engine, group string, log *logrus.Entry, metrics *Metrics) *planner {
+func newPlanner(engineModel func() *topology.Engine, group string, log *logrus.Entry, metrics *Metrics) *planner {
 	const queued = 256 // A few rounds of reads of a large group.
-	return &planner{engine: engine, group: group, log: log, gains: make(chan rankGains, queued), metrics: metrics}
+	return &planner{engineModel: engineModel, group: group, log: log, gains: make(chan rankGains, queued), metrics: metrics}
 }
 
 // enqueue passes a rank's gains to the planner. It drops them if the queue is full,
@@ -88,8 +88,8 @@
 
 // applyGains updates the demand forecast with the gains of one rank.
 func (p *planner) applyGains(gains rankGains) {
-	engine := p.engine()
-	if engine == nil {
+	engineModel := p.engineModel()
+	if engineModel == nil {
 		return
 	}
 	counts, err := hotexperts.UnpackCounts(gains.packed)
@@ -98,7 +98,7 @@
 		return
 	}
 	if p.demand == nil {
-		p.demand = hotexperts.NewDemand(engine.Sets, engine.Experts)
+		p.demand = hotexperts.NewDemand(engineModel.Sets, engineModel.Experts)
 	}
 	if p.demand.Observe(counts, gains.elapsed, countedRanksPerRound) {
 		p.planConsidered = false
@@ -109,8 +109,8 @@
 // map is worth its copies.
 func (p *planner) plan(control *loop.Loop[mapswitch.State, view]) {
 	state := control.View()
-	engine := p.engine()
-	if state == nil || engine == nil || p.demand == nil || state.Phase != mapswitch.Idle || state.Current == nil {
+	engineModel := p.engineModel()
+	if state == nil || engineModel == nil || p.demand == nil || state.Phase != mapswitch.Idle || state.Current == nil {
 		return
 	}
 	if p.planConsidered || p.demand.Choices() < minChoices || time.Since(p.lastPostedAt) < planHandoverTime {
@@ -118,12 +118,12 @@
 	}
 	p.planConsidered = true
 	shape := hotexperts.Shape{
-		Ranks: state.Size, Places: engine.Places, Experts: engine.Experts, NewPerSet: engine.NewPerSet,
+		Ranks: state.Size, Places: engineModel.Places, Experts: engineModel.Experts, NewPerSet: engineModel.NewPerSet,
 		Slowness: state.Slowness,
 	}
-	plan := hotexperts.DecideLeastAverageSkew(shape, state.Current, p.demand.Load(), copyBudget(engine), engine.CopyTime())
+	plan := hotexperts.DecideLeastAverageSkew(shape, state.Current, p.demand.Load(), copyBudget(engineModel), engineModel.CopyTime())
 	p.metrics.skew.Set(plan.SkewBefore)
-	if !plan.IsWorthwhile(hotexperts.Costs{CopyTime: engine.CopyTime(), ExpertTimeShare: expertPassShare, Occupancy: state.slotUtilization(engine)}) {
+	if !plan.IsWorthwhile(hotexperts.Costs{CopyTime: engineModel.CopyTime(), ExpertTimeShare: expertPassShare, Occupancy: state.slotUtilization(engineModel)}) {
 		return
 	}
 	p.lastPostedAt = time.Now()
@@ -137,5 +137,5 @@
 
 // copyBudget returns the number of experts that one change may copy to a rank.
 func copyBudget(engine *topology.Engine) int {
-	return min(maxCopies, max(1, int(copyTimeBudget/max(time.Millisecond, engine.CopyTime()))))
+	return min(maxCopiesPerRank, max(1, int(copyTimeBudget/max(time.Millisecond, engine.CopyTime()))))
 }
--- a/server/stream/stream.go
+++ b/server/stream/stream.go
@@ -61,10 +61,10 @@
 
 // Writer writes pieces.
 type Writer struct {
-	w         io.Writer
-	line      []byte // Buffer that every piece reuses.
-	flush     func()
-	unflushed bool // Something was written since the last flush.
+	w            io.Writer
+	line         []byte // Buffer that every piece reuses.
+	flush        func()
+	hasUnflushed bool // Something was written since the last flush.
 }
 
 // NewWriter returns a Writer that calls flush, if not nil, after each piece
@@ -83,7 +83,7 @@
 	if _, err := w.w.Write(w.line); err != nil {
 		return fmt.Errorf("write piece %d of %q: %w", piece.Seq, piece.ID, err)
 	}
-	w.unflushed = true
+	w.hasUnflushed = true
 	if !piece.More {
 		w.Flush()
 	}
@@ -92,10 +92,10 @@
 
 // Flush flushes pieces marked More that have not been flushed yet.
 func (w *Writer) Flush() {
-	if w.flush != nil && w.unflushed {
+	if w.flush != nil && w.hasUnflushed {
 		w.flush()
 	}
-	w.unflushed = false
+	w.hasUnflushed = false
 }
 
 // Reader reads pieces. Close must be called.
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -46,11 +46,11 @@
 type Exchange struct {
 	Response *http.Response
 
-	conn      *Conn
-	pool      *Pool
-	bodyWrite chan error  // Result of the asynchronous body write; nil if the body was written inline.
-	stopWatch func() bool // Stops the reset at the end of the context; false if it has begun.
-	ended     bool        // Finish or Abort was called.
+	conn             *Conn
+	pool             *Pool
+	bodyWriteResult  chan error  // Result of the asynchronous body write; nil if the body was written inline.
+	stopContextWatch func() bool // Stops the reset at the end of the context; false if it has begun.
+	ended            bool        // Finish or Abort was called.
 }
 
 // Do sends the request on the connection and reads the head of its response.
@@ -58,7 +58,7 @@
 // ErrMismatchedResponse.
 func (p *Pool) Do(ctx context.Context, conn *Conn, request Request) (*Exchange, error) {
 	exchange := &Exchange{conn: conn, pool: p}
-	exchange.stopWatch = context.AfterFunc(ctx, func() { reset(conn) })
+	exchange.stopContextWatch = context.AfterFunc(ctx, func() { reset(conn) })
 	if err := exchange.send(request); err != nil {
 		exchange.Abort()
 		return nil, fmt.Errorf("%w: send: %w", ErrInterrupted, err)
@@ -90,10 +90,10 @@
 		return err
 	}
 	// A server may respond before it has read a long body.
-	e.bodyWrite = make(chan error, 1)
+	e.bodyWriteResult = make(chan error, 1)
 	go func() {
 		_, err := e.conn.Write(request.Body)
-		e.bodyWrite <- err
+		e.bodyWriteResult <- err
 	}()
 	return nil
 }
@@ -155,16 +155,16 @@
 		return false
 	}
 	e.ended = true
-	return e.stopWatch()
+	return e.stopContextWatch()
 }
 
 // bodyWritten reports whether the whole request body has been written.
 func (e *Exchange) bodyWritten() bool {
-	if e.bodyWrite == nil {
+	if e.bodyWriteResult == nil {
 		return true
 	}
 	select {
-	case err := <-e.bodyWrite:
+	case err := <-e.bodyWriteResult:
 		return err == nil
 	default:
 		return false
--- a/server/upstream/upstream_test.go
+++ b/server/upstream/upstream_test.go
@@ -70,8 +70,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// do sends one request and returns the body of its response.
-func do(pool *Pool, address, id string) (string, error) {
+// roundTrip sends one request and returns the body of its response.
+func roundTrip(pool *Pool, address, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	conn, err := pool.Get(ctx, Target{Address: address})
@@ -102,7 +102,7 @@
 			}
 		})
 		defer s.listener.Close()
-		body, err := do(NewPool(Dial), s.address(), "1")
+		body, err := roundTrip(NewPool(Dial), s.address(), "1")
 		So(err, ShouldBeNil)
 		So(body, ShouldEqual, "ok")
 		So(<-heads, ShouldResemble, []string{"GET /a//b%2f?x=%20 HTTP/1.1", "Host: h.example", "X-Id: 1"})
@@ -120,7 +120,7 @@
 		defer s.listener.Close()
 		pool := NewPool(Dial)
 		for range 5 {
-			_, err := do(pool, s.address(), "1")
+			_, err := roundTrip(pool, s.address(), "1")
 			So(err, ShouldBeNil)
 		}
 		So(s.accepted.Load(), ShouldEqual, 1)
@@ -142,7 +142,7 @@
 		So(pool.idle[s.address()], ShouldHaveLength, 2)
 	})
 
-	Convey("A late second response is not taken for the next request's", t, func() {
+	Convey("A late second response is not taken for the response to the next request", t, func() {
 		s := newFakeServer(func(_ int, conn net.Conn, reader *bufio.Reader) {
 			for n := 1; ; n++ {
 				if _, err := readHead(reader); err != nil {
@@ -157,7 +157,7 @@
 		defer s.listener.Close()
 		pool := NewPool(Dial)
 		for n := 1; n <= 2; n++ {
-			body, err := do(pool, s.address(), fmt.Sprint(n))
+			body, err := roundTrip(pool, s.address(), fmt.Sprint(n))
 			So(err, ShouldBeNil)
 			So(body, ShouldEqual, "right")
 		}
@@ -177,7 +177,7 @@
 			})
 			pool := NewPool(Dial)
 			for range 2 {
-				body, err := do(pool, s.address(), "1")
+				body, err := roundTrip(pool, s.address(), "1")
 				So(err, ShouldBeNil)
 				So(body, ShouldEqual, "ok")
 				time.Sleep(60 * time.Millisecond)
@@ -203,9 +203,9 @@
 		})
 		defer s.listener.Close()
 		pool := NewPool(Dial)
-		_, err := do(pool, s.address(), "1")
+		_, err := roundTrip(pool, s.address(), "1")
 		So(err, ShouldBeNil)
-		_, err = do(pool, s.address(), "1")
+		_, err = roundTrip(pool, s.address(), "1")
 		So(errors.Is(err, ErrInterrupted), ShouldBeTrue)
 		time.Sleep(20 * time.Millisecond)
 		So(requests.Load(), ShouldEqual, 2)
@@ -225,9 +225,9 @@
 		})
 		defer s.listener.Close()
 		pool := NewPool(Dial)
-		_, err := do(pool, s.address(), "1")
+		_, err := roundTrip(pool, s.address(), "1")
 		So(errors.Is(err, io.ErrUnexpectedEOF), ShouldBeTrue)
-		body, err := do(pool, s.address(), "1")
+		body, err := roundTrip(pool, s.address(), "1")
 		So(err, ShouldBeNil)
 		So(body, ShouldEqual, "whole")
 	})
@@ -255,7 +255,7 @@
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
 		_ = listener.Close()
-		_, err = do(NewPool(Dial), address, "1")
+		_, err = roundTrip(NewPool(Dial), address, "1")
 		So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 	})
 
--- a/server/watch/watch_test.go
+++ b/server/watch/watch_test.go
@@ -108,7 +108,8 @@
 	})
 }
 
-// lostAnswerStore loses the response of the first poll, which ends after its wait.
+// lostAnswerStore loses the response of the first poll, which fails at the end of its
+// wait.
 type lostAnswerStore struct {
 	fakeStore
 	polls int
