--- a/server/deployed/entry.go
+++ b/server/deployed/entry.go
@@ -32,7 +32,7 @@
 
 	headerTimeout  = 3 * time.Second  // Time to receive a request's headers; the users' configurations set the same value.
 	idleTimeout    = 60 * time.Second // How long an idle connection is kept; longer than the users' callers reuse a connection.
-	maxHeaderBytes = 64 << 10         // Above the users' limit, which nothing in front of the entry checks.
+	maxHeaderBytes = 64 << 10         // Maximum size of a request's headers; above the users' limit, which nothing in front of the entry checks.
 )
 
 // Entry is an entry instance on the users' platform.
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -111,7 +111,7 @@
 	case c.sends >= maxSends || c.possibleExecutions >= c.route.MaxAttempts:
 		reason = "attempts_used_up"
 	case !retry.Retriable(retry.Attempt{
-		Number: max(1, c.possibleExecutions), Err: failure, // Refusals are limited by maxSends.
+		Number: max(1, c.possibleExecutions), Err: failure, // Refused sends don't count here; maxSends limits them.
 		ResponseStarted: c.responseStarted && !c.resumable(),
 		Idempotent:      c.route.Repeatable(),
 		Waited:          time.Since(c.arrivedAt),
@@ -214,8 +214,8 @@
 )
 
 // sendMigratable sends the request and relays the answer. A resumable stream may
-// be migrated off the server meanwhile. The outcome is what the dispatcher learns
-// about the server.
+// be migrated off the server meanwhile. The returned outcome tells the dispatcher
+// how the server behaved.
 func (c *call) sendMigratable(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
 	if !c.resumable() || c.possibleExecutions+1 >= c.route.MaxAttempts {
 		return c.send(ctx, service, server)
--- a/server/gateway/dispatchers.go
+++ b/server/gateway/dispatchers.go
@@ -33,7 +33,7 @@
 // dispatcher is the dispatcher of one service with the requests that wait for it.
 type dispatcher struct {
 	*dispatch.Dispatcher
-	waitingTickets    map[uint64]chan dispatch.Decision
+	waitingTickets    map[uint64]chan dispatch.Decision            // By ticket ID; each channel receives the decision about a queued request.
 	migratableStreams map[string]map[*call]context.CancelCauseFunc // By server; each function cancels the exchange of one stream, so that another server continues it.
 }
 
@@ -127,7 +127,8 @@
 	return closed
 }
 
-// observeAccepted records that a server of the service has begun to answer.
+// observeAccepted records that a server of the service has accepted a request and
+// begun to answer it.
 func (d *dispatchers) observeAccepted(service string) {
 	d.withService(service, func(dispatcher *dispatcher) { dispatcher.Accepted() })
 }
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -41,11 +41,11 @@
 	mu            sync.Mutex
 	lastTicket    uint64
 	pendingOrders map[uint64]chan answer // Received orders that have no outcome yet, by ticket.
-	plannedMap    planner.Placement      // Written to the object store when the change begins.
+	plannedMap    planner.Placement      // The latest planned map; written to the object store when its change begins.
 	latestLoaded  loadedMap
 	loadingMapID  expertmap.ID
 
-	plannerState       planner.State // Used by the planning goroutine only, like decisionRecordedAt.
+	plannerState       planner.State // State of the planner; only the planning goroutine uses it and decisionRecordedAt.
 	decisionRecordedAt time.Time
 }
 
@@ -103,7 +103,7 @@
 		event = logevent.MapWaiting
 	}
 	if n.Phase == expertmap.Querying {
-		return // Occurs every few seconds.
+		return // This phase recurs every few seconds, so it is not logged.
 	}
 	g.log(event, logrus.Fields{"phase": n.Phase, "map": n.Change.ID.String(), "first_step": n.Change.FirstStep, "ranks": n.Ranks})
 }
--- a/server/loadreport/loadreport.go
+++ b/server/loadreport/loadreport.go
@@ -33,7 +33,7 @@
 
 // Report is the load of one backend server.
 type Report struct {
-	Server string  // host:port.
+	Server string  // host:port of the backend server.
 	Open   bool    // The server's group accepts work.
 	Queued int     // Number of requests that wait at the server.
 	Active int     // Number of requests that run at the server.
--- a/server/mapcontrol/agent.go
+++ b/server/mapcontrol/agent.go
@@ -19,9 +19,9 @@
 	// tries to acquire the lease. A coordinator reads every rank several times within
 	// it.
 	coordinatorTimeout = 700 * time.Millisecond
-	// rankStagger, times the rank's number, is added to coordinatorTimeout, so that the
-	// agents of a group don't all try to acquire the lease at once. A new coordinator
-	// reads the list of servers before its first calls.
+	// rankStagger is multiplied by the rank's number and added to coordinatorTimeout, so
+	// that the agents of a group don't all try to acquire the lease at once. It leaves a
+	// new coordinator time for its first calls, before which it reads the list of servers.
 	rankStagger = 100 * time.Millisecond
 	// coordinatorCheckInterval is how often an agent checks how long ago a coordinator called.
 	coordinatorCheckInterval = 50 * time.Millisecond
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -82,8 +82,8 @@
 
 // Member is a backend server of the service and the agent beside it.
 type Member struct {
-	Server string // host:port.
-	Agent  string // host:port.
+	Server string // host:port of the backend server.
+	Agent  string // host:port of the agent beside the server.
 }
 
 // view is the part of the control state that the planner and the reader use.
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -52,12 +52,12 @@
 
 // rankGains is the increase of one rank's expert counts over a period.
 type rankGains struct {
-	packed  []byte        // In the encoding of hotexperts.PackCounts.
+	packed  []byte        // The increase, encoded by hotexperts.PackCounts.
 	elapsed time.Duration // Length of the period.
 }
 
 func newPlanner(engineModel func() *topology.Engine, group string, log *logrus.Entry, metrics *Metrics) *planner {
-	const queued = 256 // A few rounds of reads of a large group.
+	const queued = 256 // Gains of a few rounds of reads in a large group.
 	return &planner{engineModel: engineModel, group: group, log: log, gains: make(chan rankGains, queued), metrics: metrics}
 }
 
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -85,7 +85,7 @@
 
 // GiveReply is the reply of Rank.Give.
 type GiveReply struct {
-	State       topology.RankState // After the order; empty for an order to another engine.
+	State       topology.RankState // The rank's state after the order; empty for an order to another engine.
 	Problem     string             // Why the engine refused the order or its outcome is unknown; empty if it accepted the order.
 	UnknownBase bool               // The agent doesn't have the map to which the changes apply.
 }
@@ -104,7 +104,7 @@
 	lastCallAt   time.Time               // When a coordinator last called.
 	counts       topology.RankCounts     // Counts of the latest read, from which the next gains are computed.
 	countsReadAt time.Time               // When counts was read.
-	maps         map[int64]mapswitch.Map // By version; at most two: the latest prepared map and the base of its changes.
+	maps         map[int64]mapswitch.Map // Maps by version, at most two: the latest prepared map and the base of its changes.
 }
 
 // NewRank returns the receiver for the engine beside the agent. The function
--- a/server/stream/stream.go
+++ b/server/stream/stream.go
@@ -43,7 +43,7 @@
 	End    bool        `json:"end,omitempty"`
 	Finish string      `json:"finish,omitempty"`
 	Usage  *Usage      `json:"usage,omitempty"`
-	Code   result.Code `json:"code,omitempty"` // Set on an end piece that reports a failure.
+	Code   result.Code `json:"code,omitempty"` // Result code; set on an end piece that reports a failure.
 	Detail string      `json:"detail,omitempty"`
 
 	// More means that the next piece is already available, so that a writer may
--- a/server/upstream/pool.go
+++ b/server/upstream/pool.go
@@ -63,7 +63,7 @@
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[string][]*Conn // Most recently used last.
+	idle map[string][]*Conn // Idle connections by address, the most recently used last.
 }
 
 // NewPool returns an empty pool.
@@ -193,7 +193,7 @@
 // yet: an abandoned request must not arrive later.
 func reset(conn *Conn) {
 	if tcp, ok := conn.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // Otherwise the kernel would still deliver the bytes.
+		_ = tcp.SetLinger(0) // Without this the kernel would still deliver the bytes.
 	}
 	discard(conn)
 }
