--- a/server/deployed/agent.go
+++ b/server/deployed/agent.go
@@ -42,21 +42,21 @@
 // Run serves calls, load reports and metrics, and takes part in the coordination of
 // the group's expert map, until ctx ends.
 func (a *Agent) Run(ctx context.Context, metricsPort int) error {
-	peer := net.JoinHostPort(a.settings.IP, strconv.Itoa(a.settings.PeerPortFirst))
-	calls, callsErr := net.Listen("tcp", peer)
-	reports, reportsErr := net.ListenPacket("udp", peer)
+	peerAddress := net.JoinHostPort(a.settings.IP, strconv.Itoa(a.settings.PeerPortFirst))
+	calls, callsErr := net.Listen("tcp", peerAddress)
+	reports, reportsErr := net.ListenPacket("udp", peerAddress)
 	metrics, metricsErr := net.Listen("tcp", net.JoinHostPort(a.settings.IP, strconv.Itoa(metricsPort)))
 	if err := errors.Join(callsErr, reportsErr, metricsErr); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	engine := platform.NewEngine(a.settings.BackendServer, upstream.Dial)
-	maps := &mapcontrol.Agent{
+	mapAgent := &mapcontrol.Agent{
 		InstanceName: a.settings.Instance, Engine: engine, Store: a.store,
 		DirectEngine:   directEngines(),
 		FollowTopology: a.followTopology,
 		Members:        a.members, EngineModel: a.engineModel, Log: a.log, Metrics: mapcontrol.NewMetrics(a.registry),
 	}
-	maps.Prepare()
+	mapAgent.Prepare()
 	publisher := loadreport.NewPublisher(reports)
 	read := func() (topology.RankState, bool) {
 		state, err := engine.Report(ctx)
@@ -66,12 +66,12 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var group run.Group
-	group.Add(func() error { return maps.Serve(calls) }, closeOnInterrupt(calls))
+	group.Add(func() error { return mapAgent.Serve(calls) }, closeOnInterrupt(calls))
 	group.Add(publisher.Serve, closeOnInterrupt(reports))
 	group.Add(func() error { publisher.Run(ctx, a.settings.BackendServer, read); return nil }, func(error) { stop() })
-	group.Add(func() error { maps.Run(ctx); return nil }, func(error) { stop() })
+	group.Add(func() error { mapAgent.Run(ctx); return nil }, func(error) { stop() })
 	addServer(&group, &http.Server{Handler: metricsHandler(a.registry), ErrorLog: serverLog(a.log)}, metrics)
-	logevent.Write(a.log, logevent.ProcessReady, logrus.Fields{"peer": peer, "metrics_port": metricsPort})
+	logevent.Write(a.log, logevent.ProcessReady, logrus.Fields{"peer": peerAddress, "metrics_port": metricsPort})
 	return group.Run()
 }
 
--- a/server/deployed/entry.go
+++ b/server/deployed/entry.go
@@ -57,11 +57,11 @@
 // Run serves requests until ctx ends, and then gives requests in flight the grace
 // period to finish.
 func (e *Entry) Run(ctx context.Context, metricsPort int) error {
-	front, err := net.Listen("tcp", e.settings.FrontListen)
+	frontListener, err := net.Listen("tcp", e.settings.FrontListen)
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	ready, err := net.Listen("tcp", e.settings.ReadyListen)
+	readyListener, err := net.Listen("tcp", e.settings.ReadyListen)
 	if err != nil {
 		return fmt.Errorf("listen for readiness checks: %w", err)
 	}
@@ -74,23 +74,23 @@
 		return fmt.Errorf("listen for load reports: %w", err)
 	}
 	subscriber := loadreport.NewSubscriber(reports)
-	callers := &http.Server{
+	callerServer := &http.Server{
 		Handler: e.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: serverLog(e.log),
 	}
-	control, stopControl := context.WithCancel(context.Background())
+	controlCtx, stopControl := context.WithCancel(context.Background())
 	defer stopControl()
 
 	var group run.Group
-	addServer(&group, callers, front)
+	addServer(&group, callerServer, frontListener)
 	stop := make(chan struct{})
-	group.Add(func() error { return e.drain(ctx, callers, stop) }, func(error) { close(stop) })
-	addServer(&group, &http.Server{Handler: http.HandlerFunc(e.serveReady), ErrorLog: serverLog(e.log)}, ready)
+	group.Add(func() error { return e.drain(ctx, callerServer, stop) }, func(error) { close(stop) })
+	addServer(&group, &http.Server{Handler: http.HandlerFunc(e.serveReady), ErrorLog: serverLog(e.log)}, readyListener)
 	addServer(&group, &http.Server{Handler: metricsHandler(e.registry), ErrorLog: serverLog(e.log)}, metrics)
-	group.Add(func() error { return e.follower.run(control) }, func(error) { stopControl() })
-	group.Add(func() error { e.gateway.Run(control); return nil }, func(error) { stopControl() })
+	group.Add(func() error { return e.follower.run(controlCtx) }, func(error) { stopControl() })
+	group.Add(func() error { e.gateway.Run(controlCtx); return nil }, func(error) { stopControl() })
 	group.Add(func() error { return subscriber.Serve(e.gateway.ReportLoad) }, closeOnInterrupt(reports))
-	group.Add(func() error { subscriber.Run(control, e.agentAddresses); return nil }, func(error) { stopControl() })
+	group.Add(func() error { subscriber.Run(controlCtx, e.agentAddresses); return nil }, func(error) { stopControl() })
 	logevent.Write(e.log, logevent.ProcessReady, logrus.Fields{"callers": e.settings.FrontListen, "metrics_port": metricsPort})
 	return group.Run()
 }
@@ -125,7 +125,7 @@
 // drain waits until ctx ends, withdraws readiness and then waits for the requests in
 // flight, at most for the grace period. New connections are accepted for readinessLag,
 // until the balancer has noticed.
-func (e *Entry) drain(ctx context.Context, callers *http.Server, stop <-chan struct{}) error {
+func (e *Entry) drain(ctx context.Context, callerServer *http.Server, stop <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
 	case <-stop:
@@ -134,11 +134,11 @@
 	end := time.Now().Add(e.settings.GracePeriod - graceMargin)
 	e.draining.Store(true)
 	logevent.Write(e.log, logevent.ProcessLeaving, logrus.Fields{"grace_ms": e.settings.GracePeriod.Milliseconds()})
-	callers.SetKeepAlivesEnabled(false)
+	callerServer.SetKeepAlivesEnabled(false)
 	wait.For(context.Background(), readinessLag)
-	closing, cancel := context.WithDeadline(context.Background(), end)
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	err := callers.Shutdown(closing)
+	err := callerServer.Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		logevent.Write(e.log, logevent.ProcessLeaving, logrus.Fields{"cut": "requests still in flight at the end of the grace period"})
 		return nil
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -70,11 +70,11 @@
 	stop         context.CancelFunc
 	metrics      *Metrics
 
-	mu           sync.Mutex
-	addresses    map[int]Member       // Members of the group in the current epoch, by rank.
-	foreignSince map[string]time.Time // When members last reported another group, by server.
+	mu                sync.Mutex
+	membersByRank     map[int]Member       // Members of the group in the current epoch, by rank.
+	foreignReportedAt map[string]time.Time // When members last reported another group, by server.
 
-	nextUnknown           int // Index of the listed member at which the search for unknown members continues.
+	nextUnknownIndex      int // Index of the listed member at which the search for unknown members continues.
 	epoch                 int64
 	lastRemoteListsReadAt time.Time // When expert lists were last read directly from an engine on another machine.
 	latestPrepareOrder    GiveArgs  // The latest prepare order, with changes instead of a whole map.
@@ -119,7 +119,7 @@
 func (c *coordinator) run(ctx context.Context, ownRank int) {
 	ctx, c.stop = context.WithCancel(ctx)
 	defer c.stop()
-	c.addresses, c.foreignSince = map[int]Member{}, map[string]time.Time{}
+	c.membersByRank, c.foreignReportedAt = map[int]Member{}, map[string]time.Time{}
 	c.loop = loop.New(mapswitch.Step, func(s mapswitch.State) view {
 		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.Current, MustReadLists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
 	}, func(effect reduce.Effect) { c.execute(ctx, effect) }, nil)
@@ -165,26 +165,26 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ranks := map[string]bool{}
-	members := make([]Member, 0, len(c.addresses))
-	for _, rank := range slices.Sorted(maps.Keys(c.addresses)) { // A stable order, since counts are read round-robin.
-		member := c.addresses[rank]
+	members := make([]Member, 0, len(c.membersByRank))
+	for _, rank := range slices.Sorted(maps.Keys(c.membersByRank)) { // A stable order, since counts are read round-robin.
+		member := c.membersByRank[rank]
 		ranks[member.Server] = true
 		members = append(members, member)
 	}
 	ttl := foreignMemberTTL
-	if len(c.addresses) < size {
+	if len(c.membersByRank) < size {
 		ttl = foreignMemberTTLWhileSearching
 	}
 	unknown := 0
 	for i := range listed {
 		// Start where the previous round stopped, so that members that never answer
 		// don't keep the others from being read.
-		member := listed[(c.nextUnknown+i)%len(listed)]
-		if ranks[member.Server] || time.Since(c.foreignSince[member.Server]) < ttl {
+		member := listed[(c.nextUnknownIndex+i)%len(listed)]
+		if ranks[member.Server] || time.Since(c.foreignReportedAt[member.Server]) < ttl {
 			continue
 		}
 		if unknown == maxUnknownReads {
-			c.nextUnknown = (c.nextUnknown + i) % len(listed)
+			c.nextUnknownIndex = (c.nextUnknownIndex + i) % len(listed)
 			break
 		}
 		unknown++
@@ -248,10 +248,10 @@
 	c.mu.Lock()
 	if state.Epoch > c.epoch {
 		c.epoch = state.Epoch
-		c.addresses = map[int]Member{}
+		c.membersByRank = map[int]Member{}
 	}
 	if state.Epoch == c.epoch {
-		c.addresses[state.Rank] = member
+		c.membersByRank[state.Rank] = member
 	}
 	c.mu.Unlock()
 	c.loop.Post(read)
@@ -261,7 +261,7 @@
 // connection to its agent.
 func (c *coordinator) markForeign(member Member) {
 	c.mu.Lock()
-	c.foreignSince[member.Server] = time.Now()
+	c.foreignReportedAt[member.Server] = time.Now()
 	c.mu.Unlock()
 	c.peers.Drop(member.Agent)
 }
@@ -270,14 +270,14 @@
 func (c *coordinator) member(rank int) (Member, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	member, ok := c.addresses[rank]
+	member, ok := c.membersByRank[rank]
 	return member, ok
 }
 
 func (c *coordinator) isRank(member Member) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, known := range c.addresses {
+	for _, known := range c.membersByRank {
 		if known == member {
 			return true
 		}
--- a/server/mapcontrol/mapcontrol_test.go
+++ b/server/mapcontrol/mapcontrol_test.go
@@ -195,7 +195,7 @@
 		log.SetOutput(io.Discard)
 		c := &coordinator{
 			group: "g-20", members: func() []Member { return members }, peers: rpc.NewPool(nil), log: logrus.NewEntry(log),
-			addresses: map[int]Member{}, foreignSince: map[string]time.Time{},
+			membersByRank: map[int]Member{}, foreignReportedAt: map[string]time.Time{},
 		}
 		c.loop = loop.New(mapswitch.Step, func(mapswitch.State) view { return view{} }, func(reduce.Effect) {}, nil)
 		answer := func(read []Member) {
@@ -212,13 +212,13 @@
 			}
 		}
 		rounds := 0
-		for ; len(c.addresses) < 64 && rounds < 100; rounds++ {
+		for ; len(c.membersByRank) < 64 && rounds < 100; rounds++ {
 			read := c.membersToRead(64)
 			So(len(read), ShouldBeLessThanOrEqualTo, 200)
 			answer(read)
 		}
 		Convey("a coordinator finds its ranks even if half of the members never answer", func() {
-			So(len(c.addresses), ShouldEqual, 64)
+			So(len(c.membersByRank), ShouldEqual, 64)
 			So(rounds, ShouldBeLessThanOrEqualTo, 30) // Three seconds at one round per readInterval.
 		})
 		Convey("a coordinator reads all its ranks in each round, and others up to the limit", func() {
@@ -226,7 +226,7 @@
 			So(len(read), ShouldBeBetweenOrEqual, 64, 200)
 			ranks := 0
 			for _, member := range read {
-				for _, rank := range c.addresses {
+				for _, rank := range c.membersByRank {
 					if rank == member {
 						ranks++
 					}
@@ -242,15 +242,15 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		c := &coordinator{
-			fence: 2, group: "g", peers: rpc.NewPool(nil), log: logrus.NewEntry(log), addresses: map[int]Member{},
+			fence: 2, group: "g", peers: rpc.NewPool(nil), log: logrus.NewEntry(log), membersByRank: map[int]Member{},
 			directEngine: func(string) Engine { return &countingEngine{} },
 			stop:         func() {},
 		}
 		c.loop = loop.New(mapswitch.Step, func(mapswitch.State) view { return view{} }, func(reduce.Effect) {}, nil)
 		unreachable := Member{Server: "127.0.0.1:1", Agent: "127.0.0.1:1"}
 		c.read(context.Background(), unreachable, false, false)
-		So(c.addresses, ShouldBeEmpty) // The member is not known to be a rank of the group.
+		So(c.membersByRank, ShouldBeEmpty) // The member is not known to be a rank of the group.
 		c.read(context.Background(), unreachable, true, false)
-		So(c.addresses[0], ShouldResemble, unreachable)
+		So(c.membersByRank[0], ShouldResemble, unreachable)
 	})
 }
