--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -20,7 +20,7 @@
 // expertBytes is the size of one expert's weights.
 const expertBytes = 44 << 20
 
-// loadedMap is a map whose weights have been loaded.
+// loadedMap is an encoded expert map for which the rank's weights have been loaded.
 type loadedMap struct {
 	id   expertmap.ID
 	body []byte
@@ -30,7 +30,7 @@
 type answer struct {
 	state       expertmap.EngineState
 	isRefused   bool
-	highestSeen expertmap.Number
+	highestSeen expertmap.Number // Highest order or fencing number that the rank has seen; set if the order is refused.
 	err         error
 }
 
