--- a/server/deployed/entry.go
+++ b/server/deployed/entry.go
@@ -30,9 +30,9 @@
 	// requests in flight ends.
 	graceMargin = 200 * time.Millisecond
 
-	headerTimeout  = 3 * time.Second  // The users' configurations set the same value.
-	idleTimeout    = 60 * time.Second // Longer than the users' callers reuse a connection.
-	maxHeaderBytes = 64 << 10         // Above the users' limit, which nothing in front of the entry checks.
+	headerTimeout  = 3 * time.Second  // Time to receive a request's headers; the users' configurations set the same value.
+	idleTimeout    = 60 * time.Second // How long an idle connection is kept; longer than the users' callers reuse a connection.
+	maxHeaderBytes = 64 << 10         // Maximum size of a request's headers; above the users' limit, which nothing in front of the entry checks.
 )
 
 // Entry is an entry instance on the users' platform.
@@ -42,7 +42,7 @@
 	gateway  *gateway.Gateway
 	follower *follower
 	registry *prometheus.Registry
-	draining atomic.Bool
+	draining atomic.Bool // The process is stopping and reports that it is not ready.
 }
 
 // NewEntry returns an entry that is not running yet.
@@ -50,18 +50,18 @@
 	registry := newRegistry()
 	e := &Entry{settings: settings, log: log, registry: registry}
 	e.gateway = gateway.New(settings, log, gateway.NewMetrics(registry))
-	e.follower = newFollower(platform.NewStore(settings.StoreAddress, upstream.Dial), entrySettle, log, e.gateway.Install)
+	e.follower = newFollower(platform.NewStore(settings.StoreAddress, upstream.Dial), entryBatchDelay, log, e.gateway.Install)
 	return e
 }
 
 // Run serves requests until ctx ends, and then gives requests in flight the grace
 // period to finish.
 func (e *Entry) Run(ctx context.Context, metricsPort int) error {
-	front, err := net.Listen("tcp", e.settings.FrontListen)
+	frontListener, err := net.Listen("tcp", e.settings.FrontListen)
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	ready, err := net.Listen("tcp", e.settings.ReadyListen)
+	readyListener, err := net.Listen("tcp", e.settings.ReadyListen)
 	if err != nil {
 		return fmt.Errorf("listen for readiness checks: %w", err)
 	}
@@ -74,23 +74,23 @@
 		return fmt.Errorf("listen for load reports: %w", err)
 	}
 	subscriber := loadreport.NewSubscriber(reports)
-	callers := &http.Server{
+	callerServer := &http.Server{
 		Handler: e.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: serverLog(e.log),
 	}
-	control, stopControl := context.WithCancel(context.Background())
+	controlCtx, stopControl := context.WithCancel(context.Background())
 	defer stopControl()
 
 	var group run.Group
-	addServer(&group, callers, front)
+	addServer(&group, callerServer, frontListener)
 	stop := make(chan struct{})
-	group.Add(func() error { return e.drain(ctx, callers, stop) }, func(error) { close(stop) })
-	addServer(&group, &http.Server{Handler: http.HandlerFunc(e.serveReady), ErrorLog: serverLog(e.log)}, ready)
+	group.Add(func() error { return e.drain(ctx, callerServer, stop) }, func(error) { close(stop) })
+	addServer(&group, &http.Server{Handler: http.HandlerFunc(e.serveReady), ErrorLog: serverLog(e.log)}, readyListener)
 	addServer(&group, &http.Server{Handler: metricsHandler(e.registry), ErrorLog: serverLog(e.log)}, metrics)
-	group.Add(func() error { return e.follower.run(control) }, func(error) { stopControl() })
-	group.Add(func() error { e.gateway.Run(control); return nil }, func(error) { stopControl() })
+	group.Add(func() error { return e.follower.run(controlCtx) }, func(error) { stopControl() })
+	group.Add(func() error { e.gateway.Run(controlCtx); return nil }, func(error) { stopControl() })
 	group.Add(func() error { return subscriber.Serve(e.gateway.ReportLoad) }, closeOnInterrupt(reports))
-	group.Add(func() error { subscriber.Run(control, e.agentAddresses); return nil }, func(error) { stopControl() })
+	group.Add(func() error { subscriber.Run(controlCtx, e.agentAddresses); return nil }, func(error) { stopControl() })
 	logevent.Write(e.log, logevent.ProcessReady, logrus.Fields{"callers": e.settings.FrontListen, "metrics_port": metricsPort})
 	return group.Run()
 }
@@ -113,6 +113,7 @@
 	return addresses
 }
 
+// serveReady answers the readiness checks of the platform's balancer.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if e.draining.Load() || !e.gateway.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -124,20 +125,20 @@
 // drain waits until ctx ends, withdraws readiness and then waits for the requests in
 // flight, at most for the grace period. New connections are accepted for readinessLag,
 // until the balancer has noticed.
-func (e *Entry) drain(ctx context.Context, callers *http.Server, stop <-chan struct{}) error {
+func (e *Entry) drain(ctx context.Context, callerServer *http.Server, stop <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
 	case <-stop:
 		return nil
 	}
-	end := time.Now().Add(e.settings.Grace - graceMargin)
+	end := time.Now().Add(e.settings.GracePeriod - graceMargin)
 	e.draining.Store(true)
-	logevent.Write(e.log, logevent.ProcessLeaving, logrus.Fields{"grace_ms": e.settings.Grace.Milliseconds()})
-	callers.SetKeepAlivesEnabled(false)
+	logevent.Write(e.log, logevent.ProcessLeaving, logrus.Fields{"grace_ms": e.settings.GracePeriod.Milliseconds()})
+	callerServer.SetKeepAlivesEnabled(false)
 	wait.For(context.Background(), readinessLag)
-	closing, cancel := context.WithDeadline(context.Background(), end)
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	err := callers.Shutdown(closing)
+	err := callerServer.Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		logevent.Write(e.log, logevent.ProcessLeaving, logrus.Fields{"cut": "requests still in flight at the end of the grace period"})
 		return nil
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	notReadyRetryAfter  = 500 * time.Millisecond // Longer than a restarted entry takes to read its tables.
-	defaultMaxBodyBytes = 4 << 20                // Used if the configuration sets no limit.
+	notReadyRetryAfter  = 500 * time.Millisecond // Retry-After while not ready; longer than a restarted entry takes to read its tables.
+	defaultMaxBodyBytes = 4 << 20                // Largest request body if the configuration sets no limit.
 	// groupClosedRetryAfter is the Retry-After sent to callers whose group accepts
 	// no work: a rank that was cut off is back after some seconds.
 	groupClosedRetryAfter = 2 * time.Second
@@ -30,8 +30,8 @@
 	maxSends = 5
 
 	// A caller gives up on a stream after the longest of three periods without an
-	// event: minStreamTimeout, or a multiple of the route's objective or of its
-	// inter-token target.
+	// event: minStreamTimeout, objectiveTimeoutFactor times the route's latency
+	// objective, or interTokenTimeoutFactor times its inter-token target.
 	minStreamTimeout        = 2 * time.Second
 	objectiveTimeoutFactor  = 4 // Multiple of the route's latency objective.
 	interTokenTimeoutFactor = 8 // Multiple of the route's inter-token target.
@@ -42,32 +42,32 @@
 
 // call is one caller's request in flight.
 type call struct {
-	gateway  *Gateway
-	writer   http.ResponseWriter
-	http     *http.Request
-	request  platform.Request
-	log      *logrus.Entry
-	arrived  time.Time
-	snapshot *topology.Snapshot
-	route    *topology.Route
-	body     []byte
+	gateway   *Gateway
+	writer    http.ResponseWriter
+	http      *http.Request
+	request   platform.Request
+	log       *logrus.Entry
+	arrivedAt time.Time
+	snapshot  *topology.Snapshot
+	route     *topology.Route
+	body      []byte
 
-	organisation *topology.Organisation // Nil for public routes and if no organisations are configured.
+	organisation *topology.Organisation // The caller; nil for public routes and if no organisations are configured.
 	deadline     time.Time              // The caller's deadline or the end of the route's timeout, whichever is sooner.
 
 	sends                 int    // Attempts that reached a connection.
-	possibleRuns          int    // Attempts that the server may have executed.
-	foundClosed           bool   // An attempt was refused because the group is closed.
-	refused               bool   // The dispatcher has refused the request; no attempt follows.
+	possibleExecutions    int    // Attempts that the server may have executed.
+	foundGroupClosed      bool   // An attempt was refused because the group is closed.
+	refusedByDispatcher   bool   // The dispatcher has refused the request; no attempt follows.
 	avoidServer           string // The server of the latest failed attempt.
 	server                string // The server of the latest attempt; for the log.
 	responseStarted       bool   // The status and headers have been sent to the caller.
 	lastEventID           string // ID of the latest event that the caller has.
-	events                int
+	relayedEvents         int
 	firstByteAt           time.Time
 	predictedFirstEventAt time.Time     // Predicted time of the first event; zero for no prediction.
-	longestEventGap       time.Duration // Between two events from one server.
-	fallbackAnswer        *answer       // A server's error response, delivered unless a retry succeeds.
+	longestEventGap       time.Duration // Longest time between two events from one server.
+	fallbackAnswer        *answer       // A server's error response, sent to the caller unless a retry succeeds.
 }
 
 // answer is a backend server's complete answer.
@@ -106,15 +106,15 @@
 func (c *call) shouldRetry(attemptNumber int, failure *result.Error) bool {
 	reason := ""
 	switch {
-	case c.refused:
+	case c.refusedByDispatcher:
 		reason = "refused_by_desk"
-	case c.sends >= maxSends || c.possibleRuns >= c.route.MaxAttempts:
+	case c.sends >= maxSends || c.possibleExecutions >= c.route.MaxAttempts:
 		reason = "attempts_used_up"
 	case !retry.Retriable(retry.Attempt{
-		Number: max(1, c.possibleRuns), Err: failure, // Refusals are limited by maxSends.
+		Number: max(1, c.possibleExecutions), Err: failure, // Refused sends don't count here; maxSends limits them.
 		ResponseStarted: c.responseStarted && !c.resumable(),
 		Idempotent:      c.route.Repeatable(),
-		Waited:          time.Since(c.arrived),
+		Waited:          time.Since(c.arrivedAt),
 		Remaining:       time.Until(c.deadline),
 	}):
 		reason = "not_retriable"
@@ -123,20 +123,21 @@
 	}
 	logevent.Write(c.log, logevent.AttemptFailed, logrus.Fields{
 		"server": c.server, "attempt": attemptNumber, "code": int(failure.Code), "error": failure.Error(),
-		"again": reason == "", "reason": reason, "runs": c.possibleRuns, "begun": c.responseStarted,
+		"again": reason == "", "reason": reason, "runs": c.possibleExecutions, "begun": c.responseStarted,
 		"config": c.snapshot.Config.Version,
 	})
 	return reason == ""
 }
 
-// resumable reports whether a started stream may be continued by another server.
+// resumable reports whether another server may continue the stream after it has
+// started.
 func (c *call) resumable() bool {
 	return c.route.Kind == topology.Stream && c.route.Resumable
 }
 
 // finalError returns the error that the caller gets after the last attempt.
 func (c *call) finalError(failure *result.Error) *result.Error {
-	if c.possibleRuns > 0 && failure.NotRun() {
+	if c.possibleExecutions > 0 && failure.NotRun() {
 		// The last error says that the request did not run, but an earlier attempt
 		// may have run.
 		return result.Errorf(result.BackendFailed, "an earlier attempt may have run; last error: %v", failure)
@@ -148,14 +149,14 @@
 func (c *call) attempt(ctx context.Context, service string) *result.Error {
 	decision, err := c.gateway.dispatchers.acquire(ctx, service, c.ticket(), c.logDecision)
 	if err != nil {
-		if c.possibleRuns == 0 {
+		if c.possibleExecutions == 0 {
 			return result.Errorf(result.DeadlineTooShort, "no server slot became free before the deadline")
 		}
 		return result.Errorf(result.DeadlineExceeded, "no server slot became free before the deadline")
 	}
 	c.logDecision(decision)
 	if decision.Verdict == dispatch.Refuse {
-		c.refused = true
+		c.refusedByDispatcher = true
 		refusal := result.Errorf(result.Overloaded, "%s", decision.Reason)
 		refusal.RetryAfter = decision.RetryAfter
 		return refusal
@@ -171,21 +172,23 @@
 	}
 	c.avoidServer = decision.Server.ID
 	if closed && outcome == dispatch.Busy {
-		c.foundClosed = true
+		c.foundGroupClosed = true
 		failure = result.Errorf(result.GroupWaiting, "%s", failure.Detail)
 		failure.RetryAfter = groupClosedRetryAfter
 	}
 	return failure
 }
 
+// ticket returns the description of the request by which the dispatcher queues it and
+// assigns it to a server.
 func (c *call) ticket() dispatch.Ticket {
 	priority := c.route.Priority
 	if c.organisation != nil && c.organisation.HasPriority {
 		priority = c.organisation.Priority
 	}
 	return dispatch.Ticket{
-		Arrived: c.arrived, SLODeadline: c.arrived.Add(c.route.Objective), Deadline: c.latestStart(),
-		Priority: priority, Avoid: c.avoidServer, FoundClosed: c.foundClosed,
+		Arrived: c.arrivedAt, SLODeadline: c.arrivedAt.Add(c.route.Objective), Deadline: c.latestStart(),
+		Priority: priority, Avoid: c.avoidServer, FoundClosed: c.foundGroupClosed,
 	}
 }
 
@@ -196,7 +199,7 @@
 		return c.deadline
 	}
 	timeout := max(minStreamTimeout, objectiveTimeoutFactor*c.route.Objective, interTokenTimeoutFactor*c.route.InterTokenTarget)
-	latest := c.arrived.Add(timeout - minFirstEventTime)
+	latest := c.arrivedAt.Add(timeout - minFirstEventTime)
 	if latest.After(c.deadline) {
 		return c.deadline
 	}
@@ -211,10 +214,10 @@
 )
 
 // sendMigratable sends the request and relays the answer. A resumable stream may
-// be migrated off the server meanwhile. The outcome is what the dispatcher learns
-// about the server.
+// be migrated off the server meanwhile. The returned outcome tells the dispatcher
+// how the server behaved.
 func (c *call) sendMigratable(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
-	if !c.resumable() || c.possibleRuns+1 >= c.route.MaxAttempts {
+	if !c.resumable() || c.possibleExecutions+1 >= c.route.MaxAttempts {
 		return c.send(ctx, service, server)
 	}
 	ctx, migrate := context.WithCancelCause(ctx)
@@ -224,11 +227,11 @@
 	return c.send(ctx, service, server)
 }
 
-// send sends the request and relays the answer.
+// send sends the request to the server and relays the answer to the caller.
 func (c *call) send(ctx context.Context, service string, server topology.Candidate) (dispatch.Outcome, *result.Error) {
 	conn, err := c.gateway.pool.Get(ctx, upstream.Target{
 		Address: server.Address, NonRepeatable: !c.route.Repeatable(),
-		MaxIdle: c.snapshot.Service(service).MaxConnections / (2 * assumedEntries),
+		MaxIdle: c.snapshot.Service(service).MaxConnections / (2 * assumedEntryCount),
 	})
 	if err != nil {
 		return dispatch.Unreachable, result.Errorf(result.NoBackendServer, "%v", err)
@@ -236,7 +239,7 @@
 	c.sends++
 	exchange, err := c.gateway.pool.Do(ctx, conn, c.forward(server))
 	if err != nil {
-		c.possibleRuns++
+		c.possibleExecutions++
 		return c.classifyFailure(ctx, err)
 	}
 	decoded := platform.DecodeResponse(exchange.Response.StatusCode, exchange.Response.Header)
@@ -249,11 +252,11 @@
 		}
 		return dispatch.Busy, refusal
 	}
-	c.possibleRuns++
-	c.gateway.dispatchers.accepted(service)
-	if decoded.Encoded || !decoded.Stamped {
+	c.possibleExecutions++
+	c.gateway.dispatchers.observeAccepted(service)
+	if decoded.HasContentEncoding || !decoded.Stamped {
 		exchange.Abort()
-		return dispatch.Failed, result.Errorf(result.BackendFailed, "invalid answer: status %d, stamped %t, encoded %t", exchange.Response.StatusCode, decoded.Stamped, decoded.Encoded)
+		return dispatch.Failed, result.Errorf(result.BackendFailed, "invalid answer: status %d, stamped %t, encoded %t", exchange.Response.StatusCode, decoded.Stamped, decoded.HasContentEncoding)
 	}
 	if c.route.Kind == topology.Stream && exchange.Response.StatusCode < http.StatusMultipleChoices {
 		return c.relayStream(ctx, service, server.ID, exchange)
@@ -261,6 +264,8 @@
 	return c.relayBuffered(ctx, exchange)
 }
 
+// forward returns the request to the server: the caller's request with the headers
+// that the gateway sets.
 func (c *call) forward(server topology.Candidate) upstream.Request {
 	forward := platform.ForwardOptions{Server: server.ID, Remaining: time.Until(c.deadline), LastEventID: c.lastEventID}
 	if c.organisation != nil {
@@ -290,6 +295,8 @@
 	}
 }
 
+// logDecision logs the dispatcher's decision, except for a plain request that is sent
+// at once.
 func (c *call) logDecision(decision dispatch.Decision) {
 	if decision.Verdict == dispatch.Go && c.sends == 0 && decision.Limit == 0 && c.route.Kind != topology.Stream {
 		return // A plain request sent at once; only its end is logged.
@@ -300,6 +307,6 @@
 		"own": decision.OwnInFlight, "total": decision.TotalInFlight, "limit": decision.Limit,
 		"predicted_ms": decision.PredictedWait.Milliseconds(), "retry_after_ms": decision.RetryAfter.Milliseconds(),
 		"report_age_ms": decision.ReportAge.Milliseconds(), "config": c.snapshot.Config.Version,
-		"after_ms": time.Since(c.arrived).Milliseconds(),
+		"after_ms": time.Since(c.arrivedAt).Milliseconds(),
 	})
 }
--- a/server/gateway/dispatchers.go
+++ b/server/gateway/dispatchers.go
@@ -14,11 +14,12 @@
 )
 
 // queuePollInterval is how often waiting requests are reconsidered, in addition to
-// the times at which slots become free. It is a fraction of a pass.
+// the times at which slots become free. It is a fraction of the duration of a pass.
 const queuePollInterval = 20 * time.Millisecond
 
 // dispatchers holds one dispatcher for each service, serializes the calls to it and
-// blocks requests until it has decided about them.
+// blocks requests until it has decided about them. A ticket represents a request that
+// needs a slot at a server of the service.
 type dispatchers struct {
 	warmUp dispatch.WarmUpLimit
 	log    *logrus.Entry
@@ -29,10 +30,11 @@
 	nextTicketID uint64
 }
 
+// dispatcher is the dispatcher of one service with the requests that wait for it.
 type dispatcher struct {
 	*dispatch.Dispatcher
-	waiting    map[uint64]chan dispatch.Decision
-	migratable map[string]map[*call]context.CancelCauseFunc // By server: cancels the exchange of a stream, so that it is migrated.
+	waitingTickets    map[uint64]chan dispatch.Decision            // By ticket ID; each channel receives the decision about a queued request.
+	migratableStreams map[string]map[*call]context.CancelCauseFunc // By server; each function cancels the exchange of one stream, so that another server continues it.
 }
 
 func newDispatchers(warmUp dispatch.WarmUpLimit, log *logrus.Entry) *dispatchers {
@@ -50,7 +52,7 @@
 	targets := interTokenTargets(snapshot.Config)
 	for name := range snapshot.Config.Services {
 		if d.byService[name] == nil {
-			d.byService[name] = &dispatcher{Dispatcher: dispatch.NewDispatcher(d.warmUp), waiting: map[uint64]chan dispatch.Decision{}, migratable: map[string]map[*call]context.CancelCauseFunc{}}
+			d.byService[name] = &dispatcher{Dispatcher: dispatch.NewDispatcher(d.warmUp), waitingTickets: map[uint64]chan dispatch.Decision{}, migratableStreams: map[string]map[*call]context.CancelCauseFunc{}}
 		}
 	}
 	for name, dispatcher := range d.byService {
@@ -92,7 +94,7 @@
 		return decision, nil
 	}
 	decided := make(chan dispatch.Decision, 1)
-	dispatcher.waiting[ticket.ID] = decided
+	dispatcher.waitingTickets[ticket.ID] = decided
 	d.mu.Unlock()
 	onWait(decision)
 	select {
@@ -110,13 +112,13 @@
 		}
 	default:
 		dispatcher.Cancel(ticket.ID)
-		delete(dispatcher.waiting, ticket.ID)
+		delete(dispatcher.waitingTickets, ticket.ID)
 	}
 	return dispatch.Decision{}, ctx.Err()
 }
 
-// release frees a slot at the server. It reports whether the server's group is
-// closed for new work.
+// release frees the slot of a request at the server. It reports whether the server's
+// group is closed, that is, accepts no new work.
 func (d *dispatchers) release(service, server string, outcome dispatch.Outcome) (closed bool) {
 	d.withService(service, func(dispatcher *dispatcher) {
 		closed = dispatcher.Done(server, outcome, time.Now())
@@ -125,8 +127,9 @@
 	return closed
 }
 
-// accepted records that a server of the service has begun to answer.
-func (d *dispatchers) accepted(service string) {
+// observeAccepted records that a server of the service has accepted a request and
+// begun to answer it.
+func (d *dispatchers) observeAccepted(service string) {
 	d.withService(service, func(dispatcher *dispatcher) { dispatcher.Accepted() })
 }
 
@@ -145,7 +148,7 @@
 func (d *dispatchers) report(service, server string, report dispatch.Report) {
 	d.withService(service, func(dispatcher *dispatcher) {
 		dispatcher.Report(server, report, time.Now())
-		if len(dispatcher.migratable[server]) > 0 && dispatcher.ShouldMigrateStreams(server, time.Now()) {
+		if len(dispatcher.migratableStreams[server]) > 0 && dispatcher.ShouldMigrateStreams(server, time.Now()) {
 			dispatcher.migrateStreams(server, errMigratedSlow)
 		}
 	})
@@ -154,7 +157,7 @@
 // migrateStreams cancels the exchanges of the migratable streams at a server, so that
 // they continue at another one.
 func (d *dispatcher) migrateStreams(server string, cause error) {
-	for _, migrate := range d.migratable[server] {
+	for _, migrate := range d.migratableStreams[server] {
 		migrate(cause)
 	}
 }
@@ -164,7 +167,7 @@
 func (d *dispatchers) migrateFromSilent(service string, dispatcher *dispatcher) {
 	for _, server := range dispatcher.FindSilent(time.Now()) {
 		logevent.Write(d.log, logevent.ServerSilent, logrus.Fields{
-			"service": service, "server": server, "movable": len(dispatcher.migratable[server]), "config": d.snapshot.Config.Version,
+			"service": service, "server": server, "movable": len(dispatcher.migratableStreams[server]), "config": d.snapshot.Config.Version,
 		})
 		dispatcher.migrateStreams(server, errMigratedSilent)
 	}
@@ -174,21 +177,23 @@
 // function is called.
 func (d *dispatchers) registerStream(service, server string, c *call, migrate context.CancelCauseFunc) (unregister func()) {
 	d.withService(service, func(dispatcher *dispatcher) {
-		if dispatcher.migratable[server] == nil {
-			dispatcher.migratable[server] = map[*call]context.CancelCauseFunc{}
+		if dispatcher.migratableStreams[server] == nil {
+			dispatcher.migratableStreams[server] = map[*call]context.CancelCauseFunc{}
 		}
-		dispatcher.migratable[server][c] = migrate
+		dispatcher.migratableStreams[server][c] = migrate
 	})
 	return func() {
 		d.withService(service, func(dispatcher *dispatcher) {
-			delete(dispatcher.migratable[server], c)
-			if len(dispatcher.migratable[server]) == 0 {
-				delete(dispatcher.migratable, server)
+			delete(dispatcher.migratableStreams[server], c)
+			if len(dispatcher.migratableStreams[server]) == 0 {
+				delete(dispatcher.migratableStreams, server)
 			}
 		})
 	}
 }
 
+// withService calls update with the service's dispatcher, if there is one, under the
+// lock.
 func (d *dispatchers) withService(service string, update func(*dispatcher)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,8 +202,8 @@
 	}
 }
 
-// pollQueues reconsiders the waiting requests and looks for silent servers at each
-// interval until ctx ends.
+// pollQueues reconsiders the waiting requests, and migrates streams off servers that
+// send no events, at each queuePollInterval until ctx ends.
 func (d *dispatchers) pollQueues(ctx context.Context) {
 	ticker := time.NewTicker(queuePollInterval)
 	defer ticker.Stop()
@@ -219,13 +224,13 @@
 
 // resolveWaiting passes decisions to the requests that wait for them.
 func (d *dispatcher) resolveWaiting() {
-	if len(d.waiting) == 0 {
+	if len(d.waitingTickets) == 0 {
 		return
 	}
 	for _, decision := range d.DispatchQueued(rand.Float64, time.Now()) {
-		if decided, ok := d.waiting[decision.Ticket]; ok {
+		if decided, ok := d.waitingTickets[decision.Ticket]; ok {
 			decided <- decision
-			delete(d.waiting, decision.Ticket)
+			delete(d.waitingTickets, decision.Ticket)
 		}
 	}
 }
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -23,25 +23,29 @@
 )
 
 const (
-	callTimeout   = 2 * time.Second
+	// callTimeout bounds a call to the table service, the object store, another agent
+	// or the engine.
+	callTimeout = 2 * time.Second
+	// weightTimeout bounds loading a rank's weights for one map.
 	weightTimeout = 9 * time.Minute
 )
 
-// Group carries out the expert map decisions of one agent in its group.
+// Group carries out the expert map decisions of one agent in its group. A ticket
+// identifies a received order whose RPC call waits for the outcome.
 type Group struct {
 	node   *node.Node
 	engine ports.RankEngine
 
 	orders chan expertmap.Forward // Orders for the engine, processed one at a time.
 
-	mu         sync.Mutex
-	lastTicket uint64
-	pending    map[uint64]chan answer
-	plannedMap planner.Placement // Written to the object store when the change begins.
-	loaded     loadedMap
-	loadingID  expertmap.ID
+	mu            sync.Mutex
+	lastTicket    uint64
+	pendingOrders map[uint64]chan answer // Received orders that have no outcome yet, by ticket.
+	plannedMap    planner.Placement      // The latest planned map; written to the object store when its change begins.
+	latestLoaded  loadedMap
+	loadingMapID  expertmap.ID
 
-	plannerState       planner.State // Used by the planning goroutine only, like decisionRecordedAt.
+	plannerState       planner.State // State of the planner; only the planning goroutine uses it and decisionRecordedAt.
 	decisionRecordedAt time.Time
 }
 
@@ -50,8 +54,8 @@
 func New(n *node.Node, engine ports.RankEngine) *Group {
 	g := &Group{
 		node: n, engine: engine,
-		orders:  make(chan expertmap.Forward, orderQueueLength),
-		pending: map[uint64]chan answer{},
+		orders:        make(chan expertmap.Forward, orderQueueLength),
+		pendingOrders: map[uint64]chan answer{},
 	}
 	n.AddExecutor(g.execute)
 	n.AddReceiver("Group", &receiver{group: g})
@@ -78,9 +82,9 @@
 	case expertmap.Send:
 		go g.send(ctx, effect)
 	case expertmap.Forward:
-		g.enqueue(effect)
+		g.enqueueOrder(effect)
 	case expertmap.RefuseOrder:
-		g.answer(effect.Ticket, answer{refused: true, seen: effect.Seen})
+		g.answer(effect.Ticket, answer{isRefused: true, highestSeen: effect.Seen})
 		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.Seen.Fence, "ready": effect.FenceKnown})
 	case expertmap.PublishMap:
 		go g.storeMap(ctx, effect.ID)
@@ -92,13 +96,14 @@
 	return true
 }
 
+// logNotice logs a change of phase, or the ranks for which the change waits.
 func (g *Group) logNotice(n expertmap.Notice) {
 	event := logevent.MapPhase
 	if len(n.Ranks) > 0 {
 		event = logevent.MapWaiting
 	}
 	if n.Phase == expertmap.Querying {
-		return // Occurs every few seconds.
+		return // This phase recurs every few seconds, so it is not logged.
 	}
 	g.log(event, logrus.Fields{"phase": n.Phase, "map": n.Change.ID.String(), "first_step": n.Change.FirstStep, "ranks": n.Ranks})
 }
@@ -113,7 +118,7 @@
 }
 
 // storeMap writes the planned map to the object store under the change's ID.
-// Ranks retry until it is there.
+// Until the map is there, the ranks fail to read it and try again.
 func (g *Group) storeMap(ctx context.Context, id expertmap.ID) {
 	g.mu.Lock()
 	placement := g.plannedMap
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -20,18 +20,18 @@
 // expertBytes is the size of one expert's weights.
 const expertBytes = 44 << 20
 
-// loadedMap is a map whose weights have been loaded.
+// loadedMap is an encoded expert map for which the rank's weights have been loaded.
 type loadedMap struct {
 	id   expertmap.ID
 	body []byte
 }
 
-// answer is the outcome of an order.
+// answer is the outcome of a received order, with which its RPC call returns.
 type answer struct {
-	state   expertmap.EngineState
-	refused bool
-	seen    expertmap.Number
-	err     error
+	state       expertmap.EngineState
+	isRefused   bool
+	highestSeen expertmap.Number // Highest order or fencing number that the rank has seen; set if the order is refused.
+	err         error
 }
 
 // receiver is the RPC receiver for the coordinator's orders.
@@ -44,29 +44,34 @@
 	r.group.node.Loop.Post(expertmap.OrderReceived{Ticket: ticket, Order: request.Order})
 	result := <-done
 	reply.Stamp = r.group.node.Stamp()
-	reply.State, reply.Refused, reply.Seen = result.state, result.refused, result.seen
+	reply.State, reply.Refused, reply.Seen = result.state, result.isRefused, result.highestSeen
 	return result.err
 }
 
+// registerOrder returns a new ticket and the channel that receives the outcome of its
+// order.
 func (g *Group) registerOrder() (uint64, <-chan answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lastTicket++
 	done := make(chan answer, 1)
-	g.pending[g.lastTicket] = done
+	g.pendingOrders[g.lastTicket] = done
 	return g.lastTicket, done
 }
 
+// answer delivers the outcome of the ticket's order to its waiting RPC call.
 func (g *Group) answer(ticket uint64, a answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if done, ok := g.pending[ticket]; ok {
-		delete(g.pending, ticket)
+	if done, ok := g.pendingOrders[ticket]; ok {
+		delete(g.pendingOrders, ticket)
 		done <- a
 	}
 }
 
-func (g *Group) enqueue(forward expertmap.Forward) {
+// enqueueOrder queues the order for the engine. It fails the order if the queue is
+// full.
+func (g *Group) enqueueOrder(forward expertmap.Forward) {
 	select {
 	case g.orders <- forward:
 	default:
@@ -84,6 +89,8 @@
 	g.answer(forward.Ticket, answer{state: state, err: err})
 }
 
+// sendToEngine sends the order to the engine, with the map that the order needs, and
+// returns the engine's state after it.
 func (g *Group) sendToEngine(ctx context.Context, order expertmap.Order) (expertmap.EngineState, error) {
 	request := ports.RankOrder{Fence: order.Number.EngineFence(), Order: order}
 	if id, needs := requiredMap(order); needs {
@@ -111,21 +118,23 @@
 }
 
 // mapWithWeights returns the map once the rank's weights are loaded. Until then
-// it returns an error and loads them in the background, while other orders go
-// on; the coordinator retries.
+// it returns an error and loads them in the background, so that other orders are not
+// delayed; the coordinator retries.
 func (g *Group) mapWithWeights(ctx context.Context, id expertmap.ID) ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.loaded.id == id && g.loaded.body != nil {
-		return g.loaded.body, nil
+	if g.latestLoaded.id == id && g.latestLoaded.body != nil {
+		return g.latestLoaded.body, nil
 	}
-	if g.loadingID != id {
-		g.loadingID = id
+	if g.loadingMapID != id {
+		g.loadingMapID = id
 		go g.loadWeights(ctx, id)
 	}
 	return nil, fmt.Errorf("weights of map %s are loading", id)
 }
 
+// loadWeights loads the map and the rank's weights for it. It keeps the result unless
+// another map has been asked for meanwhile.
 func (g *Group) loadWeights(ctx context.Context, id expertmap.ID) {
 	body, err := g.loadMapAndWeights(ctx, id)
 	if err != nil {
@@ -133,12 +142,12 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.loadingID != id {
+	if g.loadingMapID != id {
 		return
 	}
-	g.loadingID = expertmap.ID{}
+	g.loadingMapID = expertmap.ID{}
 	if err == nil {
-		g.loaded = loadedMap{id: id, body: body}
+		g.latestLoaded = loadedMap{id: id, body: body}
 	}
 }
 
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -24,14 +24,16 @@
 	// callTimeout limits the time of one call to an agent, including the agent's calls
 	// to its engine.
 	callTimeout = 300 * time.Millisecond
-	// countedRanksPerRound is the number of ranks whose counts are read in one round.
+	// countedRanksPerRound is the number of ranks whose expert counts are read in one
+	// round of reads.
 	// Requests are spread evenly over all ranks, so a part of a large group shows the
 	// demand of the whole group, and the coordinator's network link has the bandwidth
 	// for that part.
 	countedRanksPerRound = 12
-	// remoteListsInterval is the shortest time between two reads of an engine's lists
-	// from another machine. Such a read makes the engine's group pause.
-	remoteListsInterval = time.Second
+	// remoteListsReadInterval is the shortest time between two reads of expert lists
+	// directly from engines on other machines. Such a read makes the engine's group
+	// pause.
+	remoteListsReadInterval = time.Second
 	// readInterval is how often every rank is read. The reads also show the agents
 	// that the coordinator is alive.
 	readInterval = 100 * time.Millisecond
@@ -40,7 +42,7 @@
 	// no more calls per second than a smaller one.
 	changeReadIntervalPerRank = 2 * time.Millisecond
 	// foreignMemberTTL is how long a member that has reported another group is not read
-	// again; foreignMemberTTLWhileSearching is the same while ranks of the
+	// again, and foreignMemberTTLWhileSearching is how long while ranks of the
 	// coordinator's group are missing. Servers join other groups only when they
 	// restart, which takes seconds.
 	foreignMemberTTL               = 5 * time.Second
@@ -49,49 +51,51 @@
 	// large service has dozens of groups, each with a coordinator that searches for its
 	// ranks, and each read of another machine opens a connection.
 	maxUnknownReads = 128
-	// tickInterval is how often the coordinator checks for orders without effect.
+	// tickInterval is how often the coordinator checks for orders that have not taken
+	// effect and must be sent again.
 	tickInterval = 10 * time.Millisecond
 )
 
-// coordinator changes the expert map of one group under one lease.
+// coordinator changes the expert map of one group for the holder of the group's lease.
+// It stops when it learns of a newer coordinator.
 type coordinator struct {
-	fence        uint64
+	fence        uint64 // Fencing number of the lease.
 	group        string
-	members      func() []Member
-	peers        *rpc.Pool
-	directEngine func(address string) Engine
+	members      func() []Member             // Returns the listed members of the service, of all its groups.
+	peers        *rpc.Pool                   // Connections to the agents.
+	directEngine func(address string) Engine // Returns the client of an engine whose agent is unreachable.
 	log          *logrus.Entry
 	loop         *loop.Loop[mapswitch.State, view]
 	planner      *planner
 	stop         context.CancelFunc
 	metrics      *Metrics
 
-	mu           sync.Mutex
-	addresses    map[int]Member       // Ranks of the current epoch.
-	foreignSince map[string]time.Time // When members last reported another group, by server.
+	mu                sync.Mutex
+	membersByRank     map[int]Member       // Members of the group in the current epoch, by rank.
+	foreignReportedAt map[string]time.Time // When members last reported another group, by server.
 
-	nextUnknown     int // Index of the listed member at which the search for unknown members continues.
-	epoch           int64
-	remoteListsAt   time.Time // When an engine's lists were last read from another machine.
-	latestCopyOrder GiveArgs  // The latest prepare order, as changes.
+	nextUnknownIndex      int // Index of the listed member at which the search for unknown members continues.
+	epoch                 int64
+	lastRemoteListsReadAt time.Time // When expert lists were last read directly from an engine on another machine.
+	latestPrepareOrder    GiveArgs  // The latest prepare order, with changes instead of a whole map.
 }
 
 // Member is a backend server of the service and the agent beside it.
 type Member struct {
-	Server string // host:port.
-	Agent  string // host:port.
+	Server string // host:port of the backend server.
+	Agent  string // host:port of the agent beside the server.
 }
 
 // view is the part of the control state that the planner and the reader use.
 type view struct {
-	Phase   mapswitch.Phase
-	Epoch   int64
-	Size    int
-	Current mapswitch.Map
-	Lists   bool
+	Phase         mapswitch.Phase
+	Epoch         int64
+	Size          int           // Number of ranks in the group.
+	Current       mapswitch.Map // The map in use; nil while it is unknown.
+	MustReadLists bool          // The expert lists of the ranks must be read.
 
-	Slowness []float64 // By rank, as reported.
-	Requests int       // At all ranks, including queued ones.
+	Slowness []float64 // Time of each rank for one unit of load, relative to a normal rank, as reported.
+	Requests int       // Number of requests at all ranks, including queued ones.
 }
 
 // slotUtilization returns the share of the group's request slots that are in use.
@@ -99,8 +103,9 @@
 	return float64(v.Requests) / float64(max(1, v.Size*engine.Slots))
 }
 
-// mayPauseForArming reports whether the group may soon pause until its ranks are armed.
-// Counts would then compete with the orders for the network link.
+// mayPauseForArming reports whether the group may soon pause until its ranks are armed,
+// that is, ordered to switch maps. Reads of expert counts would then compete with the
+// orders for the network link.
 func (v view) mayPauseForArming() bool {
 	switch v.Phase {
 	case mapswitch.Holding, mapswitch.Arming, mapswitch.Releasing:
@@ -114,9 +119,9 @@
 func (c *coordinator) run(ctx context.Context, ownRank int) {
 	ctx, c.stop = context.WithCancel(ctx)
 	defer c.stop()
-	c.addresses, c.foreignSince = map[int]Member{}, map[string]time.Time{}
+	c.membersByRank, c.foreignReportedAt = map[int]Member{}, map[string]time.Time{}
 	c.loop = loop.New(mapswitch.Step, func(s mapswitch.State) view {
-		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.Current, Lists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
+		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.Current, MustReadLists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
 	}, func(effect reduce.Effect) { c.execute(ctx, effect) }, nil)
 	go c.readAll(ctx)
 	go c.planner.run(ctx, c.loop)
@@ -124,29 +129,29 @@
 	_ = c.loop.Run(ctx, mapswitch.New(c.fence, ownRank), tickInterval)
 }
 
-// readAll reads the ranks and members of unknown groups at each interval until ctx
-// ends.
+// readAll reads all ranks of the group, and members whose group is unknown, at each
+// interval until ctx ends. The interval is shorter while a change is in progress.
 func (c *coordinator) readAll(ctx context.Context) {
-	var countsAt time.Time
-	firstCounted := 0 // Index of the first rank whose counts are read.
+	var lastCountsReadAt time.Time
+	firstCounted := 0 // Index of the first member whose counts are read in the next round.
 	for ctx.Err() == nil {
-		interval, now := readInterval, view{Lists: true}
+		interval, current := readInterval, view{MustReadLists: true}
 		if known := c.loop.View(); known != nil {
-			now = *known
+			current = *known
 		}
-		if now.Phase != mapswitch.Idle && now.Phase != mapswitch.Survey {
-			interval = min(interval, time.Duration(now.Size)*changeReadIntervalPerRank)
+		if current.Phase != mapswitch.Idle && current.Phase != mapswitch.Survey {
+			interval = min(interval, time.Duration(current.Size)*changeReadIntervalPerRank)
 		}
-		counts := time.Since(countsAt) >= readInterval-interval/2 && !now.mayPauseForArming()
-		if counts {
-			countsAt = time.Now()
+		countsDue := time.Since(lastCountsReadAt) >= readInterval-interval/2 && !current.mayPauseForArming()
+		if countsDue {
+			lastCountsReadAt = time.Now()
 		}
-		members := c.membersToRead(now.Size)
+		members := c.membersToRead(current.Size)
 		for i, member := range members {
-			readCounts := counts && (i+len(members)-firstCounted)%len(members) < countedRanksPerRound
-			go c.read(ctx, member, now.Lists, readCounts)
+			readCounts := countsDue && (i+len(members)-firstCounted)%len(members) < countedRanksPerRound
+			go c.read(ctx, member, current.MustReadLists, readCounts)
 		}
-		if counts && len(members) > 0 {
+		if countsDue && len(members) > 0 {
 			firstCounted = (firstCounted + countedRanksPerRound) % len(members)
 		}
 		wait.For(ctx, interval)
@@ -160,26 +165,26 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ranks := map[string]bool{}
-	members := make([]Member, 0, len(c.addresses))
-	for _, rank := range slices.Sorted(maps.Keys(c.addresses)) { // A stable order, since counts are read round-robin.
-		member := c.addresses[rank]
+	members := make([]Member, 0, len(c.membersByRank))
+	for _, rank := range slices.Sorted(maps.Keys(c.membersByRank)) { // A stable order, since counts are read round-robin.
+		member := c.membersByRank[rank]
 		ranks[member.Server] = true
 		members = append(members, member)
 	}
 	ttl := foreignMemberTTL
-	if len(c.addresses) < size {
+	if len(c.membersByRank) < size {
 		ttl = foreignMemberTTLWhileSearching
 	}
 	unknown := 0
 	for i := range listed {
 		// Start where the previous round stopped, so that members that never answer
 		// don't keep the others from being read.
-		member := listed[(c.nextUnknown+i)%len(listed)]
-		if ranks[member.Server] || time.Since(c.foreignSince[member.Server]) < ttl {
+		member := listed[(c.nextUnknownIndex+i)%len(listed)]
+		if ranks[member.Server] || time.Since(c.foreignReportedAt[member.Server]) < ttl {
 			continue
 		}
 		if unknown == maxUnknownReads {
-			c.nextUnknown = (c.nextUnknown + i) % len(listed)
+			c.nextUnknownIndex = (c.nextUnknownIndex + i) % len(listed)
 			break
 		}
 		unknown++
@@ -192,22 +197,23 @@
 
 // read reads a rank through its agent, or directly from the engine if the agent does
 // not answer.
-func (c *coordinator) read(ctx context.Context, member Member, lists, counts bool) {
+func (c *coordinator) read(ctx context.Context, member Member, readLists, readCounts bool) {
 	requestedAt, isDirect := time.Now(), false
-	args := ReadArgs{Caller: c.caller(), Counts: counts, Lists: lists}
+	args := ReadArgs{Caller: c.caller(), Counts: readCounts, Lists: readLists}
 	var reply ReadReply
 	if err := c.call(ctx, member.Agent, methodRead, args, &reply); err != nil {
 		// A new coordinator must read every rank before it knows the ranks, including
 		// one whose agent is unreachable: the group may pause until it has.
-		if c.stopIfFenced(err) || !lists && !c.isRank(member) {
+		if c.stopIfFenced(err) || !readLists && !c.isRank(member) {
 			return
 		}
-		// Reading counts or lists from another machine makes the group pause.
+		// Reading counts or lists from another machine makes the group pause, so counts
+		// are left out and lists are read rarely.
 		reply, isDirect = ReadReply{}, true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		if err := readEngine(callCtx, c.directEngine(member.Server), lists && c.allowRemoteLists(), &reply); err != nil {
-			return // A missing answer does not change the control state.
+		if err := readEngine(callCtx, c.directEngine(member.Server), readLists && c.allowRemoteLists(), &reply); err != nil {
+			return // A read without an answer does not change the control state.
 		}
 	}
 	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: requestedAt, Direct: isDirect})
@@ -216,19 +222,21 @@
 	}
 }
 
-// allowRemoteLists reports whether an engine's lists may now be read from another
-// machine, and if so records the read.
+// allowRemoteLists reports whether expert lists may now be read directly from an
+// engine on another machine, and if so records the read.
 func (c *coordinator) allowRemoteLists() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.remoteListsAt) < remoteListsInterval {
+	if time.Since(c.lastRemoteListsReadAt) < remoteListsReadInterval {
 		return false
 	}
-	c.remoteListsAt = time.Now()
+	c.lastRemoteListsReadAt = time.Now()
 	return true
 }
 
-// recordReport updates the known ranks from a report and posts it to the control loop.
+// recordReport updates the known ranks from a rank's report and posts the report to the
+// control loop. It only marks a member of another group as foreign, and ignores reports
+// of a group that is forming.
 func (c *coordinator) recordReport(member Member, read mapswitch.RankRead) {
 	state := read.State
 	if state.Group != "" && state.Group != c.group {
@@ -240,10 +248,10 @@
 	c.mu.Lock()
 	if state.Epoch > c.epoch {
 		c.epoch = state.Epoch
-		c.addresses = map[int]Member{}
+		c.membersByRank = map[int]Member{}
 	}
 	if state.Epoch == c.epoch {
-		c.addresses[state.Rank] = member
+		c.membersByRank[state.Rank] = member
 	}
 	c.mu.Unlock()
 	c.loop.Post(read)
@@ -253,7 +261,7 @@
 // connection to its agent.
 func (c *coordinator) markForeign(member Member) {
 	c.mu.Lock()
-	c.foreignSince[member.Server] = time.Now()
+	c.foreignReportedAt[member.Server] = time.Now()
 	c.mu.Unlock()
 	c.peers.Drop(member.Agent)
 }
@@ -262,14 +270,14 @@
 func (c *coordinator) member(rank int) (Member, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	member, ok := c.addresses[rank]
+	member, ok := c.membersByRank[rank]
 	return member, ok
 }
 
 func (c *coordinator) isRank(member Member) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, known := range c.addresses {
+	for _, known := range c.membersByRank {
 		if known == member {
 			return true
 		}
@@ -283,7 +291,7 @@
 		member, ok := c.member(effect.Rank)
 		through, okThrough := c.member(effect.Through)
 		if ok && okThrough {
-			go c.give(ctx, member, through, effect)
+			go c.sendOrder(ctx, member, through, effect)
 		}
 	case mapswitch.ReadRank:
 		if member, ok := c.member(effect.Rank); ok {
@@ -301,16 +309,18 @@
 	}
 }
 
-// give passes an order to a rank through an agent. If the agent is unreachable, orders
-// to prepare, arm or disarm go directly to the engine. Holds are set and released only
-// through an agent, which refuses a superseded coordinator.
-func (c *coordinator) give(ctx context.Context, member, through Member, give mapswitch.SendOrder) {
-	requestedAt, order := time.Now(), give.Order
-	returned := mapswitch.OrderReturned{Rank: give.Rank, Kind: order.Kind}
+// sendOrder sends an order to the engine of the rank member. The agent of the member
+// through passes it on: the rank's own agent, or another rank's for a hold. If that
+// agent is unreachable, orders to prepare, arm or disarm go directly to the engine.
+// Holds are set and released only through an agent, which refuses a superseded
+// coordinator.
+func (c *coordinator) sendOrder(ctx context.Context, member, through Member, sendOrder mapswitch.SendOrder) {
+	requestedAt, order := time.Now(), sendOrder.Order
+	returned := mapswitch.OrderReturned{Rank: sendOrder.Rank, Kind: order.Kind}
 	read := mapswitch.RankRead{RequestedAt: requestedAt}
 	defer func() { c.loop.Post(returned) }()
 	var reply GiveReply
-	if err := c.giveThroughAgent(ctx, member, through, give, &reply); err != nil {
+	if err := c.giveThroughAgent(ctx, member, through, sendOrder, &reply); err != nil {
 		if c.stopIfFenced(err) || order.Kind == topology.Hold || order.Kind == topology.Release {
 			c.logOrderFailure(member, order, err.Error())
 			return
@@ -335,45 +345,45 @@
 	c.recordReport(member, read)
 }
 
-// giveThroughAgent passes an order to a rank's agent. A prepare order carries only the
-// changes to the map in use, unless the agent doesn't have that map.
-func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, give mapswitch.SendOrder, reply *GiveReply) error {
-	whole := GiveArgs{Caller: c.caller(), Order: give.Order}
+// giveThroughAgent sends an order to an agent. A prepare order carries only the changes
+// to the map in use, unless the agent doesn't have that map.
+func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, sendOrder mapswitch.SendOrder, reply *GiveReply) error {
+	wholeOrder := GiveArgs{Caller: c.caller(), Order: sendOrder.Order}
 	if through != member {
-		whole.Server = member.Server
-		return c.call(ctx, through.Agent, methodGive, whole, reply)
+		wholeOrder.Server = member.Server
+		return c.call(ctx, through.Agent, methodGive, wholeOrder, reply)
 	}
-	if give.BaseMap == nil {
-		return c.call(ctx, member.Agent, methodGive, whole, reply)
+	if sendOrder.BaseMap == nil {
+		return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 	}
-	args := c.copyOrder(give)
+	args := c.prepareOrderAsChanges(sendOrder)
 	if !args.hasChanges() {
-		return c.call(ctx, member.Agent, methodGive, whole, reply)
+		return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 	}
 	if err := c.call(ctx, member.Agent, methodGive, args, reply); err != nil || !reply.UnknownBase {
 		return err
 	}
 	*reply = GiveReply{}
-	return c.call(ctx, member.Agent, methodGive, whole, reply)
+	return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
 }
 
-// copyOrder returns the prepare order as changes to the map in use. The result is
-// reused for all ranks, which get the same order: comparing whole maps takes a large
-// part of a small machine's processor time.
-func (c *coordinator) copyOrder(give mapswitch.SendOrder) GiveArgs {
+// prepareOrderAsChanges returns the prepare order with changes to the map in use instead
+// of a whole map. The result is reused for all ranks, which get the same order:
+// comparing whole maps takes a large part of a small machine's processor time.
+func (c *coordinator) prepareOrderAsChanges(sendOrder mapswitch.SendOrder) GiveArgs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.latestCopyOrder.Order
-	if known.Version == give.Order.Version && known.Epoch == give.Order.Epoch && c.latestCopyOrder.Base == give.BaseVersion {
-		return c.latestCopyOrder
+	known := c.latestPrepareOrder.Order
+	if known.Version == sendOrder.Order.Version && known.Epoch == sendOrder.Order.Epoch && c.latestPrepareOrder.Base == sendOrder.BaseVersion {
+		return c.latestPrepareOrder
 	}
 	args := GiveArgs{
-		Caller: c.caller(), Order: give.Order,
-		Base: give.BaseVersion, Changes: mapswitch.Changes(give.BaseMap, give.Order.Map),
+		Caller: c.caller(), Order: sendOrder.Order,
+		Base: sendOrder.BaseVersion, Changes: mapswitch.Changes(sendOrder.BaseMap, sendOrder.Order.Map),
 	}
-	args.InTurn, _ = mapswitch.DealtInTurn(give.BaseMap)
+	args.InTurn, _ = mapswitch.DealtInTurn(sendOrder.BaseMap)
 	args.Order.Map = nil
-	c.latestCopyOrder = args
+	c.latestPrepareOrder = args
 	return args
 }
 
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -16,49 +16,49 @@
 
 const (
 	// planInterval is how often a new map is considered while no change is in
-	// progress: a fraction of a pass.
+	// progress. It is a fraction of the duration of a pass.
 	planInterval = 20 * time.Millisecond
 	// copyTimeBudget limits the time that a rank copies experts for one change, so
 	// that several changes fit between two jumps of demand.
 	copyTimeBudget = 200 * time.Millisecond
-	// maxCopies limits the number of experts that one change copies to a rank: more
+	// maxCopiesPerRank limits the number of experts that one change copies to a rank: more
 	// are never worth waiting for, and considering them takes the planner's time.
-	maxCopies = 4
-	// planHandoverTime is the time in which the control goroutine starts to act on a
-	// posted plan.
+	maxCopiesPerRank = 4
+	// planHandoverTime is the shortest time between two posted plans. Within it the
+	// control goroutine starts to act on a posted plan.
 	planHandoverTime = 60 * time.Millisecond
 	// expertPassShare is the share of a busy group's pass that is spent on experts: a
 	// step of the users' engines takes 4.8 ms of other work and 3 to 5 ms of token
 	// work, most of which is done by experts.
 	expertPassShare = 0.4
-	// minChoices is the number of observed expert choices below which a demand
-	// forecast is noise.
+	// minChoices is the number of observed expert choices below which a forecast of
+	// the demand for experts is noise.
 	minChoices = 2000
 )
 
 // planner forecasts the demand for experts from the ranks' counts and plans new maps
 // for it.
 type planner struct {
-	engine  func() *topology.Engine
-	log     *logrus.Entry
-	group   string
-	gains   chan rankGains
-	metrics *Metrics
+	engineModel func() *topology.Engine
+	log         *logrus.Entry
+	group       string
+	gains       chan rankGains // Queue of gains that the forecast does not include yet.
+	metrics     *Metrics
 
-	demand         *hotexperts.Demand
-	lastPostedAt   time.Time // When the latest plan was posted to the control loop.
-	planConsidered bool      // A plan was considered for the current demand.
+	demand         *hotexperts.Demand // Forecast of the demand; nil before the first gains.
+	lastPostedAt   time.Time          // When the latest plan was posted to the control loop.
+	planConsidered bool               // A plan was considered for the current forecast.
 }
 
-// rankGains is the increase of one rank's counts over a period.
+// rankGains is the increase of one rank's expert counts over a period.
 type rankGains struct {
-	packed  []byte
-	elapsed time.Duration
+	packed  []byte        // The increase, encoded by hotexperts.PackCounts.
+	elapsed time.Duration // Length of the period.
 }
 
-func newPlanner(engine func() *topology.Engine, group string, log *logrus.Entry, metrics *Metrics) *planner {
-	const queued = 256 // A few rounds of reads of a large group.
-	return &planner{engine: engine, group: group, log: log, gains: make(chan rankGains, queued), metrics: metrics}
+func newPlanner(engineModel func() *topology.Engine, group string, log *logrus.Entry, metrics *Metrics) *planner {
+	const queued = 256 // Gains of a few rounds of reads in a large group.
+	return &planner{engineModel: engineModel, group: group, log: log, gains: make(chan rankGains, queued), metrics: metrics}
 }
 
 // enqueue passes a rank's gains to the planner. It drops them if the queue is full,
@@ -70,6 +70,7 @@
 	}
 }
 
+// run applies queued gains and plans at each planInterval until ctx ends.
 func (p *planner) run(ctx context.Context, control *loop.Loop[mapswitch.State, view]) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -85,9 +86,10 @@
 	}
 }
 
+// applyGains updates the demand forecast with the gains of one rank.
 func (p *planner) applyGains(gains rankGains) {
-	engine := p.engine()
-	if engine == nil {
+	engineModel := p.engineModel()
+	if engineModel == nil {
 		return
 	}
 	counts, err := hotexperts.UnpackCounts(gains.packed)
@@ -96,17 +98,19 @@
 		return
 	}
 	if p.demand == nil {
-		p.demand = hotexperts.NewDemand(engine.Sets, engine.Experts)
+		p.demand = hotexperts.NewDemand(engineModel.Sets, engineModel.Experts)
 	}
 	if p.demand.Observe(counts, gains.elapsed, countedRanksPerRound) {
 		p.planConsidered = false
 	}
 }
 
+// plan posts a new map to the control loop if no change is in progress and the new
+// map is worth its copies.
 func (p *planner) plan(control *loop.Loop[mapswitch.State, view]) {
 	state := control.View()
-	engine := p.engine()
-	if state == nil || engine == nil || p.demand == nil || state.Phase != mapswitch.Idle || state.Current == nil {
+	engineModel := p.engineModel()
+	if state == nil || engineModel == nil || p.demand == nil || state.Phase != mapswitch.Idle || state.Current == nil {
 		return
 	}
 	if p.planConsidered || p.demand.Choices() < minChoices || time.Since(p.lastPostedAt) < planHandoverTime {
@@ -114,12 +118,12 @@
 	}
 	p.planConsidered = true
 	shape := hotexperts.Shape{
-		Ranks: state.Size, Places: engine.Places, Experts: engine.Experts, NewPerSet: engine.NewPerSet,
+		Ranks: state.Size, Places: engineModel.Places, Experts: engineModel.Experts, NewPerSet: engineModel.NewPerSet,
 		Slowness: state.Slowness,
 	}
-	plan := hotexperts.DecideLeastAverageSkew(shape, state.Current, p.demand.Load(), copyBudget(engine), engine.CopyTime())
+	plan := hotexperts.DecideLeastAverageSkew(shape, state.Current, p.demand.Load(), copyBudget(engineModel), engineModel.CopyTime())
 	p.metrics.skew.Set(plan.SkewBefore)
-	if !plan.IsWorthwhile(hotexperts.Costs{CopyTime: engine.CopyTime(), ExpertTimeShare: expertPassShare, Occupancy: state.slotUtilization(engine)}) {
+	if !plan.IsWorthwhile(hotexperts.Costs{CopyTime: engineModel.CopyTime(), ExpertTimeShare: expertPassShare, Occupancy: state.slotUtilization(engineModel)}) {
 		return
 	}
 	p.lastPostedAt = time.Now()
@@ -133,5 +137,5 @@
 
 // copyBudget returns the number of experts that one change may copy to a rank.
 func copyBudget(engine *topology.Engine) int {
-	return min(maxCopies, max(1, int(copyTimeBudget/max(time.Millisecond, engine.CopyTime()))))
+	return min(maxCopiesPerRank, max(1, int(copyTimeBudget/max(time.Millisecond, engine.CopyTime()))))
 }
--- a/server/stream/codec.go
+++ b/server/stream/codec.go
@@ -7,16 +7,16 @@
 	"unicode/utf8"
 )
 
-// Most pieces hold only text. They are encoded with the fields in this order,
-// and a line of exactly this form is decoded without encoding/json, which
-// handles all other lines.
+// Fixed texts between the values of an encoded piece that holds only text, as most
+// pieces do. Such a piece is encoded with the fields in this order, and a line of
+// exactly this form is decoded without encoding/json, which handles all other lines.
 const (
-	openID     = `{"id":"`
-	openSeq    = `","seq":`
-	openFrom   = `,"from":`
-	openTokens = `,"tokens":`
-	openText   = `,"text":"`
-	closeText  = `"}`
+	idPrefix     = `{"id":"`
+	seqPrefix    = `","seq":`
+	fromPrefix   = `,"from":`
+	tokensPrefix = `,"tokens":`
+	textPrefix   = `,"text":"`
+	textSuffix   = `"}`
 )
 
 // AppendString appends the text as a JSON string.
@@ -45,24 +45,26 @@
 
 // appendPiece appends the encoded piece without a newline.
 func appendPiece(line []byte, piece Piece) ([]byte, error) {
-	if !textOnly(piece) {
+	if !isTextOnly(piece) {
 		encoded, err := json.Marshal(piece)
 		return append(line, encoded...), err
 	}
-	line = append(line, openID...)
+	line = append(line, idPrefix...)
 	line = append(line, piece.ID...)
-	line = append(line, openSeq...)
+	line = append(line, seqPrefix...)
 	line = strconv.AppendInt(line, int64(piece.Seq), 10)
-	line = append(line, openFrom...)
+	line = append(line, fromPrefix...)
 	line = strconv.AppendInt(line, int64(piece.From), 10)
-	line = append(line, openTokens...)
+	line = append(line, tokensPrefix...)
 	line = strconv.AppendInt(line, int64(piece.Tokens), 10)
-	line = append(line, openText...)
+	line = append(line, textPrefix...)
 	line = append(line, piece.Text...)
-	return append(line, closeText...), nil
+	return append(line, textSuffix...), nil
 }
 
-func textOnly(piece Piece) bool {
+// isTextOnly reports whether the piece holds only text, without any of the optional
+// fields, and needs no escapes.
+func isTextOnly(piece Piece) bool {
 	rest := piece
 	rest.ID, rest.Seq, rest.From, rest.Tokens, rest.Text = "", 0, 0, 0, ""
 	return rest == Piece{} && piece.Text != "" && needsNoEscape(piece.ID) && needsNoEscape(piece.Text)
@@ -79,16 +81,18 @@
 	return piece, err
 }
 
+// parseTextOnly decodes a line of a piece that holds only text. It returns false for
+// any other line.
 func parseTextOnly(line []byte, lastID string) (Piece, bool) {
-	rest, ok := bytes.CutPrefix(line, []byte(openID))
+	rest, ok := bytes.CutPrefix(line, []byte(idPrefix))
 	if !ok {
 		return Piece{}, false
 	}
-	id, rest, idOK := bytes.Cut(rest, []byte(openSeq))
-	seq, rest, seqOK := cutNumber(rest, openFrom)
-	from, rest, fromOK := cutNumber(rest, openTokens)
-	tokens, rest, tokensOK := cutNumber(rest, openText)
-	text, textOK := bytes.CutSuffix(rest, []byte(closeText))
+	id, rest, idOK := bytes.Cut(rest, []byte(seqPrefix))
+	seq, rest, seqOK := cutNumber(rest, fromPrefix)
+	from, rest, fromOK := cutNumber(rest, tokensPrefix)
+	tokens, rest, tokensOK := cutNumber(rest, textPrefix)
+	text, textOK := bytes.CutSuffix(rest, []byte(textSuffix))
 	if !idOK || !seqOK || !fromOK || !tokensOK || !textOK || !needsNoEscape(id) || !needsNoEscape(text) {
 		return Piece{}, false
 	}
@@ -98,7 +102,7 @@
 	return Piece{ID: lastID, Seq: seq, From: from, Tokens: tokens, Text: string(text)}, true
 }
 
-// maxDigits keeps a number within an int.
+// maxDigits is the maximum number of digits, so that a number fits in an int.
 const maxDigits = 18
 
 // cutNumber parses a decimal number up to the separator.
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -40,15 +40,17 @@
 	Matches func(header http.Header) bool
 }
 
-// Exchange is a request that was sent and the head of its response.
+// Exchange is a request that was sent and the head of its response, that is, the
+// status line and the headers. The caller reads the body and then calls Finish or
+// Abort.
 type Exchange struct {
 	Response *http.Response
 
-	conn      *Conn
-	pool      *Pool
-	bodyWrite chan error // Result of the asynchronous body write; nil if the body was written inline.
-	stopWatch func() bool
-	ended     bool
+	conn             *Conn
+	pool             *Pool
+	bodyWriteResult  chan error  // Result of the asynchronous body write; nil if the body was written inline.
+	stopContextWatch func() bool // Stops the reset at the end of the context; false if it has begun.
+	ended            bool        // Finish or Abort was called.
 }
 
 // Do sends the request on the connection and reads the head of its response.
@@ -56,7 +58,7 @@
 // ErrMismatchedResponse.
 func (p *Pool) Do(ctx context.Context, conn *Conn, request Request) (*Exchange, error) {
 	exchange := &Exchange{conn: conn, pool: p}
-	exchange.stopWatch = context.AfterFunc(ctx, func() { reset(conn) })
+	exchange.stopContextWatch = context.AfterFunc(ctx, func() { reset(conn) })
 	if err := exchange.send(request); err != nil {
 		exchange.Abort()
 		return nil, fmt.Errorf("%w: send: %w", ErrInterrupted, err)
@@ -68,6 +70,7 @@
 	return exchange, nil
 }
 
+// send writes the request. A long body is written in the background.
 func (e *Exchange) send(request Request) error {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.Target, request.Host)
@@ -87,14 +90,16 @@
 		return err
 	}
 	// A server may respond before it has read a long body.
-	e.bodyWrite = make(chan error, 1)
+	e.bodyWriteResult = make(chan error, 1)
 	go func() {
 		_, err := e.conn.Write(request.Body)
-		e.bodyWrite <- err
+		e.bodyWriteResult <- err
 	}()
 	return nil
 }
 
+// receiveHead reads response heads up to the one that belongs to the request, and
+// skips the responses to other requests.
 func (e *Exchange) receiveHead(request Request) error {
 	methodOnly := &http.Request{Method: request.Method}
 	for range maxMismatchedResponses {
@@ -150,15 +155,16 @@
 		return false
 	}
 	e.ended = true
-	return e.stopWatch()
+	return e.stopContextWatch()
 }
 
+// bodyWritten reports whether the whole request body has been written.
 func (e *Exchange) bodyWritten() bool {
-	if e.bodyWrite == nil {
+	if e.bodyWriteResult == nil {
 		return true
 	}
 	select {
-	case err := <-e.bodyWrite:
+	case err := <-e.bodyWriteResult:
 		return err == nil
 	default:
 		return false
