--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -21,7 +21,7 @@
 	Size           int // Number of ranks.
 	Lease          lease.State
 	Coordinator    Coordinator
-	Orders         Rank
+	OrderFilter    Rank
 	LastRunnableAt time.Time // When the engine was last known to be able to run.
 	Blocked        bool      // The engine has been unable to run for longer than blockedTimeout.
 }
@@ -52,11 +52,11 @@
 	var effects, more []reduce.Effect
 	held := m.Lease.Held
 	m.Lease, effects = lease.Step(m.Lease, input)
-	m.Orders, more = StepRank(m.Orders, input)
+	m.OrderFilter, more = StepRank(m.OrderFilter, input)
 	effects = append(effects, more...)
 	for _, effect := range more {
 		if forward, ok := effect.(Forward); ok {
-			m.Lease, _ = lease.Step(m.Lease, reduce.Input{Now: input.Now, Event: lease.HolderHeard{Fence: forward.Order.Number.Fence}})
+			m.Lease, _ = lease.Step(m.Lease, reduce.Input{Now: input.Now, Event: lease.HolderSeen{Fence: forward.Order.Number.Fence}})
 		}
 	}
 	if m.Lease.Held && (!held || m.Coordinator.Number.Fence < m.Lease.Fence) {
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -18,8 +18,8 @@
 // OrderReceived carries a coordinator's order; Ticket identifies it in the
 // effects.
 type OrderReceived struct {
-	Ticket uint64
-	Order  Order
+	RequestID uint64
+	Order     Order
 }
 
 func (OrderReceived) EventName() string { return "expertmap.ordered" }
@@ -44,15 +44,15 @@
 // coordinator. Orders reach the engine one at a time, in the order of these
 // effects.
 type Forward struct {
-	Ticket uint64
-	Order  Order
+	RequestID uint64
+	Order     Order
 }
 
 func (Forward) EffectName() string { return "expertmap.forward" }
 
 // RefuseOrder replies to the order without forwarding it.
 type RefuseOrder struct {
-	Ticket     uint64
+	RequestID  uint64
 	Seen       Number
 	FenceKnown bool
 }
@@ -74,7 +74,7 @@
 }
 
 func (r Rank) handleOrder(event OrderReceived) (Rank, []reduce.Effect) {
-	refuse := RefuseOrder{Ticket: event.Ticket, Seen: r.Seen, FenceKnown: r.FenceKnown}
+	refuse := RefuseOrder{RequestID: event.RequestID, Seen: r.Seen, FenceKnown: r.FenceKnown}
 	if !r.FenceKnown && r.ReadingFence {
 		return r, []reduce.Effect{refuse}
 	}
--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -34,14 +34,14 @@
 	Self          string
 	TakeoverDelay time.Duration // Added to the lease timeout, so that candidates do not race.
 
-	Held     bool
-	Fence    uint64 // Highest fencing number seen; the candidate's own one while Held.
-	Version  uint64 // Version of the row as last seen.
-	Nonce    uint64 // Nonce of this candidate's last write.
-	Row      Row    // The row as last seen.
-	SeenAt   time.Time
-	InFlight bool // A read or write is in flight.
-	NextAt   time.Time
+	Held         bool
+	Fence        uint64 // Highest fencing number seen; the candidate's own one while Held.
+	Version      uint64 // Version of the row as last seen.
+	Nonce        uint64 // Nonce of this candidate's last write.
+	Row          Row    // The row as last seen.
+	HolderSeenAt time.Time
+	InFlight     bool // A read or write is in flight.
+	NextReadAt   time.Time
 }
 
 // Read carries the row. Version 0 means that the row does not exist.
@@ -71,11 +71,11 @@
 
 func (Conflict) EventName() string { return "lease.conflict" }
 
-// HolderHeard reports that an order from the holder with the fencing number has
+// HolderSeen reports that an order from the holder with the fencing number has
 // arrived, so that the candidate need not read the row yet.
-type HolderHeard struct{ Fence uint64 }
+type HolderSeen struct{ Fence uint64 }
 
-func (HolderHeard) EventName() string { return "lease.holder_heard" }
+func (HolderSeen) EventName() string { return "lease.holder_heard" }
 
 // ReadRow is the effect that reads the row; the reply is Read or Failed.
 type ReadRow struct{}
@@ -96,7 +96,7 @@
 	switch event := input.Event.(type) {
 	case reduce.Tick:
 		return s.tick(input)
-	case HolderHeard:
+	case HolderSeen:
 		return s.holderHeard(event, input.Now), nil
 	case Read:
 		s.InFlight = false
@@ -106,29 +106,29 @@
 		return s.observe(event.Row, event.Version, input.Now), nil
 	case Conflict:
 		s.InFlight = false
-		s.NextAt = input.Now
+		s.NextReadAt = input.Now
 	case Failed:
 		s.InFlight = false
-		s.NextAt = input.Now.Add(retryInterval)
+		s.NextReadAt = input.Now.Add(retryInterval)
 	}
 	return s, nil
 }
 
 func (s State) tick(input reduce.Input) (State, []reduce.Effect) {
-	if s.InFlight || input.Now.Before(s.NextAt) {
+	if s.InFlight || input.Now.Before(s.NextReadAt) {
 		return s, nil
 	}
 	s.InFlight = true
-	s.NextAt = input.Now.Add(renewInterval)
+	s.NextReadAt = input.Now.Add(renewInterval)
 	return s, []reduce.Effect{ReadRow{}}
 }
 
-func (s State) holderHeard(event HolderHeard, now time.Time) State {
+func (s State) holderHeard(event HolderSeen, now time.Time) State {
 	if s.Held || event.Fence < s.Fence {
 		return s
 	}
-	s.Fence, s.SeenAt = event.Fence, now
-	s.NextAt = now.Add(leaseTimeout / 2)
+	s.Fence, s.HolderSeenAt = event.Fence, now
+	s.NextReadAt = now.Add(leaseTimeout / 2)
 	return s
 }
 
@@ -136,7 +136,7 @@
 // expired.
 func (s State) read(event Read, input reduce.Input) (State, []reduce.Effect) {
 	s = s.observe(event.Row, event.Version, input.Now)
-	free := event.Version == 0 || input.Now.Sub(s.SeenAt) >= leaseTimeout+s.TakeoverDelay
+	free := event.Version == 0 || input.Now.Sub(s.HolderSeenAt) >= leaseTimeout+s.TakeoverDelay
 	row := Row{Holder: s.Self, Fence: event.Row.Fence, Nonce: input.Random}
 	switch {
 	case s.Held:
@@ -153,7 +153,7 @@
 // that the write was applied.
 func (s State) observe(row Row, version uint64, now time.Time) State {
 	if version != s.Version {
-		s.SeenAt = now
+		s.HolderSeenAt = now
 	}
 	own := version > 0 && s.Nonce != 0 && row.Holder == s.Self && row.Nonce == s.Nonce
 	s.Held = own || (s.Held && row.Fence == s.Fence)
--- a/policy/mapswitch/change_test.go
+++ b/policy/mapswitch/change_test.go
@@ -23,12 +23,12 @@
 
 func TestDealtInTurn(t *testing.T) {
 	shape := Shape{Sets: 2, Experts: 7, Ranks: 3}
-	if got, ok := DealtInTurn(InTurn(shape)); !ok || got != shape {
+	if got, ok := RoundRobinShape(RoundRobin(shape)); !ok || got != shape {
 		t.Errorf("got %v, %v", got, ok)
 	}
-	other := InTurn(shape)
+	other := RoundRobin(shape)
 	other[1][2] = []int{0}
-	if got, ok := DealtInTurn(other); ok || got != (Shape{}) {
+	if got, ok := RoundRobinShape(other); ok || got != (Shape{}) {
 		t.Errorf("a map with another placement is recognised as a round-robin map: %v", got)
 	}
 }
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -43,7 +43,7 @@
 	case held == s.Hold.Pass && s.senderAnswersAgain():
 		s, moved := s.enterPhase(Arming, "hold is in place", now)
 		return s, moved, nil
-	case held == s.Hold.Pass && now.Sub(s.Since) > holdTimeout:
+	case held == s.Hold.Pass && now.Sub(s.PhaseStartedAt) > holdTimeout:
 		// No rank has been armed for the pass, so the group may continue.
 		s, orders := s.releaseHolds(held, now)
 		s.senderFailedAt = now
@@ -94,14 +94,14 @@
 // answered a call made at least holdSettleTime after its reply.
 func (s State) senderAnswersAgain() bool {
 	sender := s.Ranks[s.Hold.sender]
-	return !s.Hold.answeredAt.IsZero() && !sender.Direct && sender.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
+	return !s.Hold.answeredAt.IsZero() && !sender.AgentUnreachable && sender.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
 }
 
 // needsNewHoldRanks reports whether the hold needs another rank or another
 // sender, because an agent is unreachable and there is a replacement.
 func (s State) needsNewHoldRanks() bool {
 	holder, sender := s.nextHoldRanks()
-	return (s.Ranks[s.Hold.Rank].Direct || s.Ranks[s.Hold.sender].Direct) && (holder != s.Hold.Rank || sender != s.Hold.sender)
+	return (s.Ranks[s.Hold.Rank].AgentUnreachable || s.Ranks[s.Hold.sender].AgentUnreachable) && (holder != s.Hold.Rank || sender != s.Hold.sender)
 }
 
 // nextHoldPass returns the pass to hold. ok is false while the lowest pass that
@@ -122,7 +122,7 @@
 func (s State) nextHoldRanks() (holder, sender int) {
 	var reachable []int
 	for i := range s.Size {
-		if id := (s.ownRank + 1 + i) % s.Size; !s.Ranks[id].Direct {
+		if id := (s.ownRank + 1 + i) % s.Size; !s.Ranks[id].AgentUnreachable {
 			reachable = append(reachable, id)
 		}
 	}
--- a/policy/mapswitch/hold_test.go
+++ b/policy/mapswitch/hold_test.go
@@ -122,8 +122,8 @@
 		So(order.Order.Kind, ShouldEqual, topology.Hold)
 
 		Convey("the order is sent through a third machine", func() {
-			So(order.Through, ShouldNotEqual, order.Rank)
-			So(order.Through, ShouldNotEqual, 0)
+			So(order.SenderRank, ShouldNotEqual, order.Rank)
+			So(order.SenderRank, ShouldNotEqual, 0)
 			So(order.Rank, ShouldNotEqual, 0)
 		})
 
@@ -131,7 +131,7 @@
 			c.pending = nil
 			readOthers := func() {
 				for rank := range g.ranks {
-					if rank != order.Through {
+					if rank != order.SenderRank {
 						read := g.report(rank)
 						read.RequestedAt = now
 						c.handle(read, now)
@@ -178,7 +178,7 @@
 			read := g.report(order.Rank)
 			read.RequestedAt = now
 			c.handle(read, now)
-			So(c.pending, ShouldResemble, []reduce.Effect{ReadRank{Rank: order.Through}})
+			So(c.pending, ShouldResemble, []reduce.Effect{ReadRank{Rank: order.SenderRank}})
 			now = now.Add(time.Millisecond)
 			readRanks(g, c, now)
 			So(c.state.Phase, ShouldEqual, Arming)
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -90,10 +90,10 @@
 	Ranks map[int]Rank
 
 	Phase          Phase
-	Since          time.Time // When the phase began.
+	PhaseStartedAt time.Time // When the phase began.
 	Version        int64     // The version in force, or being put in force.
-	Next           Map       // Content of Version while it is put in force; nil for a predecessor's change.
-	Current        Map       // The map in use; nil while unknown.
+	NextMap        Map       // Content of Version while it is put in force; nil for a predecessor's change.
+	CurrentMap     Map       // The map in use; nil while unknown.
 	CurrentVersion int64     // The version of Current.
 	Hold           Hold
 
@@ -117,7 +117,7 @@
 	State             topology.RankState
 	Lists             topology.RankLists // Lists for State.MapVersion, if the versions match.
 	ReportRequestedAt time.Time          // When the report was requested.
-	Direct            bool               // The agent is unreachable; the engine itself was read.
+	AgentUnreachable  bool               // The agent is unreachable; the engine itself was read.
 	OrderedAt         time.Time          // When the last order was sent.
 	OrderPending      bool               // The call of the last order has not returned.
 }
@@ -135,8 +135,8 @@
 	// RequestedAt is when the report was requested. A report that was requested
 	// before the latest known one is ignored.
 	RequestedAt time.Time
-	// Direct means that the engine itself was read because its agent is unreachable.
-	Direct bool
+	// AgentUnreachable means that the engine itself was read because its agent is unreachable.
+	AgentUnreachable bool
 }
 
 func (RankRead) EventName() string { return "mapswitch.rank_read" }
@@ -151,13 +151,13 @@
 
 func (OrderReturned) EventName() string { return "mapswitch.given" }
 
-// Planned carries the next map.
-type Planned struct {
+// MapPlanned carries the next map.
+type MapPlanned struct {
 	Epoch int64
 	Map   Map
 }
 
-func (Planned) EventName() string { return "mapswitch.planned" }
+func (MapPlanned) EventName() string { return "mapswitch.planned" }
 
 // SendOrder is the effect that sends the order to the rank; the rank is read
 // after it.
@@ -168,9 +168,9 @@
 	// nil and 0 for other orders. A rank's own report may lag behind that version.
 	BaseMap     Map
 	BaseVersion int64
-	// Through is the rank whose agent sends the order. It is the rank itself, except
+	// SenderRank is the rank whose agent sends the order. It is the rank itself, except
 	// for holds.
-	Through int
+	SenderRank int
 }
 
 func (SendOrder) EffectName() string { return "mapswitch.give" }
@@ -216,9 +216,9 @@
 		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.answeredAt.IsZero() {
 			s.Hold.answeredAt = input.Now
 		}
-	case Planned:
+	case MapPlanned:
 		if s.Phase == Idle && event.Epoch == s.Epoch {
-			s.Next = event.Map
+			s.NextMap = event.Map
 			s.Version = s.nextVersion()
 			s.ordersLost = false
 			s, effects = s.enterPhase(Preparing, "planned", input.Now)
@@ -246,7 +246,7 @@
 	if state.Epoch > s.Epoch || state.Size != s.Size {
 		s.Epoch, s.Size = state.Epoch, state.Size
 		s.Ranks = map[int]Rank{}
-		s.Current, s.Next = nil, nil
+		s.CurrentMap, s.NextMap = nil, nil
 		s.releasablePasses, s.minHoldPass = map[int64]bool{}, 0
 		s.passTiming.pass = 0
 		s, effects = s.enterPhase(Survey, "new epoch", now)
@@ -255,7 +255,7 @@
 	if event.RequestedAt.Before(rank.ReportRequestedAt) {
 		return s, effects
 	}
-	rank.State, rank.ReportRequestedAt, rank.Direct = state, event.RequestedAt, event.Direct
+	rank.State, rank.ReportRequestedAt, rank.AgentUnreachable = state, event.RequestedAt, event.AgentUnreachable
 	if event.Lists.Experts != nil && event.Lists.MapVersion == state.MapVersion {
 		rank.Lists = event.Lists
 	}
@@ -344,10 +344,10 @@
 // that they do not delay those of the new phase.
 func (s State) enterPhase(to Phase, reason string, now time.Time) (State, []reduce.Effect) {
 	effect := PhaseChanged{From: s.Phase, To: to, Epoch: s.Epoch, Version: s.Version, Pass: s.Hold.Pass, Reason: reason}
-	if !s.Since.IsZero() {
-		effect.TimeInPhase = now.Sub(s.Since)
+	if !s.PhaseStartedAt.IsZero() {
+		effect.TimeInPhase = now.Sub(s.PhaseStartedAt)
 	}
-	s.Phase, s.Since = to, now
+	s.Phase, s.PhaseStartedAt = to, now
 	for id, rank := range s.Ranks {
 		rank.OrderedAt, rank.OrderPending = time.Time{}, false
 		s.Ranks[id] = rank
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -212,7 +212,7 @@
 
 		Convey("a stale report of the previous map does not change the base of the next change", func() {
 			lagging := g.report(2)
-			lagging.State.MapVersion, lagging.Direct, lagging.RequestedAt = first, true, now
+			lagging.State.MapVersion, lagging.AgentUnreachable, lagging.RequestedAt = first, true, now
 			c.handle(lagging, now)
 			c.plan(now)
 			So(runRounds(g, c, &now, 20, nil), ShouldBeNil)
@@ -330,7 +330,7 @@
 		read := n.group.report(rank)
 		if unreachable {
 			// A read of the engine itself returns an older state.
-			read, read.Direct = n.staleReports[rank], true
+			read, read.AgentUnreachable = n.staleReports[rank], true
 		} else {
 			n.fences[rank] = c.state.Fence
 		}
@@ -352,7 +352,7 @@
 		if !ok || send.Rank >= len(n.group.ranks) {
 			continue
 		}
-		fenced := c.state.Fence < n.fences[send.Through]
+		fenced := c.state.Fence < n.fences[send.SenderRank]
 		unreachable := rapid.IntRange(0, 4).Draw(t, "agent unreachable") == 0
 		if (fenced || unreachable) && (send.Order.Kind == topology.Hold || send.Order.Kind == topology.Release) {
 			continue // All other orders may bypass an unreachable agent.
@@ -363,7 +363,7 @@
 		case 1: // Lost.
 		default:
 			n.group.apply(send.Rank, n.group.expand(send))
-			if !fenced && send.Through == send.Rank {
+			if !fenced && send.SenderRank == send.Rank {
 				read := n.group.report(send.Rank)
 				read.RequestedAt = now
 				c.handle(read, now)
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -24,12 +24,12 @@
 		}
 		rank.OrderedAt, rank.OrderPending = now, true
 		s.Ranks[id] = rank
-		send := SendOrder{Rank: id, Order: order, Through: id}
+		send := SendOrder{Rank: id, Order: order, SenderRank: id}
 		switch {
 		case order.Kind == topology.Hold:
-			send.Through = s.Hold.sender
-		case order.Kind == topology.Prepare && s.Current != nil:
-			send.BaseMap, send.BaseVersion = s.Current, s.CurrentVersion
+			send.SenderRank = s.Hold.sender
+		case order.Kind == topology.Prepare && s.CurrentMap != nil:
+			send.BaseMap, send.BaseVersion = s.CurrentMap, s.CurrentVersion
 		}
 		effects = append(effects, send)
 	}
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -14,7 +14,7 @@
 	armedRank, isArmed := s.armedRank()
 	if isArmed && !s.cannotComplete(armedRank.State.Armed) {
 		s.Version, s.Hold.Pass = armedRank.State.Armed, armedRank.State.ArmedPass
-		s.Next = nil
+		s.NextMap = nil
 		return s.enterPhase(Arming, "a predecessor has armed a rank", now)
 	}
 	current, ok := s.currentMap()
@@ -27,10 +27,10 @@
 	}
 	if isArmed || held != 0 {
 		s.Hold.Pass = held
-		s.Version, s.Next = s.nextVersion(), current
+		s.Version, s.NextMap = s.nextVersion(), current
 		return s.enterPhase(Fencing, "a predecessor has left orders behind", now)
 	}
-	s.Current, s.CurrentVersion = current, s.Ranks[0].Lists.MapVersion
+	s.CurrentMap, s.CurrentVersion = current, s.Ranks[0].Lists.MapVersion
 	if !s.noHoldInEpoch() {
 		s.minHoldPass = max(s.minHoldPass, s.lastPass()+maxPassLead+1)
 	}
@@ -43,7 +43,7 @@
 // passes that nobody has held.
 func (s State) noHoldInEpoch() bool {
 	return s.allRanks(func(r Rank) bool {
-		return !r.Direct && r.State.MapVersion == 0 && r.State.Prepared == 0 && r.State.Armed == 0
+		return !r.AgentUnreachable && r.State.MapVersion == 0 && r.State.Prepared == 0 && r.State.Armed == 0
 	})
 }
 
@@ -66,7 +66,7 @@
 }
 
 func (s State) prepare(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
-	if now.Sub(s.Since) > prepareLimit {
+	if now.Sub(s.PhaseStartedAt) > prepareLimit {
 		s, moved := s.enterPhase(Survey, "ranks did not copy in time", now)
 		return s, moved, nil
 	}
@@ -80,9 +80,9 @@
 		s, moved := s.enterPhase(Holding, "all ranks prepared", now)
 		return s, moved, nil
 	}
-	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.Next},
+	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.NextMap},
 		func(r Rank) bool { return r.State.Prepared != s.Version && !r.State.OrderRunning })
-	s.ordersLost = s.ordersLost || len(orders) > 0 && now.After(s.Since)
+	s.ordersLost = s.ordersLost || len(orders) > 0 && now.After(s.PhaseStartedAt)
 	return s, nil, orders
 }
 
@@ -105,7 +105,7 @@
 func (s State) release(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	s, orders := s.releaseHolds(s.Hold.Pass, now)
 	if s.allRanks(func(r Rank) bool { return r.State.HeldPass == 0 || r.State.HeldPass > s.Hold.Pass }) {
-		if s.Next != nil {
+		if s.NextMap != nil {
 			s.passTiming.observeArming(now.Sub(s.Hold.firstOrderedAt))
 		}
 		s, moved := s.enterPhase(Settling, "released", now)
@@ -120,10 +120,10 @@
 	if !s.allRanks(func(r Rank) bool { return r.State.MapVersion == s.Version && r.State.Armed == 0 }) {
 		return s, nil
 	}
-	if s.Next == nil {
+	if s.NextMap == nil {
 		return s.enterPhase(Survey, "a predecessor's change is in force", now)
 	}
-	s.Current, s.CurrentVersion, s.Next = s.Next, s.Version, nil
+	s.CurrentMap, s.CurrentVersion, s.NextMap = s.NextMap, s.Version, nil
 	return s.enterPhase(Idle, "in force", now)
 }
 
@@ -136,7 +136,7 @@
 		return s, moved, nil
 	}
 	if !isArmed && s.allRanks(func(r Rank) bool { return r.State.Prepared == s.Version }) {
-		s.Current, s.CurrentVersion, s.Next = s.Next, s.Ranks[0].Lists.MapVersion, nil
+		s.CurrentMap, s.CurrentVersion, s.NextMap = s.NextMap, s.Ranks[0].Lists.MapVersion, nil
 		for _, rank := range s.Ranks {
 			s.releasablePasses[rank.State.HeldPass] = true
 		}
@@ -144,7 +144,7 @@
 		s, moved := s.enterPhase(Idle, "predecessor's orders are invalidated", now) // The holds are released in that phase.
 		return s, moved, nil
 	}
-	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.Next},
+	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.NextMap},
 		func(r Rank) bool { return r.State.Prepared != s.Version && r.State.Armed == 0 && !r.State.OrderRunning })
 	if isArmed {
 		version := armedRank.State.Armed
--- a/policy/topology/snapshot.go
+++ b/policy/topology/snapshot.go
@@ -28,7 +28,7 @@
 func (s State) Snapshot(previous *Snapshot) *Snapshot {
 	snapshot := &Snapshot{
 		Config:     s.Config,
-		Ready:      s.Config != nil && s.ServersListed,
+		Ready:      s.Config != nil && s.ServersLoaded,
 		candidates: map[string][]Candidate{}, listedServers: map[string][]Server{},
 	}
 	if previous != nil && previous.Config == s.Config {
@@ -123,9 +123,9 @@
 // not change the slice.
 func (s *Snapshot) Candidates(service string) []Candidate { return s.candidates[service] }
 
-// Listed returns all servers of the service, including those that receive no new
+// ListedServers returns all servers of the service, including those that receive no new
 // work. The caller must not change the slice.
-func (s *Snapshot) Listed(service string) []Server { return s.listedServers[service] }
+func (s *Snapshot) ListedServers(service string) []Server { return s.listedServers[service] }
 
 // PickService returns the service of the target that a random number in [0, 1)
 // selects, in proportion to the weights; "" if there are no targets.
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -31,7 +31,7 @@
 	Servers  map[string]ServerState
 	TakenOut map[string]bool // Data centres that are taken out.
 
-	ServersListed bool            // The list of servers has been read at least once.
+	ServersLoaded bool            // The list of servers has been read at least once.
 	LostWatches   map[string]bool // Watches that the store does not answer.
 	StoreUpSince  time.Time       // When the store last answered again after an outage.
 
@@ -224,7 +224,7 @@
 }
 
 func (s State) replaceServers(servers []Server, now time.Time) (State, []reduce.Effect) {
-	s.ServersListed = true
+	s.ServersLoaded = true
 	listed := map[string]bool{}
 	var effects, more []reduce.Effect
 	for _, server := range servers {
@@ -260,6 +260,6 @@
 // SameSnapshot reports whether both states have the same snapshot. It compares
 // the revision instead of the maps, which states share until one changes.
 func (s State) SameSnapshot(other State) bool {
-	return s.Config == other.Config && s.ServersListed == other.ServersListed &&
+	return s.Config == other.Config && s.ServersLoaded == other.ServersLoaded &&
 		s.revision == other.revision
 }
--- a/policy/topology/topology_test.go
+++ b/policy/topology/topology_test.go
@@ -70,7 +70,7 @@
 			leaving.Leaving = true
 			s = applyEvents(s, &now, ServerRead{Server: leaving})
 			So(candidateIDs(s), ShouldResemble, []string{"x", "z"})
-			So(s.Snapshot(nil).Listed("llm"), ShouldHaveLength, 3)
+			So(s.Snapshot(nil).ListedServers("llm"), ShouldHaveLength, 3)
 		})
 		Convey("one whose row disappears without notice is a last resort, and is dropped before 2 s", func() {
 			s = applyEvents(s, &now, ServerGone{ID: "y"})
--- a/server/deployed/agent.go
+++ b/server/deployed/agent.go
@@ -114,7 +114,7 @@
 		return nil
 	}
 	var members []mapcontrol.Member
-	for _, server := range snapshot.Listed(a.settings.Service) {
+	for _, server := range snapshot.ListedServers(a.settings.Service) {
 		members = append(members, mapcontrol.Member{
 			Server: server.Address, Agent: agentAddress(server.Address, a.settings.PeerPortFirst),
 		})
--- a/server/deployed/entry.go
+++ b/server/deployed/entry.go
@@ -106,7 +106,7 @@
 		if service.Engine == nil {
 			continue
 		}
-		for _, server := range snapshot.Listed(name) {
+		for _, server := range snapshot.ListedServers(name) {
 			addresses = append(addresses, agentAddress(server.Address, e.settings.PeerPortFirst))
 		}
 	}
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -80,7 +80,7 @@
 	case expertmap.Forward:
 		g.enqueue(effect)
 	case expertmap.RefuseOrder:
-		g.answer(effect.Ticket, answer{refused: true, seen: effect.Seen})
+		g.answer(effect.RequestID, answer{refused: true, seen: effect.Seen})
 		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.Seen.Fence, "ready": effect.FenceKnown})
 	case expertmap.PublishMap:
 		go g.storeMap(ctx, effect.ID)
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -41,7 +41,7 @@
 func (r *receiver) Order(request wire.MapOrder, reply *wire.MapReply) error {
 	r.group.node.ObserveStamp(request.Stamp)
 	ticket, done := r.group.registerOrder()
-	r.group.node.Loop.Post(expertmap.OrderReceived{Ticket: ticket, Order: request.Order})
+	r.group.node.Loop.Post(expertmap.OrderReceived{RequestID: ticket, Order: request.Order})
 	result := <-done
 	reply.Stamp = r.group.node.Stamp()
 	reply.State, reply.Refused, reply.Seen = result.state, result.refused, result.seen
@@ -70,7 +70,7 @@
 	select {
 	case g.orders <- forward:
 	default:
-		g.answer(forward.Ticket, answer{err: fmt.Errorf("order queue is full: %d orders wait for the engine", orderQueueLength)})
+		g.answer(forward.RequestID, answer{err: fmt.Errorf("order queue is full: %d orders wait for the engine", orderQueueLength)})
 	}
 }
 
@@ -81,7 +81,7 @@
 	if errors.Is(err, ports.ErrFenced) || errors.Is(err, ports.ErrUnavailable) {
 		g.log(logevent.MapOrderFailed, logrus.Fields{"order": forward.Order.Kind, "error": err.Error()})
 	}
-	g.answer(forward.Ticket, answer{state: state, err: err})
+	g.answer(forward.RequestID, answer{state: state, err: err})
 }
 
 func (g *Group) sendToEngine(ctx context.Context, order expertmap.Order) (expertmap.EngineState, error) {
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -116,7 +116,7 @@
 	defer c.stop()
 	c.addresses, c.foreignSince = map[int]Member{}, map[string]time.Time{}
 	c.loop = loop.New(mapswitch.Step, func(s mapswitch.State) view {
-		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.Current, Lists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
+		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.CurrentMap, Lists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
 	}, func(effect reduce.Effect) { c.execute(ctx, effect) }, nil)
 	go c.readAll(ctx)
 	go c.planner.run(ctx, c.loop)
@@ -210,7 +210,7 @@
 			return // A missing answer does not change the control state.
 		}
 	}
-	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: requestedAt, Direct: isDirect})
+	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: requestedAt, AgentUnreachable: isDirect})
 	if reply.Gains != nil {
 		c.planner.enqueue(rankGains{packed: reply.Gains, elapsed: reply.Elapsed})
 	}
@@ -281,7 +281,7 @@
 	switch effect := effect.(type) {
 	case mapswitch.SendOrder:
 		member, ok := c.member(effect.Rank)
-		through, okThrough := c.member(effect.Through)
+		through, okThrough := c.member(effect.SenderRank)
 		if ok && okThrough {
 			go c.give(ctx, member, through, effect)
 		}
@@ -315,7 +315,7 @@
 			c.logOrderFailure(member, order, err.Error())
 			return
 		}
-		read.Direct = true
+		read.AgentUnreachable = true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		if err := giveAndReport(callCtx, c.directEngine(member.Server), order, &reply); err != nil {
@@ -371,7 +371,7 @@
 		Caller: c.caller(), Order: give.Order,
 		Base: give.BaseVersion, Changes: mapswitch.Changes(give.BaseMap, give.Order.Map),
 	}
-	args.InTurn, _ = mapswitch.DealtInTurn(give.BaseMap)
+	args.InTurn, _ = mapswitch.RoundRobinShape(give.BaseMap)
 	args.Order.Map = nil
 	c.latestCopyOrder = args
 	return args
