--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -49,9 +49,9 @@
 	RecordStale          bool // A write with unknown outcome may have changed the record.
 	StoreRequestInFlight bool // A read or write of the record is in flight.
 
-	States         []EngineState // By rank, as last reported.
-	Answered       []bool        // By rank: the state was reported in this round.
-	PreviousStates []EngineState // By rank, as reported in the previous round.
+	States   []EngineState // By rank, as last reported.
+	Answered []bool        // By rank: the state was reported in this round.
+	Before   []EngineState // By rank, as reported in the previous round.
 
 	Change         Change // Change in progress.
 	ChangeProposed bool   // A change was proposed and has not started.
@@ -129,7 +129,7 @@
 func (s *transition) startRound() {
 	s.Number.Round++
 	s.Answered = make([]bool, len(s.Answered))
-	s.PreviousStates = s.States
+	s.Before = s.States
 	s.Change = Change{}
 	s.enterPhase(Querying, 0)
 }
--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -65,7 +65,7 @@
 	e.change(c.Change)
 	e.flags(c.RecordStale, c.StoreRequestInFlight, c.ChangeProposed, c.Deadline.IsZero())
 	e.flags(c.Answered...)
-	for _, state := range c.PreviousStates {
+	for _, state := range c.Before {
 		e.state(state)
 	}
 	for _, state := range c.States {
--- a/policy/mapswitch/change.go
+++ b/policy/mapswitch/change.go
@@ -42,9 +42,9 @@
 // Shape is the number of sets, experts and ranks of a group's map.
 type Shape struct{ Sets, Experts, Ranks int }
 
-// RoundRobin returns the map that a new group starts with: the experts of each set
+// InTurn returns the map that a new group starts with: the experts of each set
 // are assigned to the ranks round-robin.
-func RoundRobin(shape Shape) Map {
+func InTurn(shape Shape) Map {
 	roundRobin := make(Map, shape.Sets)
 	for set := range roundRobin {
 		roundRobin[set] = make([][]int, shape.Ranks)
@@ -66,7 +66,7 @@
 	for _, experts := range m[0] {
 		shape.Experts += len(experts)
 	}
-	if len(Changes(RoundRobin(shape), m)) > 0 {
+	if len(Changes(InTurn(shape), m)) > 0 {
 		return Shape{}, false
 	}
 	return shape, true
--- a/policy/mapswitch/group_test.go
+++ b/policy/mapswitch/group_test.go
@@ -161,14 +161,14 @@
 		return
 	}
 	c.plans++
-	set, rank := c.plans%len(c.state.CurrentMap), c.plans%c.state.Size
-	next, ok := Apply(c.state.CurrentMap, []Change{{
+	set, rank := c.plans%len(c.state.Current), c.plans%c.state.Size
+	next, ok := Apply(c.state.Current, []Change{{
 		Set: set, Rank: rank, Experts: []int{rank, int(c.state.Fence)*1000 + c.plans},
 	}})
 	if !ok {
 		panic("the map in use lacks the set or the rank")
 	}
-	c.handle(MapPlanned{Epoch: c.state.Epoch, Map: next}, now)
+	c.handle(PlanReady{Epoch: c.state.Epoch, Map: next}, now)
 }
 
 // String describes the ranks for failure messages.
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -93,7 +93,7 @@
 	PhaseStartedAt time.Time // When the phase began.
 	Version        int64     // The version in force, or being put in force.
 	NextMap        Map       // Content of Version while it is put in force; nil for a predecessor's change.
-	CurrentMap     Map       // The map in use; nil while unknown.
+	Current        Map       // The map in use; nil while unknown.
 	CurrentVersion int64     // The version of Current.
 	Hold           Hold
 
@@ -151,13 +151,13 @@
 
 func (OrderReturned) EventName() string { return "mapswitch.given" }
 
-// MapPlanned carries the next map.
-type MapPlanned struct {
+// PlanReady carries the next map.
+type PlanReady struct {
 	Epoch int64
 	Map   Map
 }
 
-func (MapPlanned) EventName() string { return "mapswitch.planned" }
+func (PlanReady) EventName() string { return "mapswitch.planned" }
 
 // SendOrder is the effect that sends the order to the rank; the rank is read
 // after it.
@@ -216,7 +216,7 @@
 		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.answeredAt.IsZero() {
 			s.Hold.answeredAt = input.Now
 		}
-	case MapPlanned:
+	case PlanReady:
 		if s.Phase == Idle && event.Epoch == s.Epoch {
 			s.NextMap = event.Map
 			s.Version = s.nextVersion()
@@ -246,7 +246,7 @@
 	if state.Epoch > s.Epoch || state.Size != s.Size {
 		s.Epoch, s.Size = state.Epoch, state.Size
 		s.Ranks = map[int]Rank{}
-		s.CurrentMap, s.NextMap = nil, nil
+		s.Current, s.NextMap = nil, nil
 		s.releasablePasses, s.minHoldPass = map[int64]bool{}, 0
 		s.passTiming.pass = 0
 		s, effects = s.enterPhase(Survey, "new epoch", now)
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -28,8 +28,8 @@
 		switch {
 		case order.Kind == topology.Hold:
 			send.SenderRank = s.Hold.sender
-		case order.Kind == topology.Prepare && s.CurrentMap != nil:
-			send.BaseMap, send.BaseVersion = s.CurrentMap, s.CurrentVersion
+		case order.Kind == topology.Prepare && s.Current != nil:
+			send.BaseMap, send.BaseVersion = s.Current, s.CurrentVersion
 		}
 		effects = append(effects, send)
 	}
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -30,7 +30,7 @@
 		s.Version, s.NextMap = s.nextVersion(), current
 		return s.enterPhase(Fencing, "a predecessor has left orders behind", now)
 	}
-	s.CurrentMap, s.CurrentVersion = current, s.Ranks[0].Lists.MapVersion
+	s.Current, s.CurrentVersion = current, s.Ranks[0].Lists.MapVersion
 	if !s.noHoldInEpoch() {
 		s.minHoldPass = max(s.minHoldPass, s.lastPass()+maxPassLead+1)
 	}
@@ -123,7 +123,7 @@
 	if s.NextMap == nil {
 		return s.enterPhase(Survey, "a predecessor's change is in force", now)
 	}
-	s.CurrentMap, s.CurrentVersion, s.NextMap = s.NextMap, s.Version, nil
+	s.Current, s.CurrentVersion, s.NextMap = s.NextMap, s.Version, nil
 	return s.enterPhase(Idle, "in force", now)
 }
 
@@ -136,7 +136,7 @@
 		return s, moved, nil
 	}
 	if !isArmed && s.allRanks(func(r Rank) bool { return r.State.Prepared == s.Version }) {
-		s.CurrentMap, s.CurrentVersion, s.NextMap = s.NextMap, s.Ranks[0].Lists.MapVersion, nil
+		s.Current, s.CurrentVersion, s.NextMap = s.NextMap, s.Ranks[0].Lists.MapVersion, nil
 		for _, rank := range s.Ranks {
 			s.releasablePasses[rank.State.HeldPass] = true
 		}
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -116,7 +116,7 @@
 	defer c.stop()
 	c.addresses, c.foreignSince = map[int]Member{}, map[string]time.Time{}
 	c.loop = loop.New(mapswitch.Step, func(s mapswitch.State) view {
-		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.CurrentMap, Lists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
+		return view{Phase: s.Phase, Epoch: s.Epoch, Size: s.Size, Current: s.Current, Lists: s.NeedsLists(), Slowness: s.Slowness(), Requests: s.Requests()}
 	}, func(effect reduce.Effect) { c.execute(ctx, effect) }, nil)
 	go c.readAll(ctx)
 	go c.planner.run(ctx, c.loop)
--- a/server/mapcontrol/planner.go
+++ b/server/mapcontrol/planner.go
@@ -128,7 +128,7 @@
 		"group": p.group, "epoch": state.Epoch, "copies": plan.Copies, "most_copies": plan.MaxCopiesPerRank,
 		"skew_before": plan.SkewBefore, "skew_after": plan.SkewAfter, "slowest": slices.Max(state.Slowness), "choices": p.demand.Choices(),
 	})
-	control.Post(mapswitch.MapPlanned{Epoch: state.Epoch, Map: plan.Map})
+	control.Post(mapswitch.PlanReady{Epoch: state.Epoch, Map: plan.Map})
 }
 
 // copyBudget returns the number of experts that one change may copy to a rank.
