--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -9,10 +9,10 @@
 const (
 	defaultMarginSteps = 64 // Steps between the newest step reported by a rank and a change's first step.
 	retryInterval      = 200 * time.Millisecond
-	pollInterval       = 2 * time.Second // Between two rounds of queries in the Steady phase.
+	pollInterval       = 2 * time.Second // Time between two query rounds in the Steady phase.
 	prepareTimeout     = 10 * time.Minute
 	holdTimeout        = 2 * time.Second
-	commitTimeout      = 2 * time.Second // A commit whose outcome is still unknown then is voided.
+	commitTimeout      = 2 * time.Second // If the outcome of a commit is still unknown after this time, the change is voided.
 )
 
 // Phase is the state of a coordinator's protocol.
@@ -21,18 +21,19 @@
 // Phases of a coordinator.
 const (
 	Passive    Phase = ""           // Not the coordinator.
-	Claiming   Phase = "claiming"   // Writes its fencing number to the record, so that writes of older coordinators fail.
+	Claiming   Phase = "claiming"   // Writes its fencing number to the group's record, so that writes of older coordinators fail.
 	Querying   Phase = "querying"   // Collects the state of every rank.
-	Steady     Phase = "steady"     // No change in progress.
-	Preparing  Phase = "preparing"  // Ranks load weights.
-	Holding    Phase = "holding"    // Ranks agree to wait before the change's first step.
-	Committing Phase = "committing" // The change is being written to the record.
+	Steady     Phase = "steady"     // No change is in progress.
+	Preparing  Phase = "preparing"  // Ranks load the weights of the next map.
+	Holding    Phase = "holding"    // Ranks are ordered to wait before the change's first step.
+	Committing Phase = "committing" // The change is being written to the group's record.
 	Releasing  Phase = "releasing"  // Ranks are told that the change is committed.
-	Voiding    Phase = "voiding"    // Ranks agree to refuse the release of the change.
-	Aborting   Phase = "aborting"   // Ranks drop the change and keep the map in force.
+	Voiding    Phase = "voiding"    // Ranks are ordered to refuse the release of the change.
+	Aborting   Phase = "aborting"   // Ranks are ordered to drop the change and keep the map in force.
 	Installing Phase = "installing" // Ranks without a map are given a state.
 )
 
+// orderKindOf maps each phase in which ranks are sent orders to the kind of the order.
 var orderKindOf = map[Phase]Kind{
 	Querying: Query, Preparing: Prepare, Holding: Hold, Releasing: Release,
 	Voiding: Void, Aborting: Abort, Installing: Install,
@@ -43,22 +44,22 @@
 	MarginSteps uint64 // Steps between the newest step reported by a rank and a change's first step; 0 for the default.
 
 	Phase                Phase
-	Number               Number
-	Record               Record
-	RecordVersion        uint64
-	RecordStale          bool // A write with unknown outcome may have changed the record.
-	StoreRequestInFlight bool // A read or write of the record is in flight.
+	Number               Number // Sequence number of the orders that are sent in this round.
+	Record               Record // The group's record when it was last read or written.
+	RecordVersion        uint64 // Version of the row of Record.
+	RecordStale          bool   // A write with unknown outcome may have changed the group's record.
+	StoreRequestInFlight bool   // A read or write of the group's record is in flight.
 
-	States   []EngineState // By rank, as last reported.
-	Answered []bool        // By rank: the state was reported in this round.
-	Before   []EngineState // By rank, as reported in the previous round.
+	States   []EngineState // By rank: the engine's state as last reported.
+	Answered []bool        // By rank: the rank has replied in this query round.
+	Before   []EngineState // By rank: the engine's state as last reported before this query round.
 
-	Change         Change // Change in progress.
+	Change         Change // The change in progress.
 	ChangeProposed bool   // A change was proposed and has not started.
 	Version        uint64 // Highest version used for a change.
 
-	RetryAt  time.Time
-	Deadline time.Time // Of the phase; zero for none.
+	RetryAt  time.Time // When the requests of the phase are repeated or, in Steady, the next query round starts.
+	Deadline time.Time // When the phase times out; zero if it does not.
 }
 
 // StepCoordinator applies one input and returns the new state and its effects.
@@ -97,6 +98,7 @@
 
 func (s *transition) emit(effect reduce.Effect) { s.effects = append(s.effects, effect) }
 
+// becomeCoordinator starts to coordinate with the fencing number of the lease.
 func (s *transition) becomeCoordinator(event LeaseAcquired) {
 	if s.Phase != Passive && s.Number.Fence >= event.Fence {
 		return
@@ -108,6 +110,7 @@
 	s.claim()
 }
 
+// claim starts to write the coordinator's fencing number to the group's record.
 func (s *transition) claim() {
 	s.enterPhase(Claiming, 0)
 	s.readRecord()
@@ -125,7 +128,8 @@
 	s.advance()
 }
 
-// startRound queries every rank; the next phase follows from their states.
+// startRound starts a query round: it asks every rank for its state, from which the
+// next phase follows.
 func (s *transition) startRound() {
 	s.Number.Round++
 	s.Answered = make([]bool, len(s.Answered))
@@ -154,6 +158,8 @@
 	return true
 }
 
+// pendingRanks returns the ranks that have not reached the state that the phase
+// requires.
 func (s *transition) pendingRanks() []int {
 	var ranks []int
 	for rank := range s.States {
@@ -164,7 +170,8 @@
 	return ranks
 }
 
-// send sends the phase's order to every rank that has not reached the required state.
+// send sends the order of the phase to every rank that has not reached the state that
+// the phase requires.
 func (s *transition) send() {
 	s.RetryAt = s.now.Add(retryInterval)
 	for _, rank := range s.pendingRanks() {
@@ -176,6 +183,8 @@
 	}
 }
 
+// handleReply records the state that a rank reports. A refusal by a rank that knows a
+// newer coordinator stops this one.
 func (s *transition) handleReply(event ReplyReceived) {
 	if event.Refused {
 		if event.Seen.Fence > s.Number.Fence {
@@ -222,7 +231,8 @@
 	return true
 }
 
-// advance enters the next phase once every rank has reached the required state.
+// advance enters the next phase once every rank has reached the state that the phase
+// requires.
 func (s *transition) advance() {
 	if len(s.pendingRanks()) > 0 {
 		return
@@ -241,6 +251,7 @@
 	}
 }
 
+// tick repeats the requests of the phase or ends the phase at its deadline.
 func (s *transition) tick() {
 	if s.Phase == Passive || s.now.Before(s.RetryAt) {
 		return
@@ -262,8 +273,8 @@
 	}
 }
 
-// handlePhaseTimeout ends a phase that has passed its deadline. A commit has an
-// unknown outcome then and is voided; other phases restart with a query.
+// handlePhaseTimeout ends a phase whose deadline has passed. The outcome of a commit
+// is unknown then, so the change is voided; after other phases a query round starts.
 func (s *transition) handlePhaseTimeout() {
 	if s.Phase == Committing {
 		s.RecordStale = true
@@ -273,8 +284,9 @@
 	s.startRound()
 }
 
-// startProposedChange starts a proposed change once the coordinator is steady and
-// knows the record; after a write of unknown outcome it reads the record first.
+// startProposedChange starts a proposed change once no other is in progress and the
+// coordinator knows the group's record; after a write of unknown outcome it reads the
+// record first.
 func (s *transition) startProposedChange() {
 	if s.Phase != Steady || !s.ChangeProposed {
 		return
@@ -290,6 +302,7 @@
 	s.enterPhase(Preparing, prepareTimeout)
 }
 
+// newestVersion returns the highest version of a change that a rank uses or has held.
 func (s *transition) newestVersion() uint64 {
 	var version uint64
 	for _, state := range s.States {
@@ -298,6 +311,8 @@
 	return version
 }
 
+// handleAllPrepared commits the first map of a group. For any other change it selects
+// the first step and orders the ranks to hold before it.
 func (s *transition) handleAllPrepared() {
 	if s.installsFirstMap() {
 		s.commit()
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -5,9 +5,9 @@
 // and completes or aborts it.
 //
 // A change must be completed if a rank was released for it, or if it is in the
-// record and every rank that has a map holds it without a void. Otherwise it
-// is aborted: no rank was released, and either the change can't be committed
-// any more or a rank may have continued without it.
+// group's record and every rank that has a map holds it and has not voided it.
+// Otherwise it is aborted: no rank was released, and either the change can't be
+// committed any more or a rank may have continued without it.
 func (s *transition) resolveRound() {
 	if !s.groupStopped() {
 		s.startRound()
@@ -43,6 +43,8 @@
 	return true
 }
 
+// resolve completes or aborts the change. A change that is in the group's record is
+// voided at all ranks before it is aborted.
 func (s *transition) resolve(change Change) {
 	switch {
 	case s.mustComplete(change):
@@ -54,6 +56,9 @@
 	}
 }
 
+// resolveWithoutMap handles a group in which no rank has a map: it installs the
+// committed map, if there is one, and first reads the record again if it may have
+// changed.
 func (s *transition) resolveWithoutMap() {
 	switch {
 	case s.RecordStale:
@@ -70,8 +75,8 @@
 	s.RetryAt = s.now.Add(pollInterval)
 }
 
-// heldChange returns the change that the first holding rank holds; none if no
-// rank holds any.
+// heldChange returns the change that the first rank with a hold holds; none if no rank
+// holds any.
 func (s *transition) heldChange() Change {
 	for _, state := range s.States {
 		if !state.Hold.IsNone() {
@@ -81,6 +86,8 @@
 	return Change{}
 }
 
+// mustComplete reports whether a rank was released for the change, or the change is in
+// the group's record and every rank with a map holds it and has not voided it.
 func (s *transition) mustComplete(change Change) bool {
 	allHold := true
 	for _, state := range s.States {
--- a/policy/expertmap/engine.go
+++ b/policy/expertmap/engine.go
@@ -4,13 +4,13 @@
 // methods specify how an engine must behave. The zero value with a Boot is an
 // engine that has just started: it runs no step before a map is installed.
 type EngineState struct {
-	Boot     string `json:"boot"`      // Identifies the engine's run; changes when the engine loses its state.
+	Boot     string `json:"boot"`      // Identifies one run of the engine; changes when the engine loses its state.
 	Next     uint64 `json:"next"`      // Next step to run.
-	InForce  Change `json:"in_force"`  // Map used for the steps before Pending's first step.
+	InForce  Change `json:"in_force"`  // Change whose map is in use; it applies to the steps before Pending's first step.
 	Pending  Change `json:"pending"`   // Released change whose first step has not been run.
 	Hold     Change `json:"hold"`      // Change whose first step must not be run yet.
-	VoidedBy uint64 `json:"voided_by"` // Fencing number that voided Hold; 0 for none.
-	LastHeld ID     `json:"last_held"` // Newest change ever held; neither it nor an older one can be held again.
+	VoidedBy uint64 `json:"voided_by"` // Fencing number of the coordinator that voided Hold; 0 for none.
+	LastHeld ID     `json:"last_held"` // Newest change that the engine has ever held; it can hold neither that one nor an older one again.
 	Prepared ID     `json:"prepared"`  // Newest map whose weights are loaded.
 }
 
@@ -33,7 +33,8 @@
 	return s.Hold.IsNone() || s.Next < s.Hold.FirstStep
 }
 
-// AfterNextStep returns the state after the engine has run its next step.
+// AfterNextStep returns the state after the engine has run its next step. A pending
+// change is in force from its first step on.
 func (s EngineState) AfterNextStep() EngineState {
 	if s.MapAt(s.Next) == s.Pending {
 		s.InForce, s.Pending = s.Pending, Change{}
@@ -42,8 +43,9 @@
 	return s
 }
 
-// Apply returns the state after the order. An order whose precondition is not
-// met changes nothing; the coordinator detects that from the returned state.
+// Apply returns the state after the engine has received the order. An order whose
+// precondition is not met changes nothing; the coordinator detects that from the
+// returned state.
 func (s EngineState) Apply(order Order) EngineState {
 	switch order.Kind {
 	case Prepare:
@@ -73,6 +75,9 @@
 	return s
 }
 
+// hold holds the change if no other change is in progress, the weights of its map are
+// loaded, its first step has not been run and it is newer than every change that the
+// engine has held before.
 func (s EngineState) hold(change Change) EngineState {
 	busy := s.HasNoMap() || !s.Hold.IsNone() || !s.Pending.IsNone()
 	late := s.Next > change.FirstStep
@@ -83,8 +88,9 @@
 	return s
 }
 
-// release overrides a void of an older coordinator: the newer coordinator has
-// queried every rank since and decided to complete the change.
+// release makes the held change pending, so that the engine switches at its first
+// step. A release overrides the void of an older coordinator, because the newer
+// coordinator has queried every rank since and decided to complete the change.
 func (s EngineState) release(order Order) EngineState {
 	if s.Hold != order.Change || s.VoidedBy >= order.Number.Fence {
 		return s
@@ -93,6 +99,8 @@
 	return s
 }
 
+// install adopts the state if the engine has no map and the state is meant for its
+// current run.
 func (s EngineState) install(state EngineState) EngineState {
 	if !s.HasNoMap() || s.Boot != state.Boot {
 		return s
--- a/policy/expertmap/expertmap.go
+++ b/policy/expertmap/expertmap.go
@@ -1,12 +1,17 @@
 // Package expertmap implements the protocol by which a group of ranks changes
-// its expert map, as pure state machines: every rank prepares the map and holds
-// before a chosen step, the change is committed in the table service, and the
-// ranks switch at that step.
+// its expert map, as pure state machines. The ranks run the steps of the model in
+// lock step. Every rank prepares the next map by loading its weights, and holds: it
+// does not run a chosen step, the change's first step, until it is told how the
+// change ends. The change is committed in the group's record, a row of the table
+// service, and the ranks are then released to switch to the map at that step. If the
+// outcome of the commit is unknown, the ranks void the change before they abort it:
+// a rank that has voided a change keeps holding and refuses the release, so that a
+// commit which takes effect late releases no rank.
 //
 // Invariant: all ranks that run a step use the same map for it.
 //
 // The holder of the group's lease coordinates the change (Coordinator). The
-// agent of each rank refuses orders with old numbers (Rank). EngineState
+// agent of each rank refuses orders with old sequence numbers (Rank). EngineState
 // specifies which state an engine keeps and when it accepts an order. All ranks
 // must reply before the coordinator decides anything; this costs no
 // availability, since the group can't run a step without all of them either.
@@ -14,8 +19,8 @@
 
 import "fmt"
 
-// ID identifies one map. A coordinator never reuses a version, and every
-// coordinator has its own fencing number, so no two proposals share an ID.
+// ID identifies one expert map. A coordinator never reuses a version, and every
+// coordinator has its own fencing number, so no two proposed maps share an ID.
 type ID struct {
 	Fence   uint64 `json:"fence"` // Fencing number of the coordinator that proposed the map.
 	Version uint64 `json:"version"`
@@ -47,20 +52,20 @@
 
 // Kinds of orders.
 const (
-	Query   Kind = "query"   // Report the state; from now on, refuse orders of earlier rounds.
+	Query   Kind = "query"   // Report the state, and refuse orders of earlier query rounds from now on.
 	Prepare Kind = "prepare" // Load the weights of the map.
-	Hold    Kind = "hold"    // Wait before the first step until the change is released or aborted.
-	Release Kind = "release" // Switch at the first step; the change is committed.
-	Void    Kind = "void"    // Keep holding and refuse the release.
-	Abort   Kind = "abort"   // Stop holding and keep the map in force.
-	Install Kind = "install" // Adopt a state; ignored by a rank that has one.
+	Hold    Kind = "hold"    // Wait before the change's first step until the change is released or aborted.
+	Release Kind = "release" // Switch to the map at the change's first step; the change is committed.
+	Void    Kind = "void"    // Keep holding, but refuse a release of the change by this coordinator or an older one.
+	Abort   Kind = "abort"   // Stop holding, drop the change and keep the map in force.
+	Install Kind = "install" // Adopt the given state; ignored by a rank that has a map.
 )
 
-// Number is the sequence number of a rank's orders: a rank refuses every order
-// with a lower number than the highest that it has seen.
+// Number is the sequence number of an order: a rank refuses every order with a lower
+// number than the highest that it has seen.
 type Number struct {
-	Fence uint64 `json:"fence"`
-	Round uint64 `json:"round"` // Query round of this coordinator.
+	Fence uint64 `json:"fence"` // Fencing number of the coordinator.
+	Round uint64 `json:"round"` // Number of the coordinator's latest query round.
 }
 
 // Less reports whether n is lower than other.
@@ -71,7 +76,8 @@
 	return n.Round < other.Round
 }
 
-// roundBits is the width of the round in an engine's fencing number.
+// roundBits is the number of bits of an engine's fencing number that hold the query
+// round.
 const roundBits = 24
 
 // EngineFence encodes the number as the single fencing number that engines
@@ -89,6 +95,6 @@
 // Record is the row of the table service that determines which change of a group
 // is committed.
 type Record struct {
-	Fence  uint64 `json:"fence"`  // Coordinator that claimed the row.
+	Fence  uint64 `json:"fence"`  // Fencing number of the coordinator that claimed the row.
 	Change Change `json:"change"` // Last committed change.
 }
--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	leaseDelayPerRank = 500 * time.Millisecond // Staggers the candidates for an expired lease.
-	blockedTimeout    = 3 * time.Second        // A rank that can't run for longer takes no new work.
+	leaseDelayPerRank = 500 * time.Millisecond // Staggers the candidates for an expired lease: each rank waits this much longer than the one before it.
+	blockedTimeout    = 3 * time.Second        // A rank whose engine can't run for longer than this takes no new work.
 )
 
 // Member is the state of an agent as member of its group: its rank, and the
@@ -18,15 +18,15 @@
 type Member struct {
 	Group          string
 	Rank           int
-	Size           int // Number of ranks.
-	Lease          lease.State
-	Coordinator    Coordinator
-	OrderFilter    Rank
-	LastRunnableAt time.Time // When the engine was last known to be able to run.
-	Blocked        bool      // The engine has been unable to run for longer than blockedTimeout.
+	Size           int         // Number of ranks.
+	Lease          lease.State // The group's lease as this agent knows it.
+	Coordinator    Coordinator // Passive unless this agent holds the lease.
+	OrderFilter    Rank        // Decides which orders are forwarded to the engine.
+	LastRunnableAt time.Time   // When the engine was last known to be able to run.
+	Blocked        bool        // The engine has been unable to run for longer than blockedTimeout.
 }
 
-// EngineReported carries the engine's state, as polled by its agent.
+// EngineReported carries the engine's state, which its agent polls.
 type EngineReported struct{ State EngineState }
 
 func (EngineReported) EventName() string { return "expertmap.engine_seen" }
@@ -70,6 +70,7 @@
 	return m, append(effects, more...)
 }
 
+// seen updates whether the engine is blocked from its reported state.
 func (m Member) seen(state EngineState, now time.Time) Member {
 	if state.CanRunNext() || m.LastRunnableAt.IsZero() {
 		m.LastRunnableAt = now
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -2,21 +2,22 @@
 
 import "persimmonwind.dev/policy/reduce"
 
-// Rank is the state of a rank's agent. It forwards a coordinator's orders to its
-// engine and refuses those with old numbers, which also protects engines that
-// don't check fencing numbers.
+// Rank is the state of the agent of a rank. The agent forwards a coordinator's orders
+// to its engine and refuses those with old sequence numbers, which also protects
+// engines that don't check fencing numbers.
 //
 // Invariant: Seen never decreases. A restarted agent accepts no order before it
 // has read the group's fencing number, which is at least as high as any that it
 // had seen before.
 type Rank struct {
-	FenceKnown   bool   // The fencing number has been read since the agent started.
-	ReadingFence bool   // A read of the fencing number is in flight.
-	Seen         Number // Highest number of an accepted order or fencing number read.
+	FenceKnown   bool   // The group's fencing number has been read since the agent started.
+	ReadingFence bool   // A read of the group's fencing number is in flight.
+	Seen         Number // Highest sequence number of an accepted order, or the fencing number read if that is higher.
 }
 
-// OrderReceived carries a coordinator's order; Ticket identifies it in the
-// effects.
+// OrderReceived carries a coordinator's order that has arrived at the agent. RequestID
+// identifies the coordinator's call; the effect that answers the call, Forward or
+// RefuseOrder, carries the same ID.
 type OrderReceived struct {
 	RequestID uint64
 	Order     Order
@@ -24,7 +25,7 @@
 
 func (OrderReceived) EventName() string { return "expertmap.ordered" }
 
-// FenceRead carries the group's fencing number.
+// FenceRead carries the group's fencing number, which the agent has read.
 type FenceRead struct{ Fence uint64 }
 
 func (FenceRead) EventName() string { return "expertmap.fence_read" }
@@ -41,8 +42,8 @@
 func (ReadFence) EffectName() string { return "expertmap.read_fence" }
 
 // Forward passes the order to the engine and returns the engine's state to the
-// coordinator. Orders reach the engine one at a time, in the order of these
-// effects.
+// coordinator as the reply to the call RequestID. Orders reach the engine one at a
+// time, in the sequence of these effects.
 type Forward struct {
 	RequestID uint64
 	Order     Order
@@ -50,7 +51,8 @@
 
 func (Forward) EffectName() string { return "expertmap.forward" }
 
-// RefuseOrder replies to the order without forwarding it.
+// RefuseOrder refuses an order in the reply to the call RequestID, without forwarding
+// the order to the engine. Seen and FenceKnown are those of the agent's Rank.
 type RefuseOrder struct {
 	RequestID  uint64
 	Seen       Number
@@ -73,6 +75,9 @@
 	return state, nil
 }
 
+// handleOrder forwards the order unless its sequence number is lower than one seen
+// before. Before the agent knows the fencing number, it refuses every order and reads
+// the number.
 func (r Rank) handleOrder(event OrderReceived) (Rank, []reduce.Effect) {
 	refuse := RefuseOrder{RequestID: event.RequestID, Seen: r.Seen, FenceKnown: r.FenceKnown}
 	if !r.FenceKnown && r.ReadingFence {
--- a/policy/expertmap/record.go
+++ b/policy/expertmap/record.go
@@ -6,6 +6,7 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
+// readRecord reads the group's record unless a read or write of it is in flight.
 func (s *transition) readRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
 	if s.StoreRequestInFlight {
@@ -15,8 +16,9 @@
 	s.emit(ReadRecord{})
 }
 
-// writeRecord writes the coordinator's fencing number and, while committing, the
-// change in progress.
+// writeRecord writes the group's record with the coordinator's fencing number and,
+// while committing, the change in progress. It does nothing while a read or write of
+// the record is in flight.
 func (s *transition) writeRecord() {
 	s.RetryAt = s.now.Add(retryInterval)
 	if s.StoreRequestInFlight {
@@ -30,8 +32,8 @@
 	s.emit(WriteRecord{Record: record, IfVersion: s.RecordVersion})
 }
 
-// commit writes the change to the record. A group without a map has no map to
-// fall back to, so its first commit is retried without a deadline.
+// commit writes the change in progress to the group's record. A group without a map
+// has no map to fall back to, so its first commit is retried without a deadline.
 func (s *transition) commit() {
 	timeout := commitTimeout
 	if s.installsFirstMap() {
@@ -62,6 +64,8 @@
 	}
 }
 
+// handleRecordRead stops the coordinator if a newer one has claimed the record.
+// Otherwise it continues the claim or the commit for which the record was read.
 func (s *transition) handleRecordRead(event RecordRead) {
 	if s.Phase == Passive {
 		return
@@ -97,7 +101,8 @@
 	s.handleCommitted()
 }
 
-// handleCommitted releases the ranks, or installs the map if no rank has one.
+// handleCommitted releases the ranks to switch to the committed change, or installs
+// its map if no rank has one.
 func (s *transition) handleCommitted() {
 	if s.noRankHasMap() {
 		s.enterPhase(Installing, 0)
--- a/policy/hotexperts/counts.go
+++ b/policy/hotexperts/counts.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// PackCounts encodes the increase of each counter since before as varints, one to
-// two bytes per number: in a large group, counters make up most of what agents
+// PackCounts encodes by how much each counter in counts exceeds that in before, as
+// varints of one to two bytes: in a large group, counters make up most of what agents
 // send. A counter that has decreased, as after a restart, is encoded as zero.
 func PackCounts(before, counts []int64) []byte {
 	packed := make([]byte, 0, 2*len(counts))
@@ -20,7 +20,7 @@
 	return packed
 }
 
-// UnpackCounts decodes the increases that PackCounts encoded.
+// UnpackCounts decodes the increases of counters that PackCounts encoded.
 func UnpackCounts(packed []byte) ([]int64, error) {
 	var gains []int64
 	for len(packed) > 0 {
--- a/policy/hotexperts/demand.go
+++ b/policy/hotexperts/demand.go
@@ -6,34 +6,38 @@
 )
 
 const (
-	// forecastTimeConstant is the time constant of the forecast. Demand jumps every
-	// few seconds, and the mix of requests in flight lasts about as long as a request.
+	// forecastTimeConstant is the time constant with which counts decay in the forecast.
+	// Demand jumps every few seconds, and the mix of requests in flight lasts about as
+	// long as a request.
 	forecastTimeConstant = 500 * time.Millisecond
-	// recentTimeConstant is the time constant of the recent load, about two passes,
-	// against which the forecast is checked.
+	// recentTimeConstant is the time constant with which counts decay in the recent load,
+	// which the forecast is compared with. It is about the duration of two passes of the
+	// model.
 	recentTimeConstant = 120 * time.Millisecond
-	// jumpThreshold is the share of choices that must have moved to other experts
-	// for the forecast to restart from the recent load. Changes in the mix of
+	// jumpThreshold is the share of the routing choices that must have moved to other
+	// experts for the forecast to restart from the recent load. Changes in the mix of
 	// requests in flight move about a tenth of the choices between two passes.
 	jumpThreshold = 0.25
 )
 
-// Demand forecasts the load of each expert from the ranks' counters of choices: how
-// often requests were routed to each expert. Old counts decay exponentially.
+// Demand forecasts the load of each expert from the ranks' counters of choices, which
+// tell how often requests were routed to each expert. Old counts decay exponentially.
 type Demand struct {
 	sets, experts int
-	forecast      [][]float64 // Decays with forecastTimeConstant.
-	recent        [][]float64 // Decays with recentTimeConstant.
-	total         float64     // All choices; decays with forecastTimeConstant.
+	forecast      [][]float64 // Load by expert set and expert; decays with forecastTimeConstant.
+	recent        [][]float64 // Load by expert set and expert; decays with recentTimeConstant.
+	total         float64     // Number of choices of all experts; decays with forecastTimeConstant.
 }
 
-// NewDemand returns a forecast without observations.
+// NewDemand returns a forecast without observations for a group with this number of
+// expert sets and of experts in each set.
 func NewDemand(sets, experts int) *Demand {
 	d := &Demand{sets: sets, experts: experts}
 	d.forecast, d.recent = zeroes(sets, experts), zeroes(sets, experts)
 	return d
 }
 
+// zeroes returns a table of zeroes by expert set and expert.
 func zeroes(sets, experts int) [][]float64 {
 	table := make([][]float64, sets)
 	for set := range table {
@@ -42,10 +46,10 @@
 	return table
 }
 
-// Observe adds the increases of one rank's counters during the elapsed time: set
-// by set, how often its requests chose each expert. Gains of the wrong length are
-// ignored; it reports whether they were used. Ranks is the number of ranks that
-// are observed in turn.
+// Observe adds the increases of one rank's counters during the elapsed time: for each
+// expert set and expert, how often its requests chose the expert. Gains of the wrong
+// length are ignored; it reports whether they were used. The ranks are observed one
+// after another, and ranks is their number.
 func (d *Demand) Observe(gains []int64, elapsed time.Duration, ranks int) bool {
 	if len(gains) != d.sets*d.experts {
 		return false
@@ -65,8 +69,8 @@
 	return true
 }
 
-// Load returns the forecast by set and expert. The slices belong to d and must
-// not be changed. If demand has jumped, the forecast restarts from the recent
+// Load returns the forecast load by expert set and expert. The slices belong to d and
+// must not be changed. If demand has jumped, the forecast restarts from the recent
 // load.
 func (d *Demand) Load() [][]float64 {
 	if shareMoved(d.forecast, d.recent) > jumpThreshold {
@@ -77,8 +81,8 @@
 	return d.forecast
 }
 
-// shareMoved returns the share of choices that fall on different experts in the
-// two tables, averaged over the sets that have choices in both.
+// shareMoved returns the share of choices that fall on different experts in the two
+// tables, averaged over the expert sets that have choices in both.
 func shareMoved(a, b [][]float64) float64 {
 	moved, sets := 0.0, 0
 	for set := range a {
@@ -105,5 +109,6 @@
 	return total
 }
 
-// Choices returns the decayed number of choices on which the forecast is based.
+// Choices returns the number of routing choices on which the forecast is based, with
+// old ones decayed.
 func (d *Demand) Choices() float64 { return d.total }
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -2,10 +2,12 @@
 // few seconds. It adds replicas of hot experts, a few at a time, so that each
 // small change is in force before demand jumps again.
 //
-// All ranks advance in lock-step and every set of layers waits for its slowest
-// rank, so the cost of a map is the time of the slowest rank, summed over sets.
-// A replicated expert's load is spread evenly over its replicas. Experts are
-// moved away from slow ranks.
+// An expert set is a set of layers that share one placement of experts on ranks; the
+// map holds a placement for each expert set. All ranks advance in lock-step and
+// every set of layers waits for its slowest rank, so the cost of a map is the time of
+// the slowest rank, summed over expert sets. The skew of a map is that cost relative
+// to an even load. A replicated expert's load is spread evenly over its replicas.
+// Experts are moved away from slow ranks.
 package hotexperts
 
 import (
@@ -18,18 +20,18 @@
 	// minimizes. A high power approximates the maximum over ranks, but where
 	// several ranks share the maximum it still rewards lowering one of them.
 	loadExponent = 8
-	// minRelativeGain is the share of the most loaded rank's time in a set that a copy
-	// must save. A copy slows the passes of the whole group while it lasts, and it
-	// has a price.
+	// minRelativeGain is the share of the most loaded rank's time in an expert set that
+	// a copy of an expert must save. A copy slows the passes of the whole group while it
+	// lasts, and it has a price.
 	minRelativeGain = 0.01
 )
 
-// Shape is the size of a group.
+// Shape is the size of a group and the speed of its ranks.
 type Shape struct {
 	Ranks     int
-	Places    int // Most experts that a rank can hold in each set.
-	Experts   int // In each set.
-	NewPerSet int // Most experts that one change may add to a rank in each set.
+	Places    int // Maximum number of experts that a rank can hold in each expert set.
+	Experts   int // Number of experts in each expert set.
+	NewPerSet int // Maximum number of experts that one change may add to a rank in each expert set.
 
 	// Slowness is the time that each rank takes for one unit of load, relative to a
 	// normal rank; nil means 1 for all.
@@ -44,41 +46,41 @@
 	return max(1, s.Slowness[rank])
 }
 
-// Map lists the experts that each rank holds, by set and rank.
+// Map lists the experts that each rank holds, by expert set and rank.
 type Map = [][][]int
 
-// Plan is a map with its copies and the skew forecast before and after.
+// Plan is a map to put in force, with the number of copies that it needs and the
+// forecast skew before and after the change.
 type Plan struct {
 	Map              Map
-	Copies           int // Experts copied, over all ranks.
-	MaxCopiesPerRank int // Most experts copied by one rank.
-	SkewBefore       float64
-	SkewAfter        float64
+	Copies           int     // Number of experts copied, over all ranks.
+	MaxCopiesPerRank int     // Highest number of experts that one rank copies.
+	SkewBefore       float64 // Forecast skew of the current map.
+	SkewAfter        float64 // Forecast skew of Map.
 }
 
 // Costs are the parameters by which a change is weighed against its savings.
 type Costs struct {
 	CopyTime        time.Duration // Time that a rank takes to copy one expert.
-	ExpertTimeShare float64       // Share of a pass's time that is spent on experts.
-	Occupancy       float64       // Share of the group's places for requests that are in use.
+	ExpertTimeShare float64       // Share of the duration of a pass that is spent on computing experts.
+	Occupancy       float64       // Share of the group's request slots that are in use.
 }
 
 const (
 	// copySlowdown is the share by which the group's passes take longer while a
 	// rank copies, according to the platform's engines.
 	copySlowdown = 0.15
-	// lightLoadOccupancy is the share of places in use below which passes are far
+	// lightLoadOccupancy is the share of request slots in use below which passes are far
 	// shorter than the pauses that users accept, so only a large skew matters.
 	lightLoadOccupancy = 0.5
 	// lightLoadMinGain is the share of the skew that a change must remove under light
 	// load.
 	lightLoadMinGain = 0.15
-	// changeOverhead is the cost of a change besides its copies: the response to a
-	// jump in demand during a change is delayed by a few hundred ms, and the group
-	// may pause.
+	// changeOverhead is the cost of a change besides its copies: if demand jumps during
+	// a change, the response is delayed by a few hundred ms, and the group may pause.
 	changeOverhead = 15 * time.Millisecond
-	// planningHorizon is how long a map is assumed to fit: demand jumps every 3 to
-	// 4 s, and the requests in flight change within 2 s.
+	// planningHorizon is how long a map is assumed to fit the demand, which jumps every
+	// 3 to 4 s; the requests in flight change within 2 s.
 	planningHorizon = 2 * time.Second
 )
 
@@ -97,17 +99,17 @@
 }
 
 const (
-	// switchTime is the duration of a change besides its copies: about two passes.
+	// switchTime is the duration of a change besides its copies, about two passes.
 	switchTime = 100 * time.Millisecond
-	// recoveryWindow is the time after a jump in demand over which plans are compared:
-	// the group makes two or three changes in it.
+	// recoveryWindow is the time after a jump in demand over which the average skews of
+	// plans are compared. The group makes two or three changes in it.
 	recoveryWindow = 600 * time.Millisecond
 )
 
 // DecideLeastAverageSkew returns the plan with the lowest average skew over the
-// recovery window, among plans with up to budget copies per rank (halved from
-// plan to plan). A plan with fewer copies is in force sooner, and another change
-// can follow it.
+// recovery window. It compares a plan with up to budget copies per rank, one with
+// half as many, and so on down to one copy. A plan with fewer copies is in force
+// sooner, and another change can follow it.
 func DecideLeastAverageSkew(shape Shape, current Map, load [][]float64, budget int, copyTime time.Duration) Plan {
 	best, bestCost := Plan{}, math.Inf(1)
 	for copies := budget; copies >= 1; copies /= 2 {
@@ -121,9 +123,9 @@
 	return best
 }
 
-// Decide plans a better map than the current one for the load, given by set and
-// expert. No rank copies more than budget experts. The current map is not
-// changed.
+// Decide plans a better map than the current one for the load, which is given by expert
+// set and expert. No rank copies more than budget experts. The slices of the current
+// map are not changed.
 func Decide(shape Shape, current Map, load [][]float64, budget int) Plan {
 	plan := Plan{SkewBefore: Skew(shape, current, load)}
 	sets := make([]*search, len(current))
@@ -154,7 +156,8 @@
 	return plan
 }
 
-// pickSet returns the set whose best step gains most, or nil if no step is left.
+// pickSet returns the search of the expert set whose best step gains most, or nil if no
+// set has a step that is worth its copy.
 func pickSet(sets []*search, copies []int, budget int) *search {
 	var chosen *search
 	for _, s := range sets {
@@ -166,8 +169,8 @@
 	return chosen
 }
 
-// Skew returns the time of the slowest rank, summed over sets, divided by the time
-// that an even load would take on ranks of normal speed.
+// Skew returns the time of the slowest rank, summed over expert sets, divided by the
+// time that an even load would take on ranks of normal speed.
 func Skew(shape Shape, placement Map, load [][]float64) float64 {
 	var most, mean float64
 	for set := range placement {
@@ -185,18 +188,18 @@
 	return most / mean
 }
 
-// search is a greedy search for a better placement of one set.
+// search is a greedy search for a better placement of the experts of one expert set.
 type search struct {
 	shape         Shape
-	load          []float64
-	held          [][]int // Experts by rank.
-	holders       [][]int // Ranks by expert.
-	newByRank     []int   // Experts added by this change, by rank.
-	loads         []float64
-	mean          float64
-	cost          float64
+	load          []float64     // By expert.
+	held          [][]int       // By rank: the experts that it holds.
+	holderRanks   [][]int       // By expert: the ranks that hold it.
+	newByRank     []int         // By rank: number of experts that the plan adds to it.
+	loads         []float64     // By rank.
+	mean          float64       // Mean load of the ranks.
+	cost          float64       // Cost of the placement, which the search minimizes.
 	bestStep      placementStep // Best step from the current placement.
-	bestStepPays  bool          // bestStep gains enough to justify its copy.
+	bestStepPays  bool          // The gain of bestStep is worth its copy.
 	bestStepValid bool          // bestStep was computed for the current placement.
 }
 
@@ -211,16 +214,16 @@
 func newSearch(shape Shape, placement [][]int, load []float64) *search {
 	s := &search{
 		shape: shape, load: load,
-		held: make([][]int, shape.Ranks), holders: make([][]int, shape.Experts),
+		held: make([][]int, shape.Ranks), holderRanks: make([][]int, shape.Experts),
 		newByRank: make([]int, shape.Ranks), loads: make([]float64, shape.Ranks),
 	}
 	for rank, experts := range placement {
 		s.held[rank] = append([]int(nil), experts...)
 		for _, expert := range experts {
-			s.holders[expert] = append(s.holders[expert], rank)
+			s.holderRanks[expert] = append(s.holderRanks[expert], rank)
 		}
 	}
-	for expert, ranks := range s.holders {
+	for expert, ranks := range s.holderRanks {
 		for _, rank := range ranks {
 			s.loads[rank] += load[expert] / float64(len(ranks))
 		}
@@ -244,6 +247,7 @@
 	return x * x
 }
 
+// totalCost returns the cost of the placement, the sum over its ranks.
 func (s *search) totalCost() float64 {
 	total := 0.0
 	for rank, l := range s.loads {
@@ -252,8 +256,8 @@
 	return total
 }
 
-// refreshBestStep recomputes the best step if the placement has changed or the
-// step's rank has used up its budget.
+// refreshBestStep recomputes the best step if the placement has changed or the rank of
+// the step has used up its budget of copies.
 func (s *search) refreshBestStep(copies []int, budget int) {
 	if s.bestStepValid && (!s.bestStepPays || copies[s.bestStep.rank] < budget) {
 		return
@@ -262,9 +266,9 @@
 	s.bestStepValid = true
 }
 
-// best returns the step that lowers the cost most, among copies of an expert of
-// the slowest rank to another rank with budget left. It reports false if that
-// step gains less than minRelativeGain.
+// best returns the step that lowers the cost most, among steps that copy an expert of
+// the slowest rank to another rank which may copy further experts. It reports false if
+// that step gains less than minRelativeGain.
 func (s *search) best(copies []int, budget int) (placementStep, bool) {
 	var best placementStep
 	slowestRank := s.slowestRank()
@@ -291,12 +295,14 @@
 	return 1 - math.Pow(max(0, 1-gain/s.cost), 1.0/loadExponent)
 }
 
+// considerCopy considers the steps that copy the expert to the rank, into an empty
+// place or in place of a replica of another expert.
 func (s *search) considerCopy(best *placementStep, expert, rank, slowestRank int) {
 	if len(s.held[rank]) < s.shape.Places {
 		s.considerReplicaAndMove(best, placementStep{expert: expert, rank: rank, victim: -1}, slowestRank)
 	}
 	for _, victim := range s.held[rank] {
-		if len(s.holders[victim]) > 1 {
+		if len(s.holderRanks[victim]) > 1 {
 			s.considerReplicaAndMove(best, placementStep{expert: expert, rank: rank, victim: victim}, slowestRank)
 		}
 	}
@@ -313,6 +319,7 @@
 	}
 }
 
+// considerStep makes the candidate the best step if it gains more.
 func (s *search) considerStep(best *placementStep, candidate placementStep) {
 	candidate.gain = s.gain(candidate)
 	if candidate.gain > best.gain {
@@ -322,16 +329,16 @@
 
 // gain returns the amount by which the step lowers the cost.
 func (s *search) gain(candidate placementStep) float64 {
-	holders := s.holders[candidate.expert]
+	holderRanks := s.holderRanks[candidate.expert]
 	load := s.load[candidate.expert]
-	before, after := float64(len(holders)), float64(len(holders)+1)
+	before, after := float64(len(holderRanks)), float64(len(holderRanks)+1)
 	if candidate.from >= 0 {
 		after--
 	}
 	addedShare, droppedShare := 0.0, 0.0
 	var victims []int
 	if candidate.victim >= 0 {
-		victims = s.holders[candidate.victim]
+		victims = s.holderRanks[candidate.victim]
 		n := float64(len(victims))
 		droppedShare = s.load[candidate.victim] / n
 		addedShare = s.load[candidate.victim]/(n-1) - droppedShare
@@ -340,7 +347,7 @@
 	change := func(rank int, delta float64) {
 		gain += s.rankCost(rank, s.loads[rank]) - s.rankCost(rank, s.loads[rank]+delta)
 	}
-	for _, holder := range holders {
+	for _, holder := range holderRanks {
 		delta := load/after - load/before
 		if holder == candidate.from {
 			delta = -load / before
@@ -359,19 +366,20 @@
 	return gain
 }
 
+// apply changes the placement by the step and updates the loads of the affected ranks.
 func (s *search) apply(chosen placementStep) {
 	s.bestStepValid = false
 	if chosen.victim >= 0 {
 		s.removeReplica(chosen.victim, chosen.rank)
 	}
-	before := float64(len(s.holders[chosen.expert]))
+	before := float64(len(s.holderRanks[chosen.expert]))
 	load := s.load[chosen.expert]
-	for _, holder := range s.holders[chosen.expert] {
+	for _, holder := range s.holderRanks[chosen.expert] {
 		s.loads[holder] -= load/before - load/(before+1)
 	}
 	s.loads[chosen.rank] += load / (before + 1)
 	s.held[chosen.rank] = append(s.held[chosen.rank], chosen.expert)
-	s.holders[chosen.expert] = append(s.holders[chosen.expert], chosen.rank)
+	s.holderRanks[chosen.expert] = append(s.holderRanks[chosen.expert], chosen.rank)
 	s.newByRank[chosen.rank]++
 	if chosen.from >= 0 {
 		s.removeReplica(chosen.expert, chosen.from)
@@ -382,16 +390,17 @@
 // removeReplica removes the rank's replica of the expert and spreads its load over
 // the expert's other holders.
 func (s *search) removeReplica(expert, rank int) {
-	n := float64(len(s.holders[expert]))
+	n := float64(len(s.holderRanks[expert]))
 	load := s.load[expert]
 	s.loads[rank] -= load / n
-	s.holders[expert] = without(s.holders[expert], rank)
+	s.holderRanks[expert] = without(s.holderRanks[expert], rank)
 	s.held[rank] = without(s.held[rank], expert)
-	for _, holder := range s.holders[expert] {
+	for _, holder := range s.holderRanks[expert] {
 		s.loads[holder] += load/(n-1) - load/n
 	}
 }
 
+// slowestRank returns the rank that takes the longest time for its load.
 func (s *search) slowestRank() int {
 	slowestRank := 0
 	most := 0.0
--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -4,7 +4,7 @@
 // Invariant: every holder has its own fencing number, and later holders have
 // higher numbers. The lease does not guarantee a single holder at a time: a
 // paused holder may resume, so whoever accepts orders from holders must reject
-// old numbers.
+// those with an old fencing number.
 //
 // Clocks of different machines are never compared: a candidate acquires the
 // lease once its row has not changed for some time on the candidate's own clock.
@@ -17,34 +17,34 @@
 )
 
 const (
-	renewInterval = 2 * time.Second
+	renewInterval = 2 * time.Second // Time between two reads of the row; the holder renews the lease after each.
 	leaseTimeout  = 6 * time.Second // A lease whose row has not changed for this long is free.
-	retryInterval = time.Second
+	retryInterval = time.Second     // Time until the next read after a read or write has failed.
 )
 
 // Row is the value of the lease's row.
 type Row struct {
-	Holder string `json:"holder"`
-	Fence  uint64 `json:"fence"`
-	Nonce  uint64 `json:"nonce"` // Different for every write.
+	Holder string `json:"holder"` // Name of the candidate that holds the lease.
+	Fence  uint64 `json:"fence"`  // Fencing number of the holder.
+	Nonce  uint64 `json:"nonce"`  // Random number that is different for every write.
 }
 
 // State is what a candidate knows about the lease.
 type State struct {
-	Self          string
+	Self          string        // Name of this candidate.
 	TakeoverDelay time.Duration // Added to the lease timeout, so that candidates do not race.
 
-	Held         bool
-	Fence        uint64 // Highest fencing number seen; the candidate's own one while Held.
-	Version      uint64 // Version of the row as last seen.
-	Nonce        uint64 // Nonce of this candidate's last write.
-	Row          Row    // The row as last seen.
-	HolderSeenAt time.Time
-	InFlight     bool // A read or write is in flight.
-	NextReadAt   time.Time
+	Held         bool      // This candidate holds the lease as far as it knows.
+	Fence        uint64    // Highest fencing number seen; the candidate's own one while Held.
+	Version      uint64    // Version of the row when it was last read or written.
+	Nonce        uint64    // Nonce of this candidate's last write.
+	Row          Row       // Content of the row when it was last read or written.
+	HolderSeenAt time.Time // When the row last changed or an order of the holder arrived.
+	InFlight     bool      // A read or write of the row is in flight.
+	NextReadAt   time.Time // When the row is read next.
 }
 
-// Read carries the row. Version 0 means that the row does not exist.
+// Read carries the row that was read. Version 0 means that the row does not exist.
 type Read struct {
 	Row     Row
 	Version uint64
@@ -57,7 +57,7 @@
 
 func (Failed) EventName() string { return "lease.failed" }
 
-// Written reports that a write was applied.
+// Written reports that a write of the row was applied, and the row's new version.
 type Written struct {
 	Row     Row
 	Version uint64
@@ -65,14 +65,14 @@
 
 func (Written) EventName() string { return "lease.written" }
 
-// Conflict reports that the row had another version, so that nothing was
-// written.
+// Conflict reports that nothing was written because the row had another version than
+// the write required.
 type Conflict struct{}
 
 func (Conflict) EventName() string { return "lease.conflict" }
 
-// HolderSeen reports that an order from the holder with the fencing number has
-// arrived, so that the candidate need not read the row yet.
+// HolderSeen reports that an order of the holder with the fencing number has arrived.
+// It shows that the holder is alive, so that the candidate need not read the row yet.
 type HolderSeen struct{ Fence uint64 }
 
 func (HolderSeen) EventName() string { return "lease.holder_heard" }
@@ -97,7 +97,7 @@
 	case reduce.Tick:
 		return s.tick(input)
 	case HolderSeen:
-		return s.holderHeard(event, input.Now), nil
+		return s.holderSeen(event, input.Now), nil
 	case Read:
 		s.InFlight = false
 		return s.read(event, input)
@@ -114,6 +114,7 @@
 	return s, nil
 }
 
+// tick reads the row when the next read is due.
 func (s State) tick(input reduce.Input) (State, []reduce.Effect) {
 	if s.InFlight || input.Now.Before(s.NextReadAt) {
 		return s, nil
@@ -123,7 +124,8 @@
 	return s, []reduce.Effect{ReadRow{}}
 }
 
-func (s State) holderHeard(event HolderSeen, now time.Time) State {
+// holderSeen notes that the holder is alive and postpones the next read of the row.
+func (s State) holderSeen(event HolderSeen, now time.Time) State {
 	if s.Held || event.Fence < s.Fence {
 		return s
 	}
@@ -132,8 +134,8 @@
 	return s
 }
 
-// read renews the lease if this candidate holds it, or acquires it if it has
-// expired.
+// read handles a read of the row: it renews the lease if this candidate holds it, or
+// acquires the lease if it is free.
 func (s State) read(event Read, input reduce.Input) (State, []reduce.Effect) {
 	s = s.observe(event.Row, event.Version, input.Now)
 	free := event.Version == 0 || input.Now.Sub(s.HolderSeenAt) >= leaseTimeout+s.TakeoverDelay
@@ -149,8 +151,8 @@
 	return s, []reduce.Effect{WriteRow{Row: row, IfVersion: event.Version}}
 }
 
-// observe records the row. If the reply to a write was lost, the nonce shows
-// that the write was applied.
+// observe records the row and determines whether this candidate holds the lease. If
+// the reply to a write was lost, the nonce in the row shows that the write was applied.
 func (s State) observe(row Row, version uint64, now time.Time) State {
 	if version != s.Version {
 		s.HolderSeenAt = now
--- a/policy/mapswitch/change.go
+++ b/policy/mapswitch/change.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Change is the difference between two maps for one rank in one set. Agents that
-// know the map in force receive changes instead of the whole next map, which in
-// a large group is a hundred times as long.
+// Change is the difference between two expert maps for one rank in one expert
+// set. Agents that know the map in force receive changes instead of the whole
+// next map, which in a large group is a hundred times as long.
 type Change struct {
 	Set, Rank int
-	Experts   []int // All experts that the rank holds in the set after the change.
+	Experts   []int // All experts that the rank holds in the expert set after the change.
 }
 
-// Changes returns the changes that turn the map from into the map to.
+// Changes returns the changes that turn the expert map from into the map to.
 func Changes(from, to Map) []Change {
 	var changes []Change
 	for set := range to {
@@ -23,8 +23,8 @@
 	return changes
 }
 
-// Apply returns a copy of from with the changes applied. ok is false if a change
-// names a set or a rank that from does not have.
+// Apply returns a copy of the expert map from with the changes applied. ok is
+// false if a change names an expert set or a rank that from does not have.
 func Apply(from Map, changes []Change) (to Map, ok bool) {
 	to = make(Map, len(from))
 	for set := range from {
@@ -39,11 +39,12 @@
 	return to, true
 }
 
-// Shape is the number of sets, experts and ranks of a group's map.
+// Shape is the size of a group's expert map: the number of expert sets, of
+// experts in each set and of ranks.
 type Shape struct{ Sets, Experts, Ranks int }
 
-// InTurn returns the map that a new group starts with: the experts of each set
-// are assigned to the ranks round-robin.
+// InTurn returns the expert map that a new group starts with: the experts of
+// each expert set are assigned to the ranks round-robin.
 func InTurn(shape Shape) Map {
 	roundRobin := make(Map, shape.Sets)
 	for set := range roundRobin {
@@ -56,8 +57,8 @@
 	return roundRobin
 }
 
-// RoundRobinShape returns the shape of a map that InTurn produced. ok is false for
-// any other map.
+// RoundRobinShape returns the shape of an expert map that InTurn produced. ok is false
+// for any other map.
 func RoundRobinShape(m Map) (Shape, bool) {
 	if len(m) == 0 {
 		return Shape{}, false
--- a/policy/mapswitch/change_test.go
+++ b/policy/mapswitch/change_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-func TestDealtInTurn(t *testing.T) {
+func TestRoundRobinShape(t *testing.T) {
 	shape := Shape{Sets: 2, Experts: 7, Ranks: 3}
 	if got, ok := RoundRobinShape(InTurn(shape)); !ok || got != shape {
 		t.Errorf("got %v, %v", got, ok)
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -8,34 +8,39 @@
 )
 
 const (
-	// holdTimeout is the maximum time from ordering a hold to arming the ranks for
-	// it. It leaves time for several calls between small machines.
+	// holdTimeout is the maximum time from ordering a rank to hold a pass to arming
+	// the ranks for that pass. It leaves time for several calls between small
+	// machines.
 	holdTimeout = 100*time.Millisecond + holdSettleTime
 	// holdSettleTime is the delay between the reply to an order to hold and the
-	// second check of its sender. A machine that stops because of the order, or
-	// while it replies, has stopped by then: the call itself takes about 5 ms.
+	// second check of the agent that sent it. A machine that stops because of the
+	// order, or while it replies, has stopped by then: the call itself takes about
+	// 5 ms.
 	holdSettleTime = 20 * time.Millisecond
-	// readAgeLimitBase and readAgeLimitPerRank bound the age of the latest read of
-	// every rank before a hold. Ranks are read every 24 ms, in large groups every
-	// 2 ms times the number of ranks; two reads may be lost.
+	// readAgeLimitBase and readAgeLimitPerRank limit the age that the latest read of
+	// any rank may have when a hold is ordered: the base plus the second limit times
+	// the number of ranks. Ranks are read every 24 ms, in large groups every 2 ms
+	// times the number of ranks; two reads may be lost.
 	readAgeLimitBase    = 60 * time.Millisecond
 	readAgeLimitPerRank = 4 * time.Millisecond
 )
 
-// Hold describes the hold of the change in progress.
+// Hold describes the hold of the change in progress: one rank does not begin the
+// given pass until it is released. As all ranks run passes in lock step, this keeps
+// the whole group from beginning it.
 type Hold struct {
-	Rank int // The rank that holds the pass.
-	Pass int64
+	Rank int   // The rank that holds the pass.
+	Pass int64 // The pass that the group must not begin yet.
 
 	firstOrderedAt time.Time // When the hold was first ordered, at any rank.
 	sender         int       // The rank whose agent sends the order.
-	answeredAt     time.Time // When the call to the sender returned; zero before.
-	recheckedAt    time.Time // When the second check of the sender was requested; zero before.
+	answeredAt     time.Time // When the call to the sender returned; zero until it has.
+	recheckedAt    time.Time // When the second check of the sender was requested; zero until it has been.
 }
 
-// putHold sets the hold. Ranks are armed only after the hold is in place and the
-// machine that sent the order still answers: a machine that stopped just then
-// could not be armed.
+// putHold orders a rank to hold the pass and waits until it does. Ranks are armed
+// only after the hold is in place and the machine that sent the order still
+// answers: a machine that stopped just then could not be armed.
 func (s State) putHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	holder := s.Ranks[s.Hold.Rank]
 	held := holder.State.HeldPass
@@ -44,7 +49,7 @@
 		s, moved := s.enterPhase(Arming, "hold is in place", now)
 		return s, moved, nil
 	case held == s.Hold.Pass && now.Sub(s.PhaseStartedAt) > holdTimeout:
-		// No rank has been armed for the pass, so the group may continue.
+		// No rank has been armed for the held pass, so the group may begin it.
 		s, orders := s.releaseHolds(held, now)
 		s.senderFailedAt = now
 		s, moved := s.enterPhase(Preparing, "the sender of the hold does not answer", now)
@@ -53,8 +58,11 @@
 		s, recheck := s.recheckSender(now)
 		return s, nil, recheck
 	case held != 0:
-		// An earlier hold took effect late. All ranks have since prepared a later
-		// version than any that was to be armed for it.
+		// The rank holds another pass, because an earlier order to hold took effect
+		// late. The hold can be released at once: an order to arm a rank for that pass
+		// can only name a version older than s.Version, and no rank accepts it, since
+		// all ranks have prepared s.Version and a rank arms only the version that it has
+		// prepared last.
 		s, orders := s.releaseHolds(held, now)
 		return s, nil, orders
 	case s.lastPass() >= s.Hold.Pass || s.needsNewHoldRanks():
@@ -67,9 +75,9 @@
 	return s, nil, s.order(now, topology.Order{Kind: topology.Hold, Pass: s.Hold.Pass}, s.isRank(s.Hold.Rank))
 }
 
-// selectHoldRanks selects the next rank and sender for the hold, because the
-// previous hold was rejected or came too late, or because an agent is
-// unreachable.
+// selectHoldRanks selects the rank that holds the pass and the rank whose agent
+// sends the order. A new selection is needed if the previous order to hold was
+// rejected or came too late, or if an agent is unreachable.
 func (s State) selectHoldRanks() State {
 	s.Hold.Rank, s.Hold.sender = s.nextHoldRanks()
 	s.Hold.answeredAt, s.Hold.recheckedAt = time.Time{}, time.Time{}
@@ -79,9 +87,9 @@
 	return s
 }
 
-// recheckSender requests a read of the sender some time after its reply to the
-// order to hold: a machine that stops because of the order may still have
-// replied to it.
+// recheckSender requests a read of the rank whose agent sent the order to hold,
+// holdSettleTime after the reply: a machine that stops because of the order may
+// still have replied to it.
 func (s State) recheckSender(now time.Time) (State, []reduce.Effect) {
 	if s.Hold.answeredAt.IsZero() || !s.Hold.recheckedAt.IsZero() || now.Sub(s.Hold.answeredAt) < holdSettleTime {
 		return s, nil
@@ -97,15 +105,17 @@
 	return !s.Hold.answeredAt.IsZero() && !sender.AgentUnreachable && sender.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
 }
 
-// needsNewHoldRanks reports whether the hold needs another rank or another
-// sender, because an agent is unreachable and there is a replacement.
+// needsNewHoldRanks reports whether another rank must hold the pass or another
+// agent must send the order, because an agent is unreachable and there is a
+// replacement.
 func (s State) needsNewHoldRanks() bool {
 	holder, sender := s.nextHoldRanks()
 	return (s.Ranks[s.Hold.Rank].AgentUnreachable || s.Ranks[s.Hold.sender].AgentUnreachable) && (holder != s.Hold.Rank || sender != s.Hold.sender)
 }
 
-// nextHoldPass returns the pass to hold. ok is false while the lowest pass that
-// may be held is more than maxPassLead passes ahead.
+// nextHoldPass returns the number of the pass to hold. ok is false while the lowest
+// pass that may be held is more than maxPassLead passes after the last one that the
+// group has begun.
 func (s State) nextHoldPass() (pass int64, ok bool) {
 	lead := s.passTiming.lead(s.Size)
 	if s.ordersLost {
@@ -145,6 +155,8 @@
 	})
 }
 
+// readAgeLimit returns the maximum age of the latest read of every rank at which a
+// hold may be ordered.
 func (s State) readAgeLimit() time.Duration {
 	if s.readAgeLimitOverride != 0 {
 		return s.readAgeLimitOverride
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -1,7 +1,20 @@
 // Package mapswitch is the state machine that coordinates changes of one group's
-// expert map. Every rank copies the next version, a hold keeps the group from
-// beginning a pass until all ranks are armed for it, and then all ranks switch
-// in the same pass.
+// expert map, which lists the experts that each rank holds. All ranks of a group
+// run the passes of the model in lock step, and all must switch to the next version
+// of the map before the same pass. A change takes these steps, each an order to the
+// ranks:
+//
+//   - Prepare: every rank copies the experts of the next version.
+//   - Hold: one rank does not begin a given pass until it is released, which keeps
+//     the whole group from beginning it.
+//   - Arm: every rank notes that it switches to the prepared version before the held
+//     pass.
+//   - Release: the rank with the hold lets the group begin the held pass.
+//
+// A fifth order, disarm, cancels a switch that a rank has been armed for. One
+// coordinator, the holder of the group's lease, sends the orders. Its predecessor is
+// the coordinator that held the lease before it and whose orders may still be in
+// flight. Each time that the group forms anew, an epoch begins.
 //
 // Invariant: no pass begins while two ranks have different maps. Orders may be
 // lost, or take effect seconds later and after newer ones. A missing reply
@@ -29,32 +42,37 @@
 
 const (
 	// passLead is the minimum number of passes by which the held pass is ahead of
-	// the last known one. A rank rejects a hold that arrives too late for its pass,
-	// and its reply tells which pass is next.
+	// the last one that the group is known to have begun. A rank rejects an order to
+	// hold a pass that has already begun, and its reply tells which pass is next.
 	passLead = 1
-	// lostOrderPassLead replaces passLead if orders of the same change were lost:
-	// the group then has one more pass to run while lost orders to arm are resent.
+	// lostOrderPassLead is the minimum lead, instead of passLead, if orders of the
+	// same change were lost: the group then has one more pass to run while lost orders
+	// to arm are resent.
 	lostOrderPassLead = 2
 	// maxPassLead is the maximum number of passes by which the held pass is ahead of
-	// the last known one. A successor only holds passes more than maxPassLead after
-	// the last one that it finds, so that a delayed release order of its predecessor
-	// never matches one of its holds.
+	// the last one that the group is known to have begun. The next coordinator only
+	// holds passes that are more than maxPassLead after the last pass that it finds
+	// begun, so that a delayed order of its predecessor to release a pass never names
+	// a pass that it holds.
 	maxPassLead = 4
-	// armTimePerRank is the estimated time per rank to hold, arm and release until a
-	// change has been measured. It covers the calls and reports of a small machine.
+	// armTimePerRank, multiplied by the number of ranks, is the estimated time to hold
+	// a pass, arm all ranks and release the pass until a change has been measured. It
+	// covers the calls and reports of a small machine.
 	armTimePerRank = time.Millisecond
-	// resendAfter is how long to wait for an order to take effect before it is
-	// resent; engines on the same machine answer within a few ms.
-	resendAfter = 12 * time.Millisecond
-	// copyResendAfter is the same for an order to copy, which takes effect only when
-	// the copy is complete; a rank that is copying reports that it is busy.
-	copyResendAfter = 40 * time.Millisecond
-	// pendingLimit is how long to wait for the call of an order to return; the calls
-	// themselves have shorter timeouts.
-	pendingLimit = time.Second
-	// prepareLimit is how long ranks may copy before the version is abandoned. A
+	// defaultResendDelay is how long to wait for an order to take effect before it is
+	// resent; engines on the agent's machine answer within a few ms.
+	defaultResendDelay = 12 * time.Millisecond
+	// copyResendDelay is how long to wait before an order to prepare a version is
+	// resent. The order takes effect only when the experts have been copied; a rank
+	// that is copying reports that it is busy.
+	copyResendDelay = 40 * time.Millisecond
+	// orderCallTimeout is how long no further order is sent to a rank while the call
+	// that carries the last one has not returned; the calls themselves have shorter
+	// timeouts.
+	orderCallTimeout = time.Second
+	// prepareTimeout is how long ranks may copy before the version is abandoned. A
 	// change brings each rank a few experts, and copying one takes about 0.1 s.
-	prepareLimit = 4 * time.Second
+	prepareTimeout = 4 * time.Second
 	// versionsPerFence is the number of versions that one lease can create.
 	versionsPerFence = 1 << 20
 )
@@ -64,14 +82,14 @@
 
 // The phases of a map change.
 const (
-	Survey    Phase = iota // Not all ranks have been read in this epoch.
+	Survey    Phase = iota // Ranks are being read to find the map in use and orders that an earlier coordinator left.
 	Idle                   // No change is in progress.
-	Preparing              // Ranks copy the next version.
-	Holding                // The hold is being set.
-	Arming                 // Ranks are being armed; the group may stall meanwhile.
-	Releasing              // The hold is being released.
-	Settling               // The group has not yet begun the held pass.
-	Fencing                // A predecessor's orders are invalidated before its hold is released.
+	Preparing              // Ranks copy the experts of the next version.
+	Holding                // A rank is being ordered to hold a pass, so that the group does not begin it.
+	Arming                 // Ranks are being armed to switch before the held pass; the group may stall meanwhile.
+	Releasing              // The held pass is being released.
+	Settling               // The held pass is released, and the group has not yet begun it.
+	Fencing                // An earlier coordinator's orders to arm are invalidated, so that the pass that it made a rank hold can be released.
 )
 
 // String returns the phase's name for logs and metrics.
@@ -79,7 +97,8 @@
 	return [...]string{"survey", "idle", "preparing", "holding", "arming", "releasing", "settling", "fencing"}[p]
 }
 
-// Map lists the experts of each rank, by set and rank.
+// Map is an expert map: the experts that each rank holds, indexed by expert set and
+// rank. An expert set is a set of layers that share one placement of experts.
 type Map = [][][]int
 
 // State is the coordinator's view of its group.
@@ -91,8 +110,8 @@
 
 	Phase          Phase
 	PhaseStartedAt time.Time // When the phase began.
-	Version        int64     // The version in force, or being put in force.
-	NextMap        Map       // Content of Version while it is put in force; nil for a predecessor's change.
+	Version        int64     // The map version in force, or being put in force.
+	NextMap        Map       // The map of Version while it is being put in force; nil if a predecessor began the change.
 	Current        Map       // The map in use; nil while unknown.
 	CurrentVersion int64     // The version of Current.
 	Hold           Hold
@@ -100,35 +119,37 @@
 	senderFailedAt       time.Time     // When the sender of a hold last failed to answer; zero if never.
 	readAgeLimitOverride time.Duration // Replaces the computed read age limit if not 0.
 	ownRank              int           // The rank on the coordinator's machine.
-	minHoldPass          int64         // Lower passes are not held: an order to release one may be in flight.
+	minHoldPass          int64         // The lowest pass that may be held: an order to release a lower one may still be in flight.
 
 	superseded bool // A rank has reported a version of a later lease; all input is ignored from then on.
 
 	versionsMade int64 // Number of versions created under this lease.
-	ordersLost   bool  // An order to copy had to be resent in this change.
+	ordersLost   bool  // An order to prepare had to be resent in this change.
 	passTiming   passTiming
 	// releasablePasses are the passes whose hold may be released at once: those that
-	// this lease has held, and those whose orders to arm have been invalidated.
+	// this coordinator has ordered ranks to hold, and those for which a predecessor's
+	// orders to arm have been invalidated.
 	releasablePasses map[int64]bool
 }
 
 // Rank is the last reported state of a rank.
 type Rank struct {
 	State             topology.RankState
-	Lists             topology.RankLists // Lists for State.MapVersion, if the versions match.
+	Lists             topology.RankLists // The experts that the rank holds; valid if its MapVersion is that of State.
 	ReportRequestedAt time.Time          // When the report was requested.
-	AgentUnreachable  bool               // The agent is unreachable; the engine itself was read.
+	AgentUnreachable  bool               // The report was read from the engine itself, as its agent is unreachable.
 	OrderedAt         time.Time          // When the last order was sent.
-	OrderPending      bool               // The call of the last order has not returned.
+	OrderPending      bool               // The call that carries the last order has not returned.
 }
 
-// New returns the state of a coordinator that has just acquired the lease and
-// runs on the machine of the rank ownRank.
+// New returns the state of a coordinator that has just acquired the lease with the
+// fencing number and runs on the machine of the rank ownRank.
 func New(fence uint64, ownRank int) State {
 	return State{Fence: fence, ownRank: ownRank, Ranks: map[int]Rank{}, releasablePasses: map[int64]bool{}}
 }
 
-// RankRead carries a rank's own report, and its lists if they were read.
+// RankRead carries a rank's own report and, if they were read, the lists of the
+// experts that it holds.
 type RankRead struct {
 	State topology.RankState
 	Lists topology.RankLists
@@ -141,17 +162,17 @@
 
 func (RankRead) EventName() string { return "mapswitch.rank_read" }
 
-// OrderReturned reports that the call of an order has returned, whether or not
-// the order succeeded.
+// OrderReturned reports that the call that carried an order has returned, whether or
+// not the order succeeded.
 type OrderReturned struct {
 	Rank     int
 	Kind     topology.OrderKind
-	Answered bool // By an agent, or by the engine itself.
+	Answered bool // The agent, or the engine itself, has replied.
 }
 
 func (OrderReturned) EventName() string { return "mapswitch.given" }
 
-// PlanReady carries the next map.
+// PlanReady carries the map that the planner wants to put in force.
 type PlanReady struct {
 	Epoch int64
 	Map   Map
@@ -164,8 +185,9 @@
 type SendOrder struct {
 	Rank  int
 	Order topology.Order
-	// BaseMap and BaseVersion are the map in use, on which an order to copy builds;
-	// nil and 0 for other orders. A rank's own report may lag behind that version.
+	// BaseMap and BaseVersion are the map in use and its version, from which an order
+	// to prepare may be sent as a list of changes; nil and 0 for other orders. A rank's
+	// own report may lag behind that version.
 	BaseMap     Map
 	BaseVersion int64
 	// SenderRank is the rank whose agent sends the order. It is the rank itself, except
@@ -192,13 +214,13 @@
 
 func (PhaseChanged) EffectName() string { return "mapswitch.moved" }
 
-// Superseded reports that a later lease has created the version, so that this
-// coordinator must stop.
+// Superseded reports that a rank has a map version which the coordinator of a later
+// lease created, so that this coordinator must stop.
 type Superseded struct{ Version int64 }
 
 func (Superseded) EffectName() string { return "mapswitch.resigned" }
 
-// Step applies one input to the state. It modifies the maps inside the state, so
+// Step applies one input to the state. It modifies the Go maps inside the state, so
 // the caller must not share them.
 func Step(s State, input reduce.Input) (State, []reduce.Effect) {
 	if s.superseded {
@@ -231,8 +253,8 @@
 	return s, append(effects, more...)
 }
 
-// applyReport stores a report. A new epoch invalidates everything known of the
-// ranks.
+// applyReport stores a rank's report. A report of a new epoch invalidates everything
+// known of the ranks.
 func (s State) applyReport(event RankRead, now time.Time) (State, []reduce.Effect) {
 	state := event.State
 	var effects []reduce.Effect
@@ -264,8 +286,8 @@
 	return s, effects
 }
 
-// advance goes through the phases as far as the reports allow and sends the
-// orders of the phases on the way.
+// advance enters the following phases as far as the ranks' reports allow and sends
+// the orders of each phase that it enters.
 func (s State) advance(now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for {
@@ -279,11 +301,13 @@
 	}
 }
 
+// stepPhase sends the orders that the phase still needs, or enters the next phase.
+// moved holds the effects of the change of phase, orders those that send orders.
 func (s State) stepPhase(now time.Time) (next State, moved, orders []reduce.Effect) {
 	if !s.allRanksRead() {
 		return s, nil, nil
 	}
-	if (s.Phase == Idle || s.Phase == Preparing) && s.hasForeignHold() {
+	if (s.Phase == Idle || s.Phase == Preparing) && s.hasPredecessorHold() {
 		s, moved = s.enterPhase(Survey, "a predecessor has set a hold", now)
 		return s, moved, nil
 	}
@@ -291,8 +315,8 @@
 	case Survey:
 		s, moved = s.survey(now)
 	case Idle:
-		// Releases a hold of this lease that took effect late. No rank is armed for its
-		// pass, which has been abandoned or is over.
+		// An order of this coordinator to hold a pass may have taken effect late. No rank
+		// is armed for that pass, which has been abandoned or is over, so it is released.
 		s, orders = s.releaseLateHolds(now)
 	case Preparing:
 		s, moved, orders = s.prepare(now)
@@ -306,7 +330,7 @@
 	case Releasing:
 		s, moved, orders = s.release(now)
 	case Settling:
-		// Releases a hold that took effect late: all ranks are armed.
+		// A hold that took effect late is released, since all ranks are armed.
 		s, orders = s.releaseLateHolds(now)
 		s, moved = s.settle(now)
 	case Fencing:
@@ -318,11 +342,12 @@
 // allRanksRead reports whether every rank of the epoch has been read.
 func (s State) allRanksRead() bool { return s.Size > 0 && len(s.Ranks) == s.Size }
 
-// NeedsLists reports whether the ranks' lists must be read.
+// NeedsLists reports whether the lists of the experts that the ranks hold must be
+// read along with their state.
 func (s State) NeedsLists() bool { return s.Phase == Survey }
 
-// Slowness returns the slowness factor of each rank: 1 for a rank of normal
-// speed or one that has not been read.
+// Slowness returns the slowness factor of each rank, by which its passes take longer
+// than normal: 1 for a rank of normal speed or one that has not been read.
 func (s State) Slowness() []float64 {
 	slowness := make([]float64, s.Size)
 	for id := range slowness {
@@ -331,7 +356,7 @@
 	return slowness
 }
 
-// Requests returns the number of requests at all ranks.
+// Requests returns the number of requests at all ranks, running or queued.
 func (s State) Requests() int {
 	total := 0
 	for _, rank := range s.Ranks {
@@ -340,8 +365,8 @@
 	return total
 }
 
-// enterPhase switches to a phase. It clears the record of earlier orders, so
-// that they do not delay those of the new phase.
+// enterPhase switches to a phase. It clears the times of earlier orders, so that they
+// do not delay the orders of the new phase.
 func (s State) enterPhase(to Phase, reason string, now time.Time) (State, []reduce.Effect) {
 	effect := PhaseChanged{From: s.Phase, To: to, Epoch: s.Epoch, Version: s.Version, Pass: s.Hold.Pass, Reason: reason}
 	if !s.PhaseStartedAt.IsZero() {
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -7,19 +7,19 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// order sends the order to all ranks that need it and have not been sent one
-// recently.
+// order sends the order to all ranks that need it and to which no order has been sent
+// within the resend delay.
 func (s State) order(now time.Time, order topology.Order, needs func(Rank) bool) []reduce.Effect {
 	order.Epoch, order.Fence = s.Epoch, s.Fence
-	resendDelay := resendAfter
+	resendDelay := defaultResendDelay
 	if order.Kind == topology.Prepare {
-		resendDelay = copyResendAfter
+		resendDelay = copyResendDelay
 	}
 	var effects []reduce.Effect
 	for id := range s.Size {
 		rank := s.Ranks[id]
 		waited := now.Sub(rank.OrderedAt)
-		if !needs(rank) || waited < resendDelay || rank.OrderPending && waited < pendingLimit {
+		if !needs(rank) || waited < resendDelay || rank.OrderPending && waited < orderCallTimeout {
 			continue
 		}
 		rank.OrderedAt, rank.OrderPending = now, true
@@ -36,10 +36,12 @@
 	return effects
 }
 
+// isRank returns the condition that a rank has the given number.
 func (s State) isRank(id int) func(Rank) bool {
 	return func(r Rank) bool { return r.State.Rank == id }
 }
 
+// allRanks reports whether every rank that has been read meets the condition.
 func (s State) allRanks(condition func(Rank) bool) bool {
 	for _, rank := range s.Ranks {
 		if !condition(rank) {
@@ -49,7 +51,8 @@
 	return true
 }
 
-// releaseHolds releases all holds of passes up to and including last.
+// releaseHolds orders every rank that holds a pass up to and including last to release
+// it.
 func (s State) releaseHolds(last int64, now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for id := range s.Size {
@@ -63,6 +66,7 @@
 	return s, effects
 }
 
+// lastPass returns the last pass that any rank has reported to have begun.
 func (s State) lastPass() int64 {
 	var last int64
 	for _, rank := range s.Ranks {
@@ -71,16 +75,16 @@
 	return last
 }
 
-// nextVersion returns a version that no other lease creates and that is higher
-// than all versions of earlier leases.
+// nextVersion returns a new map version. The coordinator of no other lease creates
+// it, and it is higher than all versions created under earlier leases.
 func (s *State) nextVersion() int64 {
 	s.versionsMade++
 	return int64(s.Fence)*versionsPerFence + s.versionsMade
 }
 
-// cannotComplete reports whether no coordinator can ever see all ranks armed for
-// the version, because a rank that is not armed for it has already prepared a
-// later one.
+// cannotComplete reports whether no coordinator can ever see all ranks armed for the
+// map version, because a rank that is not armed for it has already prepared a later
+// one.
 func (s State) cannotComplete(version int64) bool {
 	for _, rank := range s.Ranks {
 		if rank.State.Prepared > version && rank.State.Armed != version && rank.State.MapVersion != version {
@@ -100,8 +104,8 @@
 	return Rank{}, false
 }
 
-// hasSuccessorVersion reports whether the rank reports a version of a later
-// lease.
+// hasSuccessorVersion reports whether the rank reports a map version that was created
+// under a later lease.
 func (s State) hasSuccessorVersion(rank topology.RankState) bool {
 	latest := max(rank.MapVersion, rank.Prepared, rank.Armed)
 	return latest >= int64(s.Fence+1)*versionsPerFence
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -8,8 +8,9 @@
 	"persimmonwind.dev/policy/topology"
 )
 
-// survey determines the state in which a predecessor or an earlier epoch has
-// left the group.
+// survey determines from the reports of all ranks which map the group uses and which
+// orders of a predecessor are still in effect, and enters the phase that follows from
+// them.
 func (s State) survey(now time.Time) (State, []reduce.Effect) {
 	armedRank, isArmed := s.armedRank()
 	if isArmed && !s.cannotComplete(armedRank.State.Armed) {
@@ -37,17 +38,18 @@
 	return s.enterPhase(Idle, "all ranks read", now)
 }
 
-// noHoldInEpoch reports whether no coordinator can have set a hold in this
-// epoch, which requires that all ranks have prepared a version. Demand has
-// usually jumped when a group forms, so the first change must not wait for
-// passes that nobody has held.
+// noHoldInEpoch reports whether no coordinator can have ordered a rank to hold a pass
+// in this epoch, because that requires that all ranks have prepared a version. Demand
+// has usually jumped when a group forms, so the first change must not wait until the
+// group is beyond passes that no coordinator has held.
 func (s State) noHoldInEpoch() bool {
 	return s.allRanks(func(r Rank) bool {
 		return !r.AgentUnreachable && r.State.MapVersion == 0 && r.State.Prepared == 0 && r.State.Armed == 0
 	})
 }
 
-// currentMap assembles the map in use from the ranks' lists.
+// currentMap assembles the map in use from the lists of the experts that the ranks
+// hold. It reports false while lists are missing or differ in version.
 func (s State) currentMap() (Map, bool) {
 	var current Map
 	for id := range s.Size {
@@ -65,8 +67,10 @@
 	return current, true
 }
 
+// prepare orders all ranks to copy the experts of the next version. Once all have, it
+// selects the pass to hold.
 func (s State) prepare(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
-	if now.Sub(s.PhaseStartedAt) > prepareLimit {
+	if now.Sub(s.PhaseStartedAt) > prepareTimeout {
 		s, moved := s.enterPhase(Survey, "ranks did not copy in time", now)
 		return s, moved, nil
 	}
@@ -86,6 +90,7 @@
 	return s, nil, orders
 }
 
+// arm orders all ranks to switch to the version before the held pass.
 func (s State) arm(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	armed := func(r Rank) bool {
 		return r.State.MapVersion == s.Version || r.State.Armed == s.Version && r.State.ArmedPass == s.Hold.Pass
@@ -102,6 +107,7 @@
 		func(r Rank) bool { return !armed(r) })
 }
 
+// release orders the rank that holds the pass to let the group begin it.
 func (s State) release(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	s, orders := s.releaseHolds(s.Hold.Pass, now)
 	if s.allRanks(func(r Rank) bool { return r.State.HeldPass == 0 || r.State.HeldPass > s.Hold.Pass }) {
@@ -114,8 +120,8 @@
 	return s, nil, orders
 }
 
-// settle waits until the group has begun the held pass; an idle group runs no
-// passes.
+// settle waits until the group has begun the pass before which the ranks switch; an
+// idle group runs no passes.
 func (s State) settle(now time.Time) (State, []reduce.Effect) {
 	if !s.allRanks(func(r Rank) bool { return r.State.MapVersion == s.Version && r.State.Armed == 0 }) {
 		return s, nil
@@ -127,8 +133,9 @@
 	return s.enterPhase(Idle, "in force", now)
 }
 
-// fencePredecessor prepares a new version at all ranks, so that a predecessor's
-// order to arm names a version that is no longer prepared.
+// fencePredecessor prepares a new version at all ranks, with the content of the map in
+// use. A predecessor's order to arm a rank then names a version that is no longer
+// prepared, so that the rank rejects it.
 func (s State) fencePredecessor(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	armedRank, isArmed := s.armedRank()
 	if isArmed && !s.cannotComplete(armedRank.State.Armed) {
@@ -154,15 +161,16 @@
 	return s, nil, orders
 }
 
-// releaseLateHolds releases holds whose order took effect late.
+// releaseLateHolds releases every pass that a rank holds because an order to hold it
+// took effect late.
 func (s State) releaseLateHolds(now time.Time) (State, []reduce.Effect) {
 	return s.releaseHolds(math.MaxInt64, now)
 }
 
-// hasForeignHold reports whether a rank is held by an order of another lease. A
-// predecessor that resumed may have set the hold after the survey, and its
-// orders to arm for that pass may still take effect.
-func (s State) hasForeignHold() bool {
+// hasPredecessorHold reports whether a rank holds a pass by order of another
+// coordinator. A predecessor that resumed may have sent the order after the survey,
+// and its orders to arm ranks for that pass may still take effect.
+func (s State) hasPredecessorHold() bool {
 	for _, rank := range s.Ranks {
 		if rank.State.HeldPass != 0 && !s.releasablePasses[rank.State.HeldPass] {
 			return true
--- a/policy/mapswitch/timing.go
+++ b/policy/mapswitch/timing.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// oldSampleWeight is the weight of the moving average against a new sample:
-// about the last five changes and passes count.
+// oldSampleWeight is the share of the old value in an exponential moving average when
+// a sample is added, so that the average covers about the last five changes or
+// passes.
 const oldSampleWeight = 0.8
 
-// passTiming estimates how fast the group runs passes and how long its ranks
-// take to be armed. The hold of a change is set far enough ahead that the group
+// passTiming estimates how fast the group runs passes and how long it takes to arm its
+// ranks. From both follows how many passes ahead a pass must be held so that the group
 // hardly stalls.
 type passTiming struct {
-	pass   int64 // The last pass seen.
-	passAt time.Time
+	pass   int64     // The last pass seen.
+	passAt time.Time // When pass was first seen.
 
 	passTime time.Duration // Duration of one pass; 0 while unknown.
 	armTime  time.Duration // Time from the order to hold to the release; 0 while unknown.
--- a/policy/planner/forecast.go
+++ b/policy/planner/forecast.go
@@ -7,32 +7,34 @@
 	// significanceFactor is the factor by which the squared change since the last
 	// plan must exceed the change that noise alone explains.
 	significanceFactor = 2
-	// A layer that has not been planned yet is checked once, after this many
-	// observations, and changed if that saves more than noise explains.
+	// firstCheckObservations is the number of observations after which a layer that has
+	// not been planned yet is checked once. The layer is changed if that saves more than
+	// noise explains.
 	firstCheckObservations = 8
-	firstCheckSigmas       = 4.0  // Standard deviations of the forecast.
-	firstCheckMinSaving    = 0.05 // Share of the layer's time under an even spread.
+	firstCheckSigmas       = 4.0  // Saving that noise may explain at the first check, in standard deviations of the forecast.
+	firstCheckMinSaving    = 0.05 // Minimum saving at the first check, as a share of the layer's time under an evenly spread load.
 	slownessChanged        = 0.05 // Relative change of a rank's slowness that triggers a plan.
 )
 
 // State is the planner's state between plans. The zero value is ready to use.
 type State struct {
-	forecast        [][]float64 // Tokens per step by layer and expert.
-	last            [][]float64 // Last observation.
-	weight          []float64   // By layer: variance of the forecast as a fraction of the noise.
-	noise           []float64   // By layer: variance of one observation, relative to the squared load.
-	reference       [][]float64 // Forecast at the first observation or the last plan of the layer.
-	referenceWeight []float64
-	count           []int     // By layer: number of observations.
-	slowness        []float64 // When the map was last changed.
+	forecast         [][]float64 // Tokens per step by layer and expert.
+	lastObserved     [][]float64 // By layer and expert: the last observation.
+	varianceWeight   []float64   // By layer: variance of the forecast as a fraction of noiseVariance.
+	noiseVariance    []float64   // By layer: variance of one observation, relative to the squared load.
+	reference        [][]float64 // By layer and expert: the forecast at the first observation or the last plan of the layer.
+	referenceWeight  []float64   // By layer: varianceWeight at the time of reference.
+	observationCount []int       // By layer: number of observations.
+	slowness         []float64   // By rank: the slowness when the map was last changed.
 }
 
+// observe updates the forecast with the observed load of the layers.
 func (s *State) observe(input Input) {
 	if s.forecast == nil {
 		layers := input.Shape.Layers
-		s.forecast, s.last, s.reference = make([][]float64, layers), make([][]float64, layers), make([][]float64, layers)
-		s.count = make([]int, layers)
-		s.weight, s.noise, s.referenceWeight = make([]float64, layers), make([]float64, layers), make([]float64, layers)
+		s.forecast, s.lastObserved, s.reference = make([][]float64, layers), make([][]float64, layers), make([][]float64, layers)
+		s.observationCount = make([]int, layers)
+		s.varianceWeight, s.noiseVariance, s.referenceWeight = make([]float64, layers), make([]float64, layers), make([]float64, layers)
 	}
 	for layer, observed := range input.Observed {
 		if observed != nil {
@@ -41,38 +43,41 @@
 	}
 }
 
+// observeLayer updates the layer's forecast and the estimate of its noise, which is the
+// variance between consecutive observations.
 func (s *State) observeLayer(layer int, observed []float64) {
-	s.count[layer]++
+	s.observationCount[layer]++
 	if s.forecast[layer] == nil {
 		s.forecast[layer] = append([]float64(nil), observed...)
-		s.last[layer] = append([]float64(nil), observed...)
-		s.weight[layer] = 1
+		s.lastObserved[layer] = append([]float64(nil), observed...)
+		s.varianceWeight[layer] = 1
 		s.setReference(layer)
 		return
 	}
 	var squares float64
 	for expert, tokens := range observed {
-		before := s.last[layer][expert]
+		before := s.lastObserved[layer][expert]
 		scale := math.Max((tokens+before)/2, math.SmallestNonzeroFloat64)
 		squares += (tokens - before) * (tokens - before) / (2 * scale * scale)
 		s.forecast[layer][expert] += smoothingFactor * (tokens - s.forecast[layer][expert])
 	}
-	noise := squares / float64(len(observed))
-	if s.noise[layer] > 0 {
-		noise = s.noise[layer] + smoothingFactor*(noise-s.noise[layer])
+	noiseVariance := squares / float64(len(observed))
+	if s.noiseVariance[layer] > 0 {
+		noiseVariance = s.noiseVariance[layer] + smoothingFactor*(noiseVariance-s.noiseVariance[layer])
 	}
-	s.noise[layer] = noise
-	s.weight[layer] = (1-smoothingFactor)*(1-smoothingFactor)*s.weight[layer] + smoothingFactor*smoothingFactor
-	copy(s.last[layer], observed)
+	s.noiseVariance[layer] = noiseVariance
+	s.varianceWeight[layer] = (1-smoothingFactor)*(1-smoothingFactor)*s.varianceWeight[layer] + smoothingFactor*smoothingFactor
+	copy(s.lastObserved[layer], observed)
 }
 
-// setReference makes the layer's current forecast the reference that later
+// setReference makes the current forecast of the layer the reference that its later
 // forecasts are compared with.
 func (s *State) setReference(layer int) {
 	s.reference[layer] = append(s.reference[layer][:0], s.forecast[layer]...)
-	s.referenceWeight[layer] = s.weight[layer]
+	s.referenceWeight[layer] = s.varianceWeight[layer]
 }
 
+// setSlowness stores the slowness of the ranks for which the map has been changed.
 func (s *State) setSlowness(slowness []float64) {
 	s.slowness = append(s.slowness[:0], slowness...)
 }
@@ -84,29 +89,32 @@
 	var layers []int
 	all := s.slownessChanged(input.Slowness)
 	for layer, forecast := range s.forecast {
-		if forecast != nil && (all || s.count[layer] == firstCheckObservations || s.changed(layer)) {
+		if forecast != nil && (all || s.observationCount[layer] == firstCheckObservations || s.popularityChanged(layer)) {
 			layers = append(layers, layer)
 		}
 	}
 	return layers
 }
 
-// exceedsNoise reports whether a plan at the first check saves more than noise
-// explains. Plans for other reasons have passed a test already and always count.
+// exceedsNoise reports whether the plan of a layer at its first check saves more than
+// noise explains. It is true for a layer that is planned for another reason, because
+// that reason has passed a test of its own already.
 func (s *State) exceedsNoise(p layerPlan, input Input) bool {
-	if s.count[p.layer] != firstCheckObservations || s.slownessChanged(input.Slowness) || s.changed(p.layer) {
+	if s.observationCount[p.layer] != firstCheckObservations || s.slownessChanged(input.Slowness) || s.popularityChanged(p.layer) {
 		return true
 	}
 	slowness := input.Slowness
 	if slowness == nil {
 		slowness = evenSlowness(input.Shape.Ranks)
 	}
-	needed := firstCheckMinSaving + firstCheckSigmas*math.Sqrt(s.noise[p.layer]*s.weight[p.layer])
+	needed := firstCheckMinSaving + firstCheckSigmas*math.Sqrt(s.noiseVariance[p.layer]*s.varianceWeight[p.layer])
 	return p.saved > needed*evenTime(s.forecast[p.layer], slowness)
 }
 
-func (s *State) changed(layer int) bool {
-	if s.noise[layer] == 0 {
+// popularityChanged reports whether the layer's forecast differs from its reference by
+// more than noise explains.
+func (s *State) popularityChanged(layer int) bool {
+	if s.noiseVariance[layer] == 0 {
 		return false
 	}
 	var squares float64
@@ -115,10 +123,12 @@
 		scale := math.Max((tokens+reference)/2, math.SmallestNonzeroFloat64)
 		squares += (tokens - reference) * (tokens - reference) / (scale * scale)
 	}
-	explained := s.noise[layer] * (s.weight[layer] + s.referenceWeight[layer])
+	explained := s.noiseVariance[layer] * (s.varianceWeight[layer] + s.referenceWeight[layer])
 	return squares/float64(len(s.forecast[layer])) > significanceFactor*explained
 }
 
+// slownessChanged reports whether a rank's slowness has changed by more than the
+// constant of the same name since the map was last changed.
 func (s *State) slownessChanged(slowness []float64) bool {
 	for rank, slow := range slowness {
 		before := 1.0
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -16,13 +16,13 @@
 // Shape is the size of a group.
 type Shape struct {
 	Ranks   int
-	Slots   int // Experts that a rank holds in each layer.
-	Experts int // In each layer.
+	Slots   int // Number of experts that a rank holds in each layer.
+	Experts int // Number of experts in each layer.
 	Layers  int
 }
 
-// Placement lists the expert in every slot, by layer; slot i belongs to rank
-// i / Shape.Slots.
+// Placement lists the expert in every slot, by layer and slot. Slot i of a layer belongs
+// to rank i / Shape.Slots.
 type Placement [][]uint16
 
 // Clone returns a deep copy.
@@ -37,11 +37,11 @@
 // Costs are the parameters by which a change of the map is weighed against the
 // time that it saves.
 type Costs struct {
-	SecondsPerLoad float64 // Time of one unit of load on the slowest rank.
-	MoveSeconds    float64 // Delay of the steps caused by loading one expert.
+	SecondsPerLoad float64 // Time that one unit of load adds to the slowest rank in a step.
+	MoveSeconds    float64 // Total delay of the steps that loading one expert causes.
 	SwitchSeconds  float64 // Time that a change of the map takes.
-	HorizonSteps   float64 // Steps for which the forecast is assumed to hold.
-	MaxMoves       int     // Most experts that the weight store can deliver until the next plan.
+	HorizonSteps   float64 // Number of steps for which the forecast is assumed to hold.
+	MaxMoves       int     // Maximum number of experts that the weight store can deliver until the next plan.
 }
 
 // Input is the input of one planning round.
@@ -62,15 +62,15 @@
 // Plan is the result of a planning round, with its reason.
 type Plan struct {
 	Placement    Placement // The current placement if no change is worthwhile.
-	Moves        []Move    // Layers with the highest value per move first.
-	Reason       string
-	SkewBefore   float64 // Forecast.
-	SkewAfter    float64 // Forecast.
-	SavedSeconds float64 // Seconds saved over the horizon, minus the cost of the change.
+	Moves        []Move    // Moves from the current placement, those of the layer with the highest value per move first.
+	Reason       string    // Why the placement is changed or kept, for the log.
+	SkewBefore   float64   // Forecast skew of the current placement.
+	SkewAfter    float64   // Forecast skew of Placement.
+	SavedSeconds float64   // Seconds saved over the horizon, minus the cost of the change.
 }
 
-// paybackFactor is the factor by which the saved time must exceed the cost of the
-// moves.
+// paybackFactor is the factor by which the time that a change saves must exceed the
+// cost of its moves.
 const paybackFactor = 1.5
 
 // layerPlan is the most valuable change of one layer.
@@ -78,17 +78,19 @@
 	layer   int
 	changes []change
 	moves   int
-	saved   float64 // Reduction of the slowest rank's time.
+	saved   float64 // Reduction of the slowest rank's time in the layer.
 	value   float64 // Seconds saved over the horizon, minus the weighted cost of the moves.
 }
 
-// value returns the seconds saved over the horizon if each step saves this much of
-// the slowest rank's time, minus paybackFactor times the cost of the moves.
+// value returns the seconds that a change saves over the horizon, minus paybackFactor
+// times the cost of its moves. saved is the reduction of the slowest rank's time
+// in each step, in units of load.
 func (c Costs) value(saved float64, moves int) float64 {
 	return saved*c.SecondsPerLoad*c.HorizonSteps - paybackFactor*float64(moves)*c.MoveSeconds
 }
 
-// Decide updates the forecast with the observation and returns the plan.
+// Decide updates the forecast with the observed load and returns the plan that follows
+// from it.
 func Decide(state *State, input Input) Plan {
 	state.observe(input)
 	plan := Plan{Placement: input.Current, SkewBefore: Skew(input.Shape, input.Current, state.forecast, input.Slowness)}
@@ -116,6 +118,7 @@
 	return state.selectLayers(plan, input, worthwhile, len(changed))
 }
 
+// planLayer searches for the change of the layer with the highest value.
 func planLayer(state *State, input Input, layer int) layerPlan {
 	search := newSearch(input.Shape, input.Current[layer], state.forecast[layer], input.Slowness)
 	start := search.slowestTime()
@@ -136,8 +139,9 @@
 	return best
 }
 
-// selectLayers adds the layers in order of value per move, skipping those that
-// would exceed the number of experts that the weight store can deliver.
+// selectLayers adds the changes of the worthwhile layers to the plan, which are sorted
+// by value per move. It skips layers whose moves would exceed the number of experts
+// that the weight store can deliver.
 func (s *State) selectLayers(plan Plan, input Input, worthwhile []layerPlan, changed int) Plan {
 	var value float64
 	next := input.Current.Clone()
@@ -166,8 +170,9 @@
 	return plan
 }
 
-// Skew returns the sum over layers of the slowest rank's time, divided by the sum
-// of the times under an even spread. Layers without a load are left out.
+// Skew returns the sum over layers of the slowest rank's time, divided by the sum over
+// layers of the time that they take if the load is spread evenly. Layers without a load
+// are left out.
 func Skew(shape Shape, placement Placement, load [][]float64, slowness []float64) float64 {
 	var slowestTime, even float64
 	for layer := range placement {
--- a/policy/planner/recompute.go
+++ b/policy/planner/recompute.go
@@ -13,6 +13,7 @@
 	return placement
 }
 
+// recomputeLayer computes the placement of one layer from scratch.
 func recomputeLayer(shape Shape, load, slowness []float64) []uint16 {
 	items := replicate(load, shape.Ranks*shape.Slots)
 	share := func(expert uint16) float64 { return load[expert] / float64(items.count[expert]) }
@@ -24,9 +25,10 @@
 	return packing.slots
 }
 
+// replicaSet is the set of replicas to place in the slots of a layer.
 type replicaSet struct {
-	experts []uint16
-	count   []int
+	experts []uint16 // Expert of each replica.
+	count   []int    // By expert: number of its replicas.
 }
 
 // replicate gives every expert one replica, then fills the remaining slots one by
@@ -50,12 +52,13 @@
 	return r
 }
 
+// packing assigns the replicas of a layer to ranks one by one.
 type packing struct {
 	shape    Shape
 	slowness []float64
-	slots    []uint16
-	used     []int
-	rankTime []float64
+	slots    []uint16  // Expert in each slot.
+	used     []int     // By rank: number of slots that are filled.
+	rankTime []float64 // By rank: time for the load of its replicas.
 }
 
 func newPacking(shape Shape, slowness []float64) *packing {
@@ -65,8 +68,9 @@
 	}
 }
 
-// placeReplica puts the replica on the rank with the least time so far, preferring
-// ranks without this expert.
+// placeReplica puts a replica of the expert, with its share of the expert's load, on the
+// rank with a free slot that takes the least time so far. Ranks without a replica of the
+// expert are preferred.
 func (p *packing) placeReplica(expert uint16, share float64) {
 	best := -1
 	bestHolds := false
@@ -98,7 +102,8 @@
 	return false
 }
 
-// Refine improves the placement for the load, regardless of the number of moves.
+// Refine returns a better placement for the load, found by local search regardless of
+// the number of moves.
 func Refine(shape Shape, placement Placement, load [][]float64, slowness []float64) Placement {
 	refined := make(Placement, len(placement))
 	for layer := range placement {
@@ -123,6 +128,8 @@
 	return relabelled
 }
 
+// relabelLayer permutes the ranks of one layer so that each takes the place of the rank
+// with which it has the most experts in common, then aligns their slots.
 func relabelLayer(shape Shape, current, next []uint16) []uint16 {
 	type pair struct{ from, to, common int }
 	var pairs []pair
@@ -157,10 +164,12 @@
 	return result
 }
 
+// rankSlots returns the rank's part of the slots of a layer.
 func rankSlots(shape Shape, layer []uint16, rank int) []uint16 {
 	return layer[rank*shape.Slots : (rank+1)*shape.Slots]
 }
 
+// overlap returns the number of experts in a that are also in b.
 func overlap(a, b []uint16) int {
 	common := 0
 	for _, expert := range a {
--- a/policy/planner/scratch.go
+++ b/policy/planner/scratch.go
@@ -1,12 +1,12 @@
 package planner
 
-// stuckSkewThreshold is the skew of a planned layer above which the search is
-// considered stuck in a local optimum, so that a placement computed from scratch
-// is considered too.
+// stuckSkewThreshold is the skew of a planned layer above which the local search is
+// assumed to be stuck in a local optimum, so that a placement computed from scratch is
+// considered too.
 const stuckSkewThreshold = 1.1
 
-// searchStuck reports whether the planned layer's slowest rank still takes far
-// longer than with an even spread.
+// searchStuck reports whether the slowest rank of the planned layer still takes far
+// longer than under an evenly spread load.
 func (s *State) searchStuck(p layerPlan, input Input) bool {
 	slowness := input.Slowness
 	if slowness == nil {
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -1,6 +1,6 @@
 package planner
 
-// change puts an expert into a slot.
+// change replaces the expert in a slot by another one.
 type change struct {
 	slot   int
 	expert uint16
@@ -11,12 +11,12 @@
 	slotsPerRank  int
 	load          []float64
 	slowness      []float64
-	slotExperts   []uint16
-	replicas      []int     // By expert.
+	slotExperts   []uint16  // By slot: the expert in it.
+	replicas      []int     // By expert: number of its replicas.
 	share         []float64 // By expert: load of each replica.
-	slotsByExpert [][]int   // By expert: slots that hold it.
-	rankTime      []float64 // By rank.
-	changes       []change
+	slotsByExpert [][]int   // By expert: the slots that hold it.
+	rankTime      []float64 // By rank: time for the load of its slots.
+	changes       []change  // Changes applied so far.
 }
 
 func newSearch(shape Shape, slotExperts []uint16, load, slowness []float64) *search {
@@ -42,6 +42,7 @@
 	return s
 }
 
+// evenSlowness returns the slowness of ranks that all have normal speed.
 func evenSlowness(ranks int) []float64 {
 	slowness := make([]float64, ranks)
 	for rank := range slowness {
@@ -66,7 +67,7 @@
 type candidate struct {
 	changes [2]change
 	moves   int
-	gain    float64 // Reduction of the slowest affected rank's time, per move.
+	gain    float64 // Reduction of the slowest rank's time, per move.
 }
 
 // minGain is the share of the slowest rank's time that a step must save per move.
@@ -166,7 +167,8 @@
 	s.addLoad(c.expert, 1)
 }
 
-// addLoad adds the expert's load, multiplied by sign, to the ranks that hold it.
+// addLoad adds the expert's load, multiplied by sign, to the times of the ranks that
+// hold it.
 func (s *search) addLoad(expert uint16, sign float64) {
 	s.share[expert] = s.load[expert] / float64(max(1, s.replicas[expert]))
 	for _, slot := range s.slotsByExpert[expert] {
--- a/policy/topology/configuration.go
+++ b/policy/topology/configuration.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Kind tells how often the work of one request of a route may run.
+// Kind is the kind of a route. It determines how often the work of one request may
+// run.
 type Kind int
 
 // The kinds of routes.
 const (
-	NonIdempotent Kind = iota // At most once.
-	Idempotent                // Any number of times.
-	Stream                    // A stream of events; at most once unless resumable.
+	NonIdempotent Kind = iota // The work of a request runs at most once.
+	Idempotent                // The work of a request may run any number of times.
+	Stream                    // The reply is a stream of events; the work runs at most once unless the route is resumable.
 )
 
 // Configuration is one accepted version of the operators' configuration. It does
@@ -28,10 +29,10 @@
 	Host             string
 	Prefix           string // Begins and ends with a slash.
 	Kind             Kind
-	Resumable        bool          // The stream may continue on another backend server.
-	Public           bool          // No key is required.
+	Resumable        bool          // An interrupted stream may continue on another backend server.
+	Public           bool          // Callers need no key.
 	Timeout          time.Duration // Maximum time until the final answer.
-	Objective        time.Duration // Time to the answer, or to the first event, that earns full credit.
+	Objective        time.Duration // Latency objective: time to the answer, or to the first event of a stream, that earns full credit.
 	InterTokenTarget time.Duration // Target for the longest pause between events; 0 for plain requests.
 	Priority         int           // 0 is the most urgent.
 	MaxAttempts      int           // Maximum number of backend servers on which one request may run.
@@ -43,34 +44,36 @@
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Target is one service of a route, with its share of the requests.
+// Target is one service of a route and its share of the route's requests.
 type Target struct {
 	Service string
-	Weight  int
+	Weight  int // Share of the requests, relative to the sum of the weights of all targets.
 }
 
 // Service is a set of interchangeable backend servers.
 type Service struct {
 	Name            string
-	HealthPath      string
-	MaxConnections  int // Maximum to one backend server, from all callers together.
+	HealthPath      string // Path of the health check.
+	MaxConnections  int    // Maximum number of connections to one backend server, from all callers together.
 	WarmUp          time.Duration
-	WarmUpPerSecond float64 // Requests per second that a cold server can take; 0 means no limit.
-	Engine          *Engine // Nil for plain services.
+	WarmUpPerSecond float64 // Requests per second that a server can take while it warms up; 0 means no limit.
+	Engine          *Engine // Nil for services that do not run a model.
 }
 
-// Engine is the cost model of a service's model engines.
+// Engine is the cost model of the model engines of a service. Several engines form a
+// group; each is one rank of it. The ranks run the passes of the model in lock step,
+// and each holds some of the model's experts.
 type Engine struct {
-	Slots         int     // Requests that one server decodes at the same time.
-	Stride        int     // Token steps in a pass in which requests decode.
+	Slots         int     // Number of requests that one server decodes at the same time.
+	Stride        int     // Number of token steps in a pass in which requests decode.
 	StepMS        float64 // Base duration of a token step.
 	PerSequenceMS float64 // Time that each decoding request adds to a step.
 	LinkMbps      float64 // Bandwidth of the link over which experts are copied.
-	Sets          int     // Sets of layers that share an expert placement.
-	Experts       int     // Number of experts in each set.
-	Places        int     // Number of experts that a rank holds in each set.
-	NewPerSet     int     // Maximum number of experts per set that one change may add to a rank.
-	ExpertMB      float64 // Size of an expert.
+	Sets          int     // Number of expert sets: sets of layers that share one placement of experts.
+	Experts       int     // Number of experts in each expert set.
+	Places        int     // Number of experts that a rank can hold in each expert set.
+	NewPerSet     int     // Maximum number of experts that one change may add to a rank in each expert set.
+	ExpertMB      float64 // Size of one expert in megabytes.
 }
 
 // CopyTime returns how long it takes a rank to copy one expert.
@@ -82,12 +85,12 @@
 	return time.Duration(e.ExpertMB * bitsPerByte / e.LinkMbps * float64(time.Second))
 }
 
-// Organisation is a caller and its keys.
+// Organisation is an organisation that sends requests, with its API keys.
 type Organisation struct {
 	Name        string
 	Keys        []string
-	Priority    int
-	HasPriority bool // Priority overrides the route's.
+	Priority    int  // Priority of its requests if HasPriority is set.
+	HasPriority bool // Priority replaces the priority of the route.
 }
 
 // Limits are the limits on what a caller may send.
@@ -104,8 +107,8 @@
 	Service    string
 	Address    string
 	DataCentre string
-	Slots      int
-	Leaving    bool
-	WarmUpLeft time.Duration // At the time of the listing.
-	Revision   uint64        // Revision of the row; a higher one was written later.
+	Slots      int           // Number of requests that it runs at the same time.
+	Leaving    bool          // The server has announced that it stops; it gets no new work.
+	WarmUpLeft time.Duration // Remaining warm-up time when the row was read.
+	Revision   uint64        // Revision of the server's row in the store; a higher one was written later.
 }
--- a/policy/topology/snapshot.go
+++ b/policy/topology/snapshot.go
@@ -8,23 +8,23 @@
 // Snapshot is an immutable view of a State, read by the goroutines that serve
 // traffic.
 type Snapshot struct {
-	Config *Configuration // Nil until the first one has been read.
-	Ready  bool           // The configuration and the servers have been read.
+	Config *Configuration // Configuration in force; nil until the first one has been read.
+	Ready  bool           // The configuration and the list of servers have been read.
 
-	routesByHost       map[string][]*Route // Longest prefix first.
+	routesByHost       map[string][]*Route // By lower-case host, the route with the longest prefix first.
 	organisationsByKey map[string]*Organisation
-	candidates         map[string][]Candidate // Usable servers by service, ordered by ID.
-	listedServers      map[string][]Server    // All servers by service, ordered by ID.
+	candidates         map[string][]Candidate // By service, the servers that may receive new work, ordered by ID.
+	listedServers      map[string][]Server    // By service, all listed servers, ordered by ID.
 }
 
 // Candidate is a backend server that may receive new work.
 type Candidate struct {
 	Server
-	Unlisted bool // Its row disappeared without notice; used only as a last resort.
+	Unlisted bool // The server's row disappeared without notice; the server is used only as a last resort.
 }
 
-// Snapshot returns the view of the state. It reuses the index of the previous
-// view if the configuration is the same.
+// Snapshot returns the snapshot of the state. It reuses the indexes of routes and keys
+// of the previous snapshot, which may be nil, if the configuration is the same.
 func (s State) Snapshot(previous *Snapshot) *Snapshot {
 	snapshot := &Snapshot{
 		Config:     s.Config,
@@ -55,8 +55,8 @@
 	return snapshot
 }
 
-// latestAtAddress leaves out servers whose address now belongs to another
-// server: their rows just have not expired yet.
+// latestAtAddress returns the servers without those whose address now belongs to
+// another server: the rows of such servers just have not expired yet.
 func (s State) latestAtAddress() map[string]ServerState {
 	latest := map[string]string{}
 	for id, server := range s.Servers {
@@ -72,6 +72,7 @@
 	return kept
 }
 
+// index builds the indexes of routes by host and of organisations by key.
 func (s *Snapshot) index() {
 	s.routesByHost = map[string][]*Route{}
 	s.organisationsByKey = map[string]*Organisation{}
@@ -116,19 +117,19 @@
 // Organisation returns the organisation that the key belongs to, or nil.
 func (s *Snapshot) Organisation(key string) *Organisation { return s.organisationsByKey[key] }
 
-// Service returns the service, or the zero value if it is not configured.
+// Service returns the service with the name, or the zero value if none is configured.
 func (s *Snapshot) Service(name string) Service { return s.Config.Services[name] }
 
-// Candidates returns the usable backend servers of the service. The caller must
-// not change the slice.
+// Candidates returns the backend servers of the service that may receive new work. The
+// caller must not change the slice.
 func (s *Snapshot) Candidates(service string) []Candidate { return s.candidates[service] }
 
 // ListedServers returns all servers of the service, including those that receive no new
 // work. The caller must not change the slice.
 func (s *Snapshot) ListedServers(service string) []Server { return s.listedServers[service] }
 
-// PickService returns the service of the target that a random number in [0, 1)
-// selects, in proportion to the weights; "" if there are no targets.
+// PickService returns the service of one of the route's targets, which a random number
+// in [0, 1) selects in proportion to the weights; "" if there are no targets.
 func (r *Route) PickService(random float64) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// StoreReturnGrace is how long after the store's recovery a server whose row has
-	// disappeared is kept. Rows that expired in an outage are back within about two
-	// seconds, as the platform promises.
+	// StoreReturnGrace is how long after the store has recovered from an outage a server
+	// whose row has disappeared is kept. Rows that expired in the outage are back within
+	// about two seconds, as the platform promises.
 	StoreReturnGrace = 2 * time.Second
 	// unlistedGrace is how long a server whose row disappeared without notice is
 	// kept as a last resort: the row may have expired in an outage of the store that
@@ -31,18 +31,19 @@
 	Servers  map[string]ServerState
 	TakenOut map[string]bool // Data centres that are taken out.
 
-	ServersLoaded bool            // The list of servers has been read at least once.
-	LostWatches   map[string]bool // Watches that the store does not answer.
+	ServersLoaded bool            // The complete list of servers has been read at least once.
+	LostWatches   map[string]bool // Names of the watches that the store does not answer.
 	StoreUpSince  time.Time       // When the store last answered again after an outage.
 
-	revision uint64 // Incremented with each change of the servers or data centres.
+	revision uint64 // Incremented with each change of Servers or TakenOut.
 }
 
-// ServerState is a listed server with what the process knows about its row.
+// ServerState is a server with the times at which its row in the store was read and at
+// which the server is dropped after its row has disappeared.
 type ServerState struct {
 	Server Server
 	SeenAt time.Time // When the row was read.
-	DropAt time.Time // When the server is dropped; zero while its row is listed.
+	DropAt time.Time // When the server is removed from the state; zero while its row exists.
 }
 
 // ConfigurationRead carries a configuration from the store. Config is nil if it
@@ -92,10 +93,10 @@
 
 // Change is an effect that reports a change of the state, for the log.
 type Change struct {
-	What    string // "configuration", "server", "data_centre" or "store".
-	Subject string
-	Outcome string
-	Version int64
+	What    string // What has changed: "configuration", "server", "data_centre" or "store".
+	Subject string // Server, data centre or watch that has changed.
+	Outcome string // Its new state, such as "installed", "leaving" or "taken_out".
+	Version int64  // Version of the configuration.
 	Reason  string
 }
 
@@ -136,6 +137,8 @@
 	return s, nil
 }
 
+// install puts the configuration in force unless its version is lower than the one in
+// force.
 func (s State) install(config *Configuration) (State, []reduce.Effect) {
 	if config == nil {
 		return s, []reduce.Effect{Change{What: "configuration", Outcome: "rejected", Reason: "row cannot be decoded"}}
@@ -166,6 +169,8 @@
 	return s, []reduce.Effect{Change{What: "data_centre", Subject: dataCentre, Outcome: outcome}}
 }
 
+// replaceTakenOut stores the complete list of data centres that are taken out. All
+// others count as returned.
 func (s State) replaceTakenOut(dataCentres []string) (State, []reduce.Effect) {
 	listed := map[string]bool{}
 	for _, name := range dataCentres {
@@ -185,6 +190,8 @@
 	return s, effects
 }
 
+// updateServer stores the row of a server. It reports a change only if more than the
+// row's revision and the remaining warm-up time differ.
 func (s State) updateServer(server Server, now time.Time) (State, []reduce.Effect) {
 	before, known := s.Servers[server.ID]
 	next := ServerState{Server: server, SeenAt: now}
@@ -223,6 +230,8 @@
 	return s, []reduce.Effect{Change{What: "server", Subject: id, Outcome: "unlisted", Reason: "row removed without notice; kept as a last resort for " + server.DropAt.Sub(now).String()}}
 }
 
+// replaceServers stores the complete list of servers and removes those that are not in
+// it.
 func (s State) replaceServers(servers []Server, now time.Time) (State, []reduce.Effect) {
 	s.ServersLoaded = true
 	listed := map[string]bool{}
@@ -241,6 +250,7 @@
 	return s, effects
 }
 
+// dropExpired removes the servers whose grace period has ended.
 func (s State) dropExpired(now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for id, server := range s.Servers {
@@ -257,8 +267,9 @@
 	return s, effects
 }
 
-// SameSnapshot reports whether both states have the same snapshot. It compares
-// the revision instead of the maps, which states share until one changes.
+// SameSnapshot reports whether both states have the same snapshot. It compares the
+// revisions of the states instead of the Go maps, which states share until one of them
+// changes.
 func (s State) SameSnapshot(other State) bool {
 	return s.Config == other.Config && s.ServersLoaded == other.ServersLoaded &&
 		s.revision == other.revision
