--- a/policy/expertmap/directed_test.go
+++ b/policy/expertmap/directed_test.go
@@ -10,16 +10,16 @@
 	"persimmonwind.dev/policy/reduce"
 )
 
-// deliverKind delivers every order of the kind from the node and every reply to
-// one.
+// deliverKind delivers every order of the kind from the node's coordinator and every
+// reply to such an order.
 func (w *world) deliverKind(node int, kind expertmap.Kind) {
-	for index := 0; index < len(w.net); {
-		m := w.net[index]
-		of := m.Order.Kind
+	for index := 0; index < len(w.inFlight); {
+		m := w.inFlight[index]
+		messageKind := m.Order.Kind
 		if m.Reply != nil {
-			of = m.Reply.Kind
+			messageKind = m.Reply.Kind
 		}
-		if m.Node != node || of != kind {
+		if m.Node != node || messageKind != kind {
 			index++
 			continue
 		}
@@ -30,16 +30,16 @@
 
 // deliverTo delivers the node's orders of the kind to the rank, but no replies.
 func (w *world) deliverTo(node, rank int, kind expertmap.Kind) {
-	for index := len(w.net) - 1; index >= 0; index-- {
-		m := w.net[index]
+	for index := len(w.inFlight) - 1; index >= 0; index-- {
+		m := w.inFlight[index]
 		if m.Node == node && m.Rank == rank && m.Reply == nil && m.Order.Kind == kind {
 			w.deliver(index, false)
 		}
 	}
 }
 
-// newCommittingWorld returns a group whose first node has a write of its commit in
-// flight.
+// newCommittingWorld returns a group whose first node coordinates a change and has the
+// write that commits it in flight.
 func newCommittingWorld() *world {
 	w := newPreparedWorld()
 	w.deliverKind(0, expertmap.Hold)
@@ -60,7 +60,7 @@
 // recover drops all messages, gives the lease to the node and runs the group
 // until the node has resolved the change.
 func (w *world) recover(node int) {
-	w.net = nil
+	w.inFlight = nil
 	w.takeLease(node)
 	for range 6 {
 		w.deliverAll()
@@ -70,8 +70,9 @@
 	w.runAll(6)
 }
 
-// TestHalfDoneByAPausedHolder follows one change whose coordinators stop before
-// it is complete; each case needs more faults than the enumeration allows.
+// TestHalfDoneByAPausedHolder guards against ranks on different maps after a
+// coordinator has stopped before its change is complete. Each case needs more faults
+// than the enumeration in TestEveryInterleavingOfAChange allows.
 func TestHalfDoneByAPausedHolder(t *testing.T) {
 	Convey("Given a commit that the table service has not applied yet", t, func() {
 		w := newCommittingWorld()
@@ -122,7 +123,7 @@
 			w.tick(0)
 			w.applyWrite(0)
 			w.deliverTo(0, 0, expertmap.Void)
-			w.net = nil
+			w.inFlight = nil
 			w.takeLease(1)
 			w.applyWrite(0)
 			w.deliverKind(1, expertmap.Query)
@@ -154,34 +155,34 @@
 }
 
 func TestEngineConditions(t *testing.T) {
-	Convey("An engine", t, func() {
+	Convey("Given an engine with a prepared change", t, func() {
 		held := expertmap.Change{ID: expertmap.ID{Fence: 2, Version: 2}, FirstStep: 5}
 		first := expertmap.Change{ID: expertmap.ID{Fence: 1, Version: 1}}
 		ready := expertmap.EngineState{Boot: "a", Next: 3, InForce: first, LastHeld: first.ID, Prepared: held.ID}
 		order := func(kind expertmap.Kind, fence uint64) expertmap.Order {
 			return expertmap.Order{Kind: kind, Number: expertmap.Number{Fence: fence}, Change: held}
 		}
-		Convey("does not hold a change whose first step it has run", func() {
+		Convey("it does not hold a change whose first step it has run", func() {
 			ready.Next = 6
 			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
-		Convey("does not hold a change whose weights are not loaded", func() {
+		Convey("it does not hold a change whose weights are not loaded", func() {
 			ready.Prepared = first.ID
 			So(ready.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
-		Convey("does not hold a change again after an abort", func() {
+		Convey("it does not hold a change again after an abort", func() {
 			state := ready.Apply(order(expertmap.Hold, 2)).Apply(order(expertmap.Abort, 2))
 			So(state.Apply(order(expertmap.Hold, 2)).Hold.IsNone(), ShouldBeTrue)
 		})
-		Convey("is not released for a change that it does not hold", func() {
+		Convey("it is not released for a change that it does not hold", func() {
 			So(ready.Apply(order(expertmap.Release, 2)).Pending.IsNone(), ShouldBeTrue)
 		})
-		Convey("is not released after a void of the same coordinator", func() {
+		Convey("it is not released after a void by the same coordinator, but by a newer one", func() {
 			state := ready.Apply(order(expertmap.Hold, 2)).Apply(order(expertmap.Void, 2))
 			So(state.Apply(order(expertmap.Release, 2)).Pending.IsNone(), ShouldBeTrue)
 			So(state.Apply(order(expertmap.Release, 3)).Pending, ShouldResemble, held)
 		})
-		Convey("adopts a state only if it has none, and only one for its own boot", func() {
+		Convey("it adopts a state only if it has no map, and only a state for its own boot", func() {
 			install := expertmap.Order{Kind: expertmap.Install, State: expertmap.EngineState{Boot: "b", InForce: held}}
 			install.State.Boot = ready.Boot
 			So(ready.Apply(install).InForce, ShouldResemble, first)
@@ -194,11 +195,11 @@
 	})
 	Convey("A restarted agent accepts no order before it has read the fencing number", t, func() {
 		w := newWorld(1, false)
-		w.direct, w.fence = true, 5
-		w.net = append(w.net, message{Order: expertmap.Order{Kind: expertmap.Query, Number: expertmap.Number{Fence: 4}}})
+		w.processOnForward, w.fence = true, 5
+		w.inFlight = append(w.inFlight, message{Order: expertmap.Order{Kind: expertmap.Query, Number: expertmap.Number{Fence: 4}}})
 		w.deliver(0, true)
 		w.deliver(0, false)
-		for _, m := range w.net {
+		for _, m := range w.inFlight {
 			So(m.Reply.Refused, ShouldBeTrue)
 		}
 	})
--- a/policy/expertmap/enumerate_test.go
+++ b/policy/expertmap/enumerate_test.go
@@ -12,13 +12,15 @@
 
 var enumerateAll = flag.Bool("enumerate-all", false, "enumerate the larger combinations of faults as well")
 
-// faults bounds how often each fault happens in one run.
+// faults limits how often each fault happens in one run: a change of the lease holder,
+// an expired timer, a lost engine state, a restarted agent, an order delivered twice,
+// and a write whose outcome is unknown.
 type faults struct {
 	Leases, Ticks, Losses, Restarts, Duplicates, Unknown int
-	Steps                                                uint64 // Steps that a rank runs at most.
+	Steps                                                uint64 // Maximum number of steps that a rank runs.
 }
 
-// position is a state of the search: a world with the faults that may still
+// position is a state of the enumeration: a world with the faults that may still
 // happen.
 type position struct {
 	*world
@@ -28,15 +30,15 @@
 
 // trace is the sequence of actions that led to a position.
 type trace struct {
-	before *trace
-	action string
+	previous *trace
+	action   string
 }
 
 func (t *trace) String() string {
 	if t == nil {
 		return ""
 	}
-	return t.before.String() + "\n" + t.action
+	return t.previous.String() + "\n" + t.action
 }
 
 // enumerator visits every reachable position.
@@ -44,7 +46,7 @@
 	seen    map[uint64]bool
 	pending []position
 	failure string
-	states  int
+	visited int
 }
 
 func (e *enumerator) explore(start position) {
@@ -54,11 +56,12 @@
 		last := len(e.pending) - 1
 		next := e.pending[last]
 		e.pending = e.pending[:last]
-		e.states++
+		e.visited++
 		e.expand(next)
 	}
 }
 
+// add queues a position for expansion unless it has been seen.
 func (e *enumerator) add(p position) {
 	if p.violation != "" {
 		e.failure = p.violation + p.trace.String()
@@ -74,13 +77,14 @@
 
 // visit adds the position that results from the action.
 func (e *enumerator) visit(p position, name string, act func(*position)) {
-	next := position{world: p.clone(), remaining: p.remaining, trace: &trace{before: p.trace, action: name}}
+	next := position{world: p.clone(), remaining: p.remaining, trace: &trace{previous: p.trace, action: name}}
 	act(&next)
 	e.add(next)
 }
 
+// expand visits every position that one action in p leads to.
 func (e *enumerator) expand(p position) {
-	for index, m := range p.net {
+	for index, m := range p.inFlight {
 		name := fmt.Sprintf("deliver %s %d>%d %v", m.Order.Kind, m.Node, m.Rank, m.Order.Number)
 		if m.Reply != nil {
 			name = fmt.Sprintf("reply to %s %d<%d %v", m.Reply.Kind, m.Node, m.Rank, m.Reply.Number)
@@ -129,7 +133,7 @@
 // and all ranks have prepared it.
 func newPreparedWorld() *world {
 	w := newWorld(2, false)
-	w.direct = true
+	w.processOnForward = true
 	w.installFirstMap()
 	w.takeLease(0)
 	w.deliverAll()
@@ -143,7 +147,7 @@
 // deliverAll applies all writes and delivers all messages until none is in
 // flight.
 func (w *world) deliverAll() {
-	for len(w.net)+len(w.writes) > 0 {
+	for len(w.inFlight)+len(w.writes) > 0 {
 		if len(w.writes) > 0 {
 			w.applyWrite(0)
 			continue
@@ -176,7 +180,7 @@
 			Convey(c.name+": all ranks use the same map for every step", func() {
 				var e enumerator
 				e.explore(position{world: newPreparedWorld(), remaining: c.remaining})
-				t.Logf("%s: %d states", c.name, e.states)
+				t.Logf("%s: %d states", c.name, e.visited)
 				So(e.failure, ShouldBeEmpty)
 			})
 		}
--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -80,8 +80,8 @@
 }
 
 // key returns a hash that identifies the position. Times are left out because all
-// timers expire at the next tick; messages are summed because the network has no
-// order.
+// timers expire at the next tick. The hashes of the messages are summed because the
+// network delivers them in any order.
 func (p position) key() uint64 {
 	e := make(encoder, 0, 1024)
 	e.remaining(p.remaining)
@@ -102,10 +102,10 @@
 		e.change(p.mapUsed[stepKey{Generation: p.generation, Step: step}])
 	}
 	var messages uint64
-	for _, m := range p.net {
-		var one encoder
-		one.message(m)
-		messages += maphash.Bytes(keySeed, one)
+	for _, m := range p.inFlight {
+		var encoded encoder
+		encoded.message(m)
+		messages += maphash.Bytes(keySeed, encoded)
 	}
 	e.numbers(messages)
 	return maphash.Bytes(keySeed, e)
--- a/policy/expertmap/random_test.go
+++ b/policy/expertmap/random_test.go
@@ -12,6 +12,8 @@
 	"persimmonwind.dev/policy/expertmap"
 )
 
+// maxHealRounds is the number of rounds within which a group must use one map after
+// all faults have ended.
 const maxHealRounds = 200
 
 func TestMain(m *testing.M) {
@@ -25,9 +27,9 @@
 
 // setDefault sets a flag unless the command line sets it.
 func setDefault(name, value string) {
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
-	if !given {
+	isSet := false
+	flag.Visit(func(f *flag.Flag) { isSet = isSet || f.Name == name })
+	if !isSet {
 		_ = flag.Set(name, value)
 	}
 }
@@ -40,12 +42,13 @@
 
 func (m *machine) rank(t *rapid.T) int { return rapid.IntRange(0, m.size-1).Draw(t, "rank") }
 
+// Deliver delivers messages in flight in random order and processes queued orders.
 func (m *machine) Deliver(t *rapid.T) {
 	for range 8 {
-		if len(m.net) == 0 {
+		if len(m.inFlight) == 0 {
 			return
 		}
-		m.deliver(rapid.IntRange(0, len(m.net)-1).Draw(t, "message"), rapid.IntRange(0, 9).Draw(t, "keep") == 0)
+		m.deliver(rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message"), rapid.IntRange(0, 9).Draw(t, "keep") == 0)
 		m.processOrders(t)
 	}
 }
@@ -58,19 +61,22 @@
 	}
 }
 
+// Drop loses a message in flight.
 func (m *machine) Drop(t *rapid.T) {
-	if len(m.net) > 0 {
-		index := rapid.IntRange(0, len(m.net)-1).Draw(t, "message")
-		m.net = append(m.net[:index], m.net[index+1:]...)
+	if len(m.inFlight) > 0 {
+		index := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
+		m.inFlight = append(m.inFlight[:index], m.inFlight[index+1:]...)
 	}
 }
 
+// Land applies a write that is in flight to the table service.
 func (m *machine) Land(t *rapid.T) {
 	if !m.storeDown && len(m.writes) > 0 {
 		m.applyWrite(rapid.IntRange(0, len(m.writes)-1).Draw(t, "write"))
 	}
 }
 
+// Forget loses the result of a write, which may still be applied.
 func (m *machine) Forget(t *rapid.T) {
 	if len(m.writes) == 0 {
 		return
@@ -83,6 +89,7 @@
 
 func (m *machine) Tick(t *rapid.T) { m.tick(m.rank(t)) }
 
+// Run lets ranks run steps.
 func (m *machine) Run(t *rapid.T) {
 	for range 3 {
 		for rank := range m.engines {
@@ -103,6 +110,7 @@
 	}
 }
 
+// Store ends or begins an outage of the table service.
 func (m *machine) Store(t *rapid.T) { m.storeDown = rapid.IntRange(0, 3).Draw(t, "down") == 0 }
 
 func (m *machine) RestartAgent(t *rapid.T) {
@@ -111,12 +119,14 @@
 	}
 }
 
+// Lose restarts a rank's engine without its state.
 func (m *machine) Lose(t *rapid.T) {
 	if rapid.IntRange(0, 3).Draw(t, "lose") == 0 {
 		m.loseEngineState(m.rank(t))
 	}
 }
 
+// Check runs after every action.
 func (m *machine) Check(t *rapid.T) {
 	if m.violation != "" {
 		t.Fatal(m.violation)
@@ -154,7 +164,7 @@
 
 // drainAll calls deliverOldest until nothing is in flight.
 func (m *machine) drainAll() {
-	for len(m.net)+len(m.writes) > 0 && m.violation == "" {
+	for len(m.inFlight)+len(m.writes) > 0 && m.violation == "" {
 		m.deliverOldest()
 	}
 }
@@ -165,7 +175,7 @@
 	if len(m.writes) > 0 {
 		m.applyWrite(0)
 	}
-	if len(m.net) > 0 {
+	if len(m.inFlight) > 0 {
 		m.deliver(0, false)
 	}
 	for rank := range m.engines {
--- a/policy/expertmap/scale_test.go
+++ b/policy/expertmap/scale_test.go
@@ -45,7 +45,7 @@
 
 func benchmarkRounds(b *testing.B, ranks int, change bool) {
 	w := newWorld(ranks, true)
-	w.direct = true
+	w.processOnForward = true
 	w.installFirstMap()
 	w.takeLease(0)
 	w.deliverAll()
@@ -58,12 +58,12 @@
 		} else {
 			w.coordinate(0, reduce.Tick{})
 		}
-		for len(w.net)+len(w.writes) > 0 {
+		for len(w.inFlight)+len(w.writes) > 0 {
 			if len(w.writes) > 0 {
 				w.applyWrite(0)
 				continue
 			}
-			if m := w.net[0]; m.Reply == nil {
+			if m := w.inFlight[0]; m.Reply == nil {
 				messages++
 				bytes += wireSize(b, m.Order, w.engines[m.Rank].State)
 			}
--- a/policy/expertmap/world_test.go
+++ b/policy/expertmap/world_test.go
@@ -16,8 +16,8 @@
 // message is an order in flight to a rank's agent, or its reply in flight to the
 // coordinator.
 type message struct {
-	Node  int // Coordinator's node.
-	Rank  int
+	Node  int // Node of the coordinator.
+	Rank  int // Rank that receives the order or sent the reply.
 	Order expertmap.Order
 	Reply *expertmap.ReplyReceived
 }
@@ -29,32 +29,35 @@
 	ResultLost bool // The coordinator was told that the outcome is unknown, or has restarted.
 }
 
+// engine models the engine of a rank.
 type engine struct {
 	State expertmap.EngineState
-	Fence uint64
-	Queue []message
+	Fence uint64    // Highest fencing number of an order that it has received.
+	Queue []message // Orders that the agent has forwarded and the engine has not processed.
 }
 
+// stepKey identifies a step of the group. Generation counts how often the group has
+// started over because no engine had state left.
 type stepKey struct{ Generation, Step uint64 }
 
 // world simulates a group with its agents, coordinators, network and table
 // service. Node i is the agent of rank i.
 type world struct {
-	enforceFencing bool // Engines refuse orders with old fencing numbers.
-	direct         bool // The engine processes an order as soon as the agent forwards it.
-	storeDown      bool
+	enforceFencing   bool // Engines refuse orders with old fencing numbers.
+	processOnForward bool // The engine processes an order as soon as the agent forwards it.
+	storeDown        bool
 
-	engines []engine
-	ranks   []expertmap.Rank
-	coords  []expertmap.Coordinator
-	net     []message
-	writes  []tableWrite
+	engines  []engine
+	ranks    []expertmap.Rank
+	coords   []expertmap.Coordinator
+	inFlight []message
+	writes   []tableWrite
 
-	fence         uint64
-	record        expertmap.Record
+	fence         uint64           // Fencing number of the group's lease.
+	record        expertmap.Record // The group's record in the table service.
 	recordVersion uint64
-	boots         int
-	generation    uint64
+	boots         int    // Number of boot IDs used.
+	generation    uint64 // As in stepKey.
 	now           time.Time
 
 	mapUsed   map[stepKey]expertmap.Change // Map used by the first rank that ran the step.
@@ -97,7 +100,7 @@
 	}
 	c.ranks = slices.Clone(w.ranks)
 	c.coords = slices.Clone(w.coords)
-	c.net = slices.Clone(w.net)
+	c.inFlight = slices.Clone(w.inFlight)
 	c.writes = slices.Clone(w.writes)
 	c.mapUsed = make(map[stepKey]expertmap.Change, len(w.mapUsed))
 	for key, change := range w.mapUsed {
@@ -112,6 +115,7 @@
 	w.coordinate(node, expertmap.LeaseAcquired{Fence: w.fence, Ranks: len(w.engines)})
 }
 
+// coordinate applies the event to the node's coordinator and executes the effects.
 func (w *world) coordinate(node int, event reduce.Event) {
 	next, effects := expertmap.StepCoordinator(w.coords[node], reduce.Input{Now: w.now, Event: event})
 	w.coords[node] = next
@@ -120,10 +124,11 @@
 	}
 }
 
+// perform executes an effect of the node's coordinator.
 func (w *world) perform(node int, effect reduce.Effect) {
 	switch effect := effect.(type) {
 	case expertmap.Send:
-		w.net = append(w.net, message{Node: node, Rank: effect.Rank, Order: effect.Order})
+		w.inFlight = append(w.inFlight, message{Node: node, Rank: effect.Rank, Order: effect.Order})
 	case expertmap.ReadRecord:
 		if w.storeDown {
 			w.coordinate(node, expertmap.RecordReadFailed{})
@@ -137,9 +142,9 @@
 
 // deliver delivers one message; the message stays in flight if keep is set.
 func (w *world) deliver(index int, keep bool) {
-	m := w.net[index]
+	m := w.inFlight[index]
 	if !keep {
-		w.net = slices.Delete(w.net, index, index+1)
+		w.inFlight = slices.Delete(w.inFlight, index, index+1)
 	}
 	if m.Reply != nil {
 		w.coordinate(m.Node, *m.Reply)
@@ -152,6 +157,7 @@
 	}
 }
 
+// performRank executes an effect of the agent that has received the order m.
 func (w *world) performRank(m message, effect reduce.Effect) {
 	switch effect := effect.(type) {
 	case expertmap.ReadFence:
@@ -164,15 +170,16 @@
 		w.reply(m, expertmap.ReplyReceived{Refused: true, Seen: effect.Seen})
 	case expertmap.Forward:
 		w.engines[m.Rank].Queue = append(w.engines[m.Rank].Queue, m)
-		if w.direct {
+		if w.processOnForward {
 			w.processOrder(m.Rank, false)
 		}
 	}
 }
 
+// reply sends the reply to the order m.
 func (w *world) reply(m message, reply expertmap.ReplyReceived) {
 	reply.Rank, reply.Kind, reply.Number = m.Rank, m.Order.Kind, m.Order.Number
-	w.net = append(w.net, message{Node: m.Node, Rank: m.Rank, Reply: &reply})
+	w.inFlight = append(w.inFlight, message{Node: m.Node, Rank: m.Rank, Reply: &reply})
 }
 
 // processOrder processes the engine's next order, which stays queued if keep is
@@ -259,11 +266,11 @@
 // a different map for it.
 func (w *world) runStep(rank int) {
 	state := w.engines[rank].State
-	at := stepKey{Generation: w.generation, Step: state.Next}
+	key := stepKey{Generation: w.generation, Step: state.Next}
 	used := state.MapAt(state.Next)
-	if seen, ok := w.mapUsed[at]; ok && seen != used {
-		w.violation = fmt.Sprintf("step %d: rank %d uses map %v, another used %v", at.Step, rank, used.ID, seen.ID)
+	if seen, ok := w.mapUsed[key]; ok && seen != used {
+		w.violation = fmt.Sprintf("step %d: rank %d uses map %v, another used %v", key.Step, rank, used.ID, seen.ID)
 	}
-	w.mapUsed[at] = used
+	w.mapUsed[key] = used
 	w.engines[rank].State = state.AfterNextStep()
 }
--- a/policy/hotexperts/bench_test.go
+++ b/policy/hotexperts/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDecide plans after a jump in demand, at the users' present group size
-// and at a larger one that allows for growth.
+// BenchmarkDecide measures planning after a jump in demand, at the users' present group
+// size and at a larger one that allows for growth.
 func BenchmarkDecide(b *testing.B) {
 	sizes := map[string]struct {
 		shape  Shape
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkDecideSettled plans for a map that already fits the demand.
+// BenchmarkDecideSettled measures planning for a map that already fits the demand.
 func BenchmarkDecideSettled(b *testing.B) {
 	shape := Shape{Ranks: 63, Places: 5, Experts: 252, NewPerSet: 2}
 	load := randomTopicLoad(rand.New(rand.NewPCG(1, 1)), shape, 8)
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -172,20 +172,20 @@
 // Skew returns the time of the slowest rank, summed over expert sets, divided by the
 // time that an even load would take on ranks of normal speed.
 func Skew(shape Shape, placement Map, load [][]float64) float64 {
-	var most, mean float64
+	var slowestTime, evenTime float64
 	for set := range placement {
 		s := newSearch(shape, placement[set], load[set])
 		highest := 0.0
-		for rank, l := range s.loads {
+		for rank, l := range s.rankLoads {
 			highest = max(highest, l*shape.slowness(rank))
-			mean += l / float64(shape.Ranks)
+			evenTime += l / float64(shape.Ranks)
 		}
-		most += highest
+		slowestTime += highest
 	}
-	if mean == 0 {
+	if evenTime == 0 {
 		return 1
 	}
-	return most / mean
+	return slowestTime / evenTime
 }
 
 // search is a greedy search for a better placement of the experts of one expert set.
@@ -195,8 +195,8 @@
 	held          [][]int       // By rank: the experts that it holds.
 	holderRanks   [][]int       // By expert: the ranks that hold it.
 	newByRank     []int         // By rank: number of experts that the plan adds to it.
-	loads         []float64     // By rank.
-	mean          float64       // Mean load of the ranks.
+	rankLoads     []float64     // By rank.
+	meanLoad      float64       // Mean load of the ranks.
 	cost          float64       // Cost of the placement, which the search minimizes.
 	bestStep      placementStep // Best step from the current placement.
 	bestStepPays  bool          // The gain of bestStep is worth its copy.
@@ -215,7 +215,7 @@
 	s := &search{
 		shape: shape, load: load,
 		held: make([][]int, shape.Ranks), holderRanks: make([][]int, shape.Experts),
-		newByRank: make([]int, shape.Ranks), loads: make([]float64, shape.Ranks),
+		newByRank: make([]int, shape.Ranks), rankLoads: make([]float64, shape.Ranks),
 	}
 	for rank, experts := range placement {
 		s.held[rank] = append([]int(nil), experts...)
@@ -225,11 +225,11 @@
 	}
 	for expert, ranks := range s.holderRanks {
 		for _, rank := range ranks {
-			s.loads[rank] += load[expert] / float64(len(ranks))
+			s.rankLoads[rank] += load[expert] / float64(len(ranks))
 		}
 	}
-	for _, l := range s.loads {
-		s.mean += l / float64(shape.Ranks)
+	for _, l := range s.rankLoads {
+		s.meanLoad += l / float64(shape.Ranks)
 	}
 	s.cost = s.totalCost()
 	return s
@@ -238,19 +238,19 @@
 // rankCost returns a rank's contribution to the cost: its time relative to the
 // mean load, to the power of loadExponent.
 func (s *search) rankCost(rank int, load float64) float64 {
-	if s.mean == 0 {
+	if s.meanLoad == 0 {
 		return 0
 	}
-	x := load * s.shape.slowness(rank) / s.mean
-	x *= x
-	x *= x
-	return x * x
+	power := load * s.shape.slowness(rank) / s.meanLoad
+	power *= power
+	power *= power
+	return power * power
 }
 
 // totalCost returns the cost of the placement, the sum over its ranks.
 func (s *search) totalCost() float64 {
 	total := 0.0
-	for rank, l := range s.loads {
+	for rank, l := range s.rankLoads {
 		total += s.rankCost(rank, l)
 	}
 	return total
@@ -344,8 +344,8 @@
 		addedShare = s.load[candidate.victim]/(n-1) - droppedShare
 	}
 	gain := 0.0
-	change := func(rank int, delta float64) {
-		gain += s.rankCost(rank, s.loads[rank]) - s.rankCost(rank, s.loads[rank]+delta)
+	addGain := func(rank int, delta float64) {
+		gain += s.rankCost(rank, s.rankLoads[rank]) - s.rankCost(rank, s.rankLoads[rank]+delta)
 	}
 	for _, holder := range holderRanks {
 		delta := load/after - load/before
@@ -355,14 +355,14 @@
 		if candidate.victim >= 0 && s.holds(holder, candidate.victim) {
 			delta += addedShare
 		}
-		change(holder, delta)
+		addGain(holder, delta)
 	}
 	for _, holder := range victims {
 		if holder != candidate.rank && !s.holds(holder, candidate.expert) {
-			change(holder, addedShare)
+			addGain(holder, addedShare)
 		}
 	}
-	change(candidate.rank, load/after-droppedShare)
+	addGain(candidate.rank, load/after-droppedShare)
 	return gain
 }
 
@@ -375,9 +375,9 @@
 	before := float64(len(s.holderRanks[chosen.expert]))
 	load := s.load[chosen.expert]
 	for _, holder := range s.holderRanks[chosen.expert] {
-		s.loads[holder] -= load/before - load/(before+1)
+		s.rankLoads[holder] -= load/before - load/(before+1)
 	}
-	s.loads[chosen.rank] += load / (before + 1)
+	s.rankLoads[chosen.rank] += load / (before + 1)
 	s.held[chosen.rank] = append(s.held[chosen.rank], chosen.expert)
 	s.holderRanks[chosen.expert] = append(s.holderRanks[chosen.expert], chosen.rank)
 	s.newByRank[chosen.rank]++
@@ -392,21 +392,21 @@
 func (s *search) removeReplica(expert, rank int) {
 	n := float64(len(s.holderRanks[expert]))
 	load := s.load[expert]
-	s.loads[rank] -= load / n
+	s.rankLoads[rank] -= load / n
 	s.holderRanks[expert] = without(s.holderRanks[expert], rank)
 	s.held[rank] = without(s.held[rank], expert)
 	for _, holder := range s.holderRanks[expert] {
-		s.loads[holder] += load/(n-1) - load/n
+		s.rankLoads[holder] += load/(n-1) - load/n
 	}
 }
 
 // slowestRank returns the rank that takes the longest time for its load.
 func (s *search) slowestRank() int {
 	slowestRank := 0
-	most := 0.0
-	for rank, l := range s.loads {
-		if time := l * s.shape.slowness(rank); time > most {
-			slowestRank, most = rank, time
+	longestTime := 0.0
+	for rank, l := range s.rankLoads {
+		if time := l * s.shape.slowness(rank); time > longestTime {
+			slowestRank, longestTime = rank, time
 		}
 	}
 	return slowestRank
--- a/policy/hotexperts/hotexperts_test.go
+++ b/policy/hotexperts/hotexperts_test.go
@@ -13,9 +13,11 @@
 // referenceShape is the shape of the users' groups.
 var referenceShape = Shape{Ranks: 12, Places: 8, Experts: 72, NewPerSet: 3}
 
+// referenceSets is the number of expert sets of the users' groups.
 const referenceSets = 4
 
-// roundRobinMap returns the map that a group starts with.
+// roundRobinMap returns the map that a group starts with: the experts of each expert
+// set are assigned to the ranks round-robin.
 func roundRobinMap(shape Shape, sets int) Map {
 	placement := make(Map, sets)
 	for set := range placement {
@@ -89,22 +91,22 @@
 func TestDecideLeastAverageSkew(t *testing.T) {
 	const copyTime = 100 * time.Millisecond
 	Convey("Right after a jump in demand a plan with fewer copies is chosen if it brings most of the gain sooner", t, func() {
-		fewer := 0
+		fewerCopies := 0
 		for seed := range uint64(20) {
 			load := randomTopicLoad(rand.New(rand.NewPCG(seed, 3)), referenceShape, referenceSets)
 			placement := roundRobinMap(referenceShape, referenceSets)
-			full := Decide(referenceShape, placement, load, 3)
+			fullBudget := Decide(referenceShape, placement, load, 3)
 			best := DecideLeastAverageSkew(referenceShape, placement, load, 3, copyTime)
-			if best.MaxCopiesPerRank < full.MaxCopiesPerRank {
-				fewer++
+			if best.MaxCopiesPerRank < fullBudget.MaxCopiesPerRank {
+				fewerCopies++
 			}
 			cost := func(p Plan) float64 {
 				switchDelay := (switchTime + time.Duration(p.MaxCopiesPerRank)*copyTime).Seconds()
 				return p.SkewBefore*switchDelay + p.SkewAfter*(recoveryWindow.Seconds()-switchDelay)
 			}
-			So(cost(best), ShouldBeLessThanOrEqualTo, cost(full))
+			So(cost(best), ShouldBeLessThanOrEqualTo, cost(fullBudget))
 		}
-		So(fewer, ShouldBeGreaterThan, 0)
+		So(fewerCopies, ShouldBeGreaterThan, 0)
 	})
 	Convey("If copies take no time, the plan uses the full budget", t, func() {
 		load := randomTopicLoad(rand.New(rand.NewPCG(1, 3)), referenceShape, referenceSets)
@@ -168,6 +170,8 @@
 	})
 }
 
+// checkPlanLimits fails the test if the plan exceeds a limit on the experts that a rank
+// holds or copies, or if an expert has no replica.
 func checkPlanLimits(t *rapid.T, shape Shape, before Map, plan Plan, budget int) {
 	copies := make([]int, shape.Ranks)
 	for set := range plan.Map {
@@ -176,24 +180,24 @@
 			if len(experts) > shape.Places {
 				t.Fatalf("rank %d holds %d experts", rank, len(experts))
 			}
-			old := map[int]bool{}
+			heldBefore := map[int]bool{}
 			for _, expert := range before[set][rank] {
-				old[expert] = true
+				heldBefore[expert] = true
 			}
 			held := map[int]bool{}
-			fresh := 0
+			added := 0
 			for _, expert := range experts {
 				if held[expert] {
 					t.Fatalf("rank %d holds expert %d twice", rank, expert)
 				}
 				held[expert], covered[expert] = true, true
-				if !old[expert] {
-					fresh++
+				if !heldBefore[expert] {
+					added++
 				}
 			}
-			copies[rank] += fresh
-			if fresh > shape.NewPerSet {
-				t.Fatalf("rank %d gets %d new experts in a set", rank, fresh)
+			copies[rank] += added
+			if added > shape.NewPerSet {
+				t.Fatalf("rank %d gets %d new experts in a set", rank, added)
 			}
 		}
 		if len(covered) != shape.Experts {
--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -138,11 +138,11 @@
 // acquires the lease if it is free.
 func (s State) read(event Read, input reduce.Input) (State, []reduce.Effect) {
 	s = s.observe(event.Row, event.Version, input.Now)
-	free := event.Version == 0 || input.Now.Sub(s.HolderSeenAt) >= leaseTimeout+s.TakeoverDelay
+	isFree := event.Version == 0 || input.Now.Sub(s.HolderSeenAt) >= leaseTimeout+s.TakeoverDelay
 	row := Row{Holder: s.Self, Fence: event.Row.Fence, Nonce: input.Random}
 	switch {
 	case s.Held:
-	case free:
+	case isFree:
 		row.Fence++
 	default:
 		return s, nil
@@ -157,8 +157,8 @@
 	if version != s.Version {
 		s.HolderSeenAt = now
 	}
-	own := version > 0 && s.Nonce != 0 && row.Holder == s.Self && row.Nonce == s.Nonce
-	s.Held = own || (s.Held && row.Fence == s.Fence)
+	wroteRow := version > 0 && s.Nonce != 0 && row.Holder == s.Self && row.Nonce == s.Nonce
+	s.Held = wroteRow || (s.Held && row.Fence == s.Fence)
 	s.Row, s.Version = row, version
 	s.Fence = max(s.Fence, row.Fence)
 	return s
--- a/policy/lease/lease_test.go
+++ b/policy/lease/lease_test.go
@@ -26,7 +26,8 @@
 	version uint64
 }
 
-// write applies the write and returns the event for the candidate.
+// write applies the write if the row still has the required version. It returns the
+// event that tells the candidate the result.
 func (r *tableRow) write(effect lease.WriteRow) reduce.Event {
 	if r.version != effect.IfVersion {
 		return lease.Conflict{}
--- a/policy/mapswitch/group_test.go
+++ b/policy/mapswitch/group_test.go
@@ -11,17 +11,18 @@
 // modelRank models a rank of an engine: it keeps one prepared version, one armed
 // switch and one hold, and rejects orders that do not match its state.
 type modelRank struct {
-	highest   int64 // The highest version that the rank has had.
-	prepared  int64
-	content   map[int64]string // By version, all that the rank has had.
-	maps      map[int64]Map    // The same maps, as the rank's agent remembers them.
-	version   int64
-	armed     int64
-	armedPass int64
-	held      int64
+	highestVersion int64 // The highest map version that the rank has prepared.
+	prepared       int64
+	content        map[int64]string // By version: the content of every map that the rank has prepared.
+	maps           map[int64]Map    // By version: the maps of content, as the rank's agent remembers them.
+	version        int64
+	armed          int64
+	armedPass      int64
+	heldPass       int64
 }
 
-// modelGroup models a group of ranks that run passes in lock-step.
+// modelGroup models a group of ranks that run passes in lock-step. It counts the
+// epochs, one each time the group forms, and the passes begun.
 type modelGroup struct {
 	epoch int64
 	pass  int64
@@ -50,8 +51,8 @@
 	}
 	switch order.Kind {
 	case topology.Prepare:
-		if order.Version > r.highest && r.armed == 0 {
-			r.highest, r.prepared = order.Version, order.Version
+		if order.Version > r.highestVersion && r.armed == 0 {
+			r.highestVersion, r.prepared = order.Version, order.Version
 			r.content[order.Version], r.maps[order.Version] = fmt.Sprint(order.Map), order.Map
 		}
 	case topology.Arm:
@@ -59,22 +60,23 @@
 			r.armed, r.armedPass = order.Version, order.Pass
 		}
 	case topology.Hold:
-		if r.held == 0 && order.Pass > g.pass {
-			r.held = order.Pass
+		if r.heldPass == 0 && order.Pass > g.pass {
+			r.heldPass = order.Pass
 		}
 	case topology.Disarm:
 		if r.armed == order.Version {
 			r.armed, r.armedPass = 0, 0
 		}
 	case topology.Release:
-		if r.held == order.Pass {
-			r.held = 0
+		if r.heldPass == order.Pass {
+			r.heldPass = 0
 		}
 	}
 }
 
-// expand returns the order as the rank's agent passes it on. If the agent knows
-// the base map, it builds the next map from its own copy and the changes.
+// expand returns the order as the rank's agent passes it on to the engine. If the
+// agent knows the base map of the order, it builds the next map from its own copy and
+// the changes.
 func (g *modelGroup) expand(send SendOrder) topology.Order {
 	base, known := g.ranks[send.Rank].maps[send.BaseVersion]
 	if send.Order.Kind != topology.Prepare || send.BaseMap == nil || !known {
@@ -86,11 +88,11 @@
 	return send.Order
 }
 
-// beginPass begins the next pass unless it is held. It fails if two ranks then
-// have different maps.
+// beginPass begins the next pass unless a rank holds it. It returns an error if two
+// ranks then have different maps.
 func (g *modelGroup) beginPass() error {
 	for _, r := range g.ranks {
-		if r.held == g.pass+1 {
+		if r.heldPass == g.pass+1 {
 			return nil
 		}
 	}
@@ -115,32 +117,34 @@
 	return RankRead{
 		State: topology.RankState{
 			Group: "g", Epoch: g.epoch, Rank: rank, Size: len(g.ranks), Open: true, Pass: g.pass,
-			MapVersion: r.version, Prepared: r.prepared, Armed: r.armed, ArmedPass: r.armedPass, HeldPass: r.held,
+			MapVersion: r.version, Prepared: r.prepared, Armed: r.armed, ArmedPass: r.armedPass, HeldPass: r.heldPass,
 		},
 		Lists: topology.RankLists{MapVersion: r.version, Experts: [][]int{{rank}, {rank}}},
 	}
 }
 
-// lossyNetwork carries orders and reports. It loses some of them, and keeps some
-// orders to deliver them late.
+// lossyNetwork carries orders and reports. It loses some of them, and keeps some orders
+// back to deliver them late.
 type lossyNetwork struct {
 	group        *modelGroup
 	delayed      []delayedOrder
 	fences       map[int]uint64 // Highest fencing number that each rank's agent has seen.
-	staleReports []RankRead     // What the engines report to callers on other machines.
+	staleReports []RankRead     // The reports that callers on other machines read from the engines.
 }
 
+// delayedOrder is an order to a rank that is still in flight.
 type delayedOrder struct {
 	rank  int
 	order topology.Order
 }
 
-// modelCoordinator is a coordinator that may crash, pause or be superseded.
+// modelCoordinator is a coordinator that may crash, pause or be superseded by a newer
+// one.
 type modelCoordinator struct {
 	state          State
-	pending        []reduce.Effect
-	delayedReports []RankRead // Reports still in flight.
-	plans          int
+	pending        []reduce.Effect // Effects not executed yet.
+	delayedReports []RankRead      // Reports still in flight.
+	planCount      int
 }
 
 func newModelCoordinator(fence uint64, rank int) *modelCoordinator {
@@ -149,21 +153,22 @@
 	return c
 }
 
+// handle applies the event to the coordinator's state and collects the effects.
 func (c *modelCoordinator) handle(event reduce.Event, now time.Time) {
 	var effects []reduce.Effect
 	c.state, effects = Step(c.state, reduce.Input{Now: now, Event: event})
 	c.pending = append(c.pending, effects...)
 }
 
-// plan submits the map in use with one rank's experts of one set changed.
+// plan submits the map in use with one rank's experts of one expert set changed.
 func (c *modelCoordinator) plan(now time.Time) {
 	if c.state.Phase != Idle {
 		return
 	}
-	c.plans++
-	set, rank := c.plans%len(c.state.Current), c.plans%c.state.Size
+	c.planCount++
+	set, rank := c.planCount%len(c.state.Current), c.planCount%c.state.Size
 	next, ok := Apply(c.state.Current, []Change{{
-		Set: set, Rank: rank, Experts: []int{rank, int(c.state.Fence)*1000 + c.plans},
+		Set: set, Rank: rank, Experts: []int{rank, int(c.state.Fence)*1000 + c.planCount},
 	}})
 	if !ok {
 		panic("the map in use lacks the set or the rank")
@@ -175,7 +180,7 @@
 func (g *modelGroup) String() string {
 	text := ""
 	for i, r := range g.ranks {
-		text += fmt.Sprintf("rank %d: version %d, prepared %d, armed %d for pass %d, held %d; ", i, r.version, r.prepared, r.armed, r.armedPass, r.held)
+		text += fmt.Sprintf("rank %d: version %d, prepared %d, armed %d for pass %d, held %d; ", i, r.version, r.prepared, r.armed, r.armedPass, r.heldPass)
 	}
 	return text
 }
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -32,10 +32,10 @@
 	Rank int   // The rank that holds the pass.
 	Pass int64 // The pass that the group must not begin yet.
 
-	firstOrderedAt time.Time // When the hold was first ordered, at any rank.
-	sender         int       // The rank whose agent sends the order.
-	answeredAt     time.Time // When the call to the sender returned; zero until it has.
-	recheckedAt    time.Time // When the second check of the sender was requested; zero until it has been.
+	firstOrderedAt     time.Time // When the hold was first ordered, at any rank.
+	senderRank         int       // The rank whose agent sends the order.
+	answeredAt         time.Time // When the call to the sender returned; zero until it has.
+	recheckRequestedAt time.Time // When the second check of the sender was requested; zero until it has been.
 }
 
 // putHold orders a rank to hold the pass and waits until it does. Ranks are armed
@@ -43,27 +43,27 @@
 // answers: a machine that stopped just then could not be armed.
 func (s State) putHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	holder := s.Ranks[s.Hold.Rank]
-	held := holder.State.HeldPass
+	heldPass := holder.State.HeldPass
 	switch {
-	case held == s.Hold.Pass && s.senderAnswersAgain():
-		s, moved := s.enterPhase(Arming, "hold is in place", now)
-		return s, moved, nil
-	case held == s.Hold.Pass && now.Sub(s.PhaseStartedAt) > holdTimeout:
+	case heldPass == s.Hold.Pass && s.senderAnswersAgain():
+		s, phaseChange := s.enterPhase(Arming, "hold is in place", now)
+		return s, phaseChange, nil
+	case heldPass == s.Hold.Pass && now.Sub(s.PhaseStartedAt) > holdTimeout:
 		// No rank has been armed for the held pass, so the group may begin it.
-		s, orders := s.releaseHolds(held, now)
+		s, orders := s.releaseHolds(heldPass, now)
 		s.senderFailedAt = now
-		s, moved := s.enterPhase(Preparing, "the sender of the hold does not answer", now)
-		return s, moved, orders
-	case held == s.Hold.Pass:
+		s, phaseChange := s.enterPhase(Preparing, "the sender of the hold does not answer", now)
+		return s, phaseChange, orders
+	case heldPass == s.Hold.Pass:
 		s, recheck := s.recheckSender(now)
 		return s, nil, recheck
-	case held != 0:
+	case heldPass != 0:
 		// The rank holds another pass, because an earlier order to hold took effect
 		// late. The hold can be released at once: an order to arm a rank for that pass
 		// can only name a version older than s.Version, and no rank accepts it, since
 		// all ranks have prepared s.Version and a rank arms only the version that it has
 		// prepared last.
-		s, orders := s.releaseHolds(held, now)
+		s, orders := s.releaseHolds(heldPass, now)
 		return s, nil, orders
 	case s.lastPass() >= s.Hold.Pass || s.needsNewHoldRanks():
 		if pass, ok := s.nextHoldPass(); ok {
@@ -79,8 +79,8 @@
 // sends the order. A new selection is needed if the previous order to hold was
 // rejected or came too late, or if an agent is unreachable.
 func (s State) selectHoldRanks() State {
-	s.Hold.Rank, s.Hold.sender = s.nextHoldRanks()
-	s.Hold.answeredAt, s.Hold.recheckedAt = time.Time{}, time.Time{}
+	s.Hold.Rank, s.Hold.senderRank = s.nextHoldRanks()
+	s.Hold.answeredAt, s.Hold.recheckRequestedAt = time.Time{}, time.Time{}
 	holder := s.Ranks[s.Hold.Rank]
 	holder.OrderedAt, holder.OrderPending = time.Time{}, false
 	s.Ranks[s.Hold.Rank] = holder
@@ -91,26 +91,26 @@
 // holdSettleTime after the reply: a machine that stops because of the order may
 // still have replied to it.
 func (s State) recheckSender(now time.Time) (State, []reduce.Effect) {
-	if s.Hold.answeredAt.IsZero() || !s.Hold.recheckedAt.IsZero() || now.Sub(s.Hold.answeredAt) < holdSettleTime {
+	if s.Hold.answeredAt.IsZero() || !s.Hold.recheckRequestedAt.IsZero() || now.Sub(s.Hold.answeredAt) < holdSettleTime {
 		return s, nil
 	}
-	s.Hold.recheckedAt = now
-	return s, []reduce.Effect{ReadRank{Rank: s.Hold.sender}}
+	s.Hold.recheckRequestedAt = now
+	return s, []reduce.Effect{ReadRank{Rank: s.Hold.senderRank}}
 }
 
 // senderAnswersAgain reports whether the agent that sent the order to hold has
 // answered a call made at least holdSettleTime after its reply.
 func (s State) senderAnswersAgain() bool {
-	sender := s.Ranks[s.Hold.sender]
-	return !s.Hold.answeredAt.IsZero() && !sender.AgentUnreachable && sender.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
+	senderRank := s.Ranks[s.Hold.senderRank]
+	return !s.Hold.answeredAt.IsZero() && !senderRank.AgentUnreachable && senderRank.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
 }
 
 // needsNewHoldRanks reports whether another rank must hold the pass or another
 // agent must send the order, because an agent is unreachable and there is a
 // replacement.
 func (s State) needsNewHoldRanks() bool {
-	holder, sender := s.nextHoldRanks()
-	return (s.Ranks[s.Hold.Rank].AgentUnreachable || s.Ranks[s.Hold.sender].AgentUnreachable) && (holder != s.Hold.Rank || sender != s.Hold.sender)
+	holder, senderRank := s.nextHoldRanks()
+	return (s.Ranks[s.Hold.Rank].AgentUnreachable || s.Ranks[s.Hold.senderRank].AgentUnreachable) && (holder != s.Hold.Rank || senderRank != s.Hold.senderRank)
 }
 
 // nextHoldPass returns the number of the pass to hold. ok is false while the lowest
--- a/policy/mapswitch/hold_test.go
+++ b/policy/mapswitch/hold_test.go
@@ -48,8 +48,8 @@
 	Convey("Given a stalled group whose hold was released, and a duplicate of the release order still in flight", t, func() {
 		g, c, now := newModelGroup(4), newModelCoordinator(1, 0), start
 		So(runRounds(g, c, &now, 4, nil), ShouldBeNil)
-		held := g.pass + 1
-		g.apply(0, topology.Order{Kind: topology.Hold, Epoch: g.epoch, Pass: held})
+		heldPass := g.pass + 1
+		g.apply(0, topology.Order{Kind: topology.Hold, Epoch: g.epoch, Pass: heldPass})
 		second := newModelCoordinator(2, 0)
 		var delayedRelease topology.Order
 		for range 40 {
@@ -65,8 +65,8 @@
 			}
 			second.pending = nil
 		}
-		So(delayedRelease.Pass, ShouldEqual, held)
-		So(g.ranks[0].held, ShouldEqual, 0)
+		So(delayedRelease.Pass, ShouldEqual, heldPass)
+		So(g.ranks[0].heldPass, ShouldEqual, 0)
 
 		Convey("neither the coordinator nor its successor holds that pass again", func() {
 			second.plan(now)
@@ -75,24 +75,24 @@
 				for range 40 {
 					now = now.Add(50 * time.Millisecond)
 					readRanks(g, c, now)
-					if c == third && c.plans == 0 {
+					if c == third && c.planCount == 0 {
 						c.plan(now)
 					}
 					for _, effect := range c.pending {
 						if send, ok := effect.(SendOrder); ok {
 							if send.Order.Kind == topology.Hold {
-								So(send.Order.Pass, ShouldBeGreaterThan, held)
+								So(send.Order.Pass, ShouldBeGreaterThan, heldPass)
 							}
 							g.apply(send.Rank, send.Order)
 						}
 					}
 					c.pending = nil
 				}
-				So(c.plans, ShouldEqual, 1)
+				So(c.planCount, ShouldEqual, 1)
 				// The coordinator's hold is left in place; release it so that the next
 				// coordinator finds none.
 				for _, r := range g.ranks {
-					r.held = 0
+					r.heldPass = 0
 				}
 			}
 		})
@@ -157,12 +157,12 @@
 			So(runRounds(g, c, &now, 40, nil), ShouldBeNil)
 			So(g.ranks[0].version, ShouldBeGreaterThan, 0)
 		}
-		Convey("if that machine replies and then stops, the group continues, and there is no new hold until the machine answers again", func() {
+		Convey("if that machine replies and then stops, the group continues, and no pass is held until the machine answers again", func() {
 			g.apply(order.Rank, order.Order)
 			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			checkGroupContinues()
 		})
-		Convey("the same applies if it stops just after it has been read", func() {
+		Convey("if that machine stops just after it has been read, the group continues as well", func() {
 			g.apply(order.Rank, order.Order)
 			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			now = now.Add(time.Millisecond)
@@ -170,7 +170,7 @@
 			So(c.state.Phase, ShouldEqual, Holding)
 			checkGroupContinues()
 		})
-		Convey("a machine that keeps running is read again, and the ranks are armed", func() {
+		Convey("if that machine keeps running, it is read again, and the ranks are armed", func() {
 			g.apply(order.Rank, order.Order)
 			c.handle(OrderReturned{Rank: order.Rank, Kind: topology.Hold, Answered: true}, now)
 			c.pending = nil
@@ -200,7 +200,7 @@
 		read := g.report(3)
 		read.State.Prepared, read.RequestedAt = c.state.Version, now.Add(-time.Second)
 		c.handle(read, now)
-		Convey("no hold is set", func() { So(c.state.Phase, ShouldEqual, Preparing) })
+		Convey("no pass is held", func() { So(c.state.Phase, ShouldEqual, Preparing) })
 	})
 }
 
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -291,8 +291,8 @@
 func (s State) advance(now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for {
-		next, moved, orders := s.stepPhase(now)
-		effects = append(effects, moved...)
+		next, phaseChange, orders := s.stepPhase(now)
+		effects = append(effects, phaseChange...)
 		effects = append(effects, orders...)
 		if next.Phase == s.Phase {
 			return next, effects
@@ -302,41 +302,41 @@
 }
 
 // stepPhase sends the orders that the phase still needs, or enters the next phase.
-// moved holds the effects of the change of phase, orders those that send orders.
-func (s State) stepPhase(now time.Time) (next State, moved, orders []reduce.Effect) {
+// phaseChange holds the effects of the change of phase, orders those that send orders.
+func (s State) stepPhase(now time.Time) (next State, phaseChange, orders []reduce.Effect) {
 	if !s.allRanksRead() {
 		return s, nil, nil
 	}
 	if (s.Phase == Idle || s.Phase == Preparing) && s.hasPredecessorHold() {
-		s, moved = s.enterPhase(Survey, "a predecessor has set a hold", now)
-		return s, moved, nil
+		s, phaseChange = s.enterPhase(Survey, "a predecessor has set a hold", now)
+		return s, phaseChange, nil
 	}
 	switch s.Phase {
 	case Survey:
-		s, moved = s.survey(now)
+		s, phaseChange = s.survey(now)
 	case Idle:
 		// An order of this coordinator to hold a pass may have taken effect late. No rank
 		// is armed for that pass, which has been abandoned or is over, so it is released.
 		s, orders = s.releaseLateHolds(now)
 	case Preparing:
-		s, moved, orders = s.prepare(now)
-		var strays []reduce.Effect
-		s, strays = s.releaseLateHolds(now)
-		orders = append(orders, strays...)
+		s, phaseChange, orders = s.prepare(now)
+		var releases []reduce.Effect
+		s, releases = s.releaseLateHolds(now)
+		orders = append(orders, releases...)
 	case Holding:
-		s, moved, orders = s.putHold(now)
+		s, phaseChange, orders = s.putHold(now)
 	case Arming:
-		s, moved, orders = s.arm(now)
+		s, phaseChange, orders = s.arm(now)
 	case Releasing:
-		s, moved, orders = s.release(now)
+		s, phaseChange, orders = s.release(now)
 	case Settling:
 		// A hold that took effect late is released, since all ranks are armed.
 		s, orders = s.releaseLateHolds(now)
-		s, moved = s.settle(now)
+		s, phaseChange = s.settle(now)
 	case Fencing:
-		s, moved, orders = s.fencePredecessor(now)
+		s, phaseChange, orders = s.fencePredecessor(now)
 	}
-	return s, moved, orders
+	return s, phaseChange, orders
 }
 
 // allRanksRead reports whether every rank of the epoch has been read.
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -13,8 +13,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// runRounds runs one coordinator for a number of rounds on a group without
-// faults.
+// runRounds runs one coordinator for a number of rounds on a group without faults. In
+// each round the coordinator reads all ranks, its orders take effect and the group
+// begins a pass; then each is called unless it is nil.
 func runRounds(g *modelGroup, c *modelCoordinator, now *time.Time, rounds int, each func(int)) error {
 	for round := range rounds {
 		*now = now.Add(50 * time.Millisecond)
@@ -57,7 +58,7 @@
 			for _, r := range g.ranks {
 				So(r.version, ShouldEqual, g.ranks[0].version)
 				So(r.version, ShouldBeGreaterThan, 0)
-				So(r.held, ShouldEqual, 0)
+				So(r.heldPass, ShouldEqual, 0)
 			}
 		})
 
@@ -66,7 +67,7 @@
 				c.plan(now)
 				So(runRounds(g, c, &now, 20, nil), ShouldBeNil)
 			}
-			So(c.plans, ShouldEqual, 5)
+			So(c.planCount, ShouldEqual, 5)
 		})
 
 		Convey("a hold that takes effect late is released again", func() {
@@ -88,7 +89,8 @@
 }
 
 func TestCoordinatorDiesDuringChange(t *testing.T) {
-	// The predecessor crashes after each possible number of rounds of a change.
+	// Each case lets the first coordinator crash after another number of rounds of the
+	// change.
 	for rounds := range 12 {
 		Convey("Given a coordinator that crashed during a change", t, func() {
 			g, first, now := newModelGroup(4), newModelCoordinator(1, 0), start
@@ -96,7 +98,7 @@
 			first.plan(now)
 			So(runRounds(g, first, &now, rounds, nil), ShouldBeNil)
 
-			Convey("its successor completes or abandons the change, and the group continues", func() {
+			Convey("the next coordinator completes or abandons the change, and the group continues", func() {
 				second := newModelCoordinator(2, 1)
 				So(runRounds(g, second, &now, 20, nil), ShouldBeNil)
 				So(second.state.Phase, ShouldEqual, Idle)
@@ -151,7 +153,7 @@
 }
 
 func TestRankArmedByPredecessorAfterSurvey(t *testing.T) {
-	Convey("Given a successor that has found a hold and no armed rank", t, func() {
+	Convey("Given a new coordinator that has found a held pass and no armed rank", t, func() {
 		g, first, now := newModelGroup(4), newModelCoordinator(1, 0), start
 		So(runRounds(g, first, &now, 4, nil), ShouldBeNil)
 		first.plan(now)
@@ -172,7 +174,7 @@
 			So(g.pass, ShouldBeGreaterThan, held+5)
 			So(second.state.Phase, ShouldEqual, Idle)
 
-			Convey("and a late order to arm has no effect", func() {
+			Convey("and an order of the predecessor to arm that arrives later has no effect", func() {
 				g.apply(2, arm)
 				So(g.ranks[2].armed, ShouldEqual, 0)
 			})
@@ -343,7 +345,8 @@
 	}
 }
 
-// send delivers the pending orders, loses them, or keeps them for late delivery.
+// send delivers the coordinator's pending orders, loses them, or keeps them back to be
+// delivered late.
 func (n *lossyNetwork) send(t *rapid.T, c *modelCoordinator, now time.Time) {
 	effects := c.pending
 	c.pending = nil
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -27,7 +27,7 @@
 		send := SendOrder{Rank: id, Order: order, SenderRank: id}
 		switch {
 		case order.Kind == topology.Hold:
-			send.SenderRank = s.Hold.sender
+			send.SenderRank = s.Hold.senderRank
 		case order.Kind == topology.Prepare && s.Current != nil:
 			send.BaseMap, send.BaseVersion = s.Current, s.CurrentVersion
 		}
@@ -56,12 +56,12 @@
 func (s State) releaseHolds(last int64, now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for id := range s.Size {
-		held := s.Ranks[id].State.HeldPass
-		if held == 0 || held > last {
+		heldPass := s.Ranks[id].State.HeldPass
+		if heldPass == 0 || heldPass > last {
 			continue
 		}
-		s.minHoldPass = max(s.minHoldPass, held+1)
-		effects = append(effects, s.order(now, topology.Order{Kind: topology.Release, Pass: held}, s.isRank(id))...)
+		s.minHoldPass = max(s.minHoldPass, heldPass+1)
+		effects = append(effects, s.order(now, topology.Order{Kind: topology.Release, Pass: heldPass}, s.isRank(id))...)
 	}
 	return s, effects
 }
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -22,12 +22,12 @@
 	if !ok {
 		return s, nil
 	}
-	held := int64(0)
+	heldPass := int64(0)
 	for _, rank := range s.Ranks {
-		held = max(held, rank.State.HeldPass)
+		heldPass = max(heldPass, rank.State.HeldPass)
 	}
-	if isArmed || held != 0 {
-		s.Hold.Pass = held
+	if isArmed || heldPass != 0 {
+		s.Hold.Pass = heldPass
 		s.Version, s.NextMap = s.nextVersion(), current
 		return s.enterPhase(Fencing, "a predecessor has left orders behind", now)
 	}
@@ -71,8 +71,8 @@
 // selects the pass to hold.
 func (s State) prepare(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	if now.Sub(s.PhaseStartedAt) > prepareTimeout {
-		s, moved := s.enterPhase(Survey, "ranks did not copy in time", now)
-		return s, moved, nil
+		s, phaseChange := s.enterPhase(Survey, "ranks did not copy in time", now)
+		return s, phaseChange, nil
 	}
 	if s.allRanks(func(r Rank) bool { return r.State.Prepared == s.Version }) {
 		pass, ok := s.nextHoldPass()
@@ -81,8 +81,8 @@
 		}
 		s.Hold.Pass, s.Hold.firstOrderedAt = pass, now
 		s = s.selectHoldRanks()
-		s, moved := s.enterPhase(Holding, "all ranks prepared", now)
-		return s, moved, nil
+		s, phaseChange := s.enterPhase(Holding, "all ranks prepared", now)
+		return s, phaseChange, nil
 	}
 	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.NextMap},
 		func(r Rank) bool { return r.State.Prepared != s.Version && !r.State.OrderRunning })
@@ -96,12 +96,12 @@
 		return r.State.MapVersion == s.Version || r.State.Armed == s.Version && r.State.ArmedPass == s.Hold.Pass
 	}
 	if s.allRanks(armed) {
-		s, moved := s.enterPhase(Releasing, "all ranks armed", now)
-		return s, moved, nil
+		s, phaseChange := s.enterPhase(Releasing, "all ranks armed", now)
+		return s, phaseChange, nil
 	}
 	if s.cannotComplete(s.Version) {
-		s, moved := s.enterPhase(Survey, "a rank can no longer be armed", now)
-		return s, moved, nil
+		s, phaseChange := s.enterPhase(Survey, "a rank can no longer be armed", now)
+		return s, phaseChange, nil
 	}
 	return s, nil, s.order(now, topology.Order{Kind: topology.Arm, Version: s.Version, Pass: s.Hold.Pass},
 		func(r Rank) bool { return !armed(r) })
@@ -114,8 +114,8 @@
 		if s.NextMap != nil {
 			s.passTiming.observeArming(now.Sub(s.Hold.firstOrderedAt))
 		}
-		s, moved := s.enterPhase(Settling, "released", now)
-		return s, moved, nil
+		s, phaseChange := s.enterPhase(Settling, "released", now)
+		return s, phaseChange, nil
 	}
 	return s, nil, orders
 }
@@ -139,8 +139,8 @@
 func (s State) fencePredecessor(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	armedRank, isArmed := s.armedRank()
 	if isArmed && !s.cannotComplete(armedRank.State.Armed) {
-		s, moved := s.enterPhase(Survey, "a predecessor has armed a rank", now)
-		return s, moved, nil
+		s, phaseChange := s.enterPhase(Survey, "a predecessor has armed a rank", now)
+		return s, phaseChange, nil
 	}
 	if !isArmed && s.allRanks(func(r Rank) bool { return r.State.Prepared == s.Version }) {
 		s.Current, s.CurrentVersion, s.NextMap = s.NextMap, s.Ranks[0].Lists.MapVersion, nil
@@ -148,8 +148,8 @@
 			s.releasablePasses[rank.State.HeldPass] = true
 		}
 		s.minHoldPass = max(s.minHoldPass, s.lastPass()+maxPassLead+1)
-		s, moved := s.enterPhase(Idle, "predecessor's orders are invalidated", now) // The holds are released in that phase.
-		return s, moved, nil
+		s, phaseChange := s.enterPhase(Idle, "predecessor's orders are invalidated", now) // The holds are released in that phase.
+		return s, phaseChange, nil
 	}
 	orders := s.order(now, topology.Order{Kind: topology.Prepare, Version: s.Version, Map: s.NextMap},
 		func(r Rank) bool { return r.State.Prepared != s.Version && r.State.Armed == 0 && !r.State.OrderRunning })
--- a/policy/mapswitch/timing.go
+++ b/policy/mapswitch/timing.go
@@ -31,8 +31,8 @@
 
 // observeArming records how long a change took from the order to hold to the
 // release. A time above the average replaces it at once.
-func (t *passTiming) observeArming(took time.Duration) {
-	t.armTime = max(took, movingAverage(t.armTime, took))
+func (t *passTiming) observeArming(duration time.Duration) {
+	t.armTime = max(duration, movingAverage(t.armTime, duration))
 }
 
 func movingAverage(average, sample time.Duration) time.Duration {
--- a/policy/planner/forecast.go
+++ b/policy/planner/forecast.go
@@ -87,9 +87,9 @@
 // slowness has changed, it returns all observed layers.
 func (s *State) changedLayers(input Input) []int {
 	var layers []int
-	all := s.slownessChanged(input.Slowness)
+	allLayers := s.slownessChanged(input.Slowness)
 	for layer, forecast := range s.forecast {
-		if forecast != nil && (all || s.observationCount[layer] == firstCheckObservations || s.popularityChanged(layer)) {
+		if forecast != nil && (allLayers || s.observationCount[layer] == firstCheckObservations || s.popularityChanged(layer)) {
 			layers = append(layers, layer)
 		}
 	}
@@ -107,8 +107,8 @@
 	if slowness == nil {
 		slowness = evenSlowness(input.Shape.Ranks)
 	}
-	needed := firstCheckMinSaving + firstCheckSigmas*math.Sqrt(s.noiseVariance[p.layer]*s.varianceWeight[p.layer])
-	return p.saved > needed*evenTime(s.forecast[p.layer], slowness)
+	minSaving := firstCheckMinSaving + firstCheckSigmas*math.Sqrt(s.noiseVariance[p.layer]*s.varianceWeight[p.layer])
+	return p.saved > minSaving*evenTime(s.forecast[p.layer], slowness)
 }
 
 // popularityChanged reports whether the layer's forecast differs from its reference by
@@ -123,8 +123,8 @@
 		scale := math.Max((tokens+reference)/2, math.SmallestNonzeroFloat64)
 		squares += (tokens - reference) * (tokens - reference) / (scale * scale)
 	}
-	explained := s.noiseVariance[layer] * (s.varianceWeight[layer] + s.referenceWeight[layer])
-	return squares/float64(len(s.forecast[layer])) > significanceFactor*explained
+	expectedFromNoise := s.noiseVariance[layer] * (s.varianceWeight[layer] + s.referenceWeight[layer])
+	return squares/float64(len(s.forecast[layer])) > significanceFactor*expectedFromNoise
 }
 
 // slownessChanged reports whether a rank's slowness has changed by more than the
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -121,7 +121,7 @@
 // planLayer searches for the change of the layer with the highest value.
 func planLayer(state *State, input Input, layer int) layerPlan {
 	search := newSearch(input.Shape, input.Current[layer], state.forecast[layer], input.Slowness)
-	start := search.slowestTime()
+	timeBefore := search.slowestTime()
 	best := layerPlan{layer: layer}
 	moves := 0
 	for moves < len(input.Current[layer]) {
@@ -130,7 +130,7 @@
 			break
 		}
 		moves += len(step)
-		saved := start - search.slowestTime()
+		saved := timeBefore - search.slowestTime()
 		if value := input.Costs.value(saved, moves); value > best.value {
 			best.value, best.moves, best.saved = value, moves, saved
 			best.changes = append([]change(nil), search.changes...)
--- a/policy/planner/planner_test.go
+++ b/policy/planner/planner_test.go
@@ -10,6 +10,7 @@
 	"persimmonwind.dev/policy/planner"
 )
 
+// targetShape returns the shape of a group of the target size.
 func targetShape(slots int) planner.Shape {
 	return planner.Shape{Ranks: 64, Slots: slots, Experts: 256, Layers: 60}
 }
@@ -46,6 +47,7 @@
 	return planner.Costs{SecondsPerLoad: 1e-4, MoveSeconds: 1e-3, SwitchSeconds: 1e-3, HorizonSteps: 10000, MaxMoves: 5000}
 }
 
+// placesEveryExpert reports whether every expert has a replica in every layer.
 func placesEveryExpert(shape planner.Shape, placement planner.Placement) bool {
 	for _, layer := range placement {
 		seen := map[uint16]bool{}
@@ -75,7 +77,7 @@
 			}
 		})
 
-		Convey("a lasting change is followed, the moves produce the placement and every expert keeps a replica", func() {
+		Convey("the placement follows a lasting change, the moves produce the placement and every expert keeps a replica", func() {
 			input.Observed = withNoise(load, 0.02, random)
 			So(planner.Decide(&state, input).Moves, ShouldBeEmpty)
 			shifted := withNoise(load, 0.8, random)
@@ -144,8 +146,8 @@
 	})
 }
 
-// BenchmarkPlanTargetSize plans a group of the target size after the popularity of
-// every layer has drifted.
+// BenchmarkPlanTargetSize measures planning for a group of the target size after the
+// popularity of the experts has drifted in every layer.
 func BenchmarkPlanTargetSize(b *testing.B) {
 	shape := targetShape(5)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/policy/planner/recompute.go
+++ b/policy/planner/recompute.go
@@ -40,14 +40,14 @@
 		r.experts = append(r.experts, uint16(expert))
 	}
 	for len(r.experts) < slots {
-		hot := 0
+		hottest := 0
 		for expert := range load {
-			if load[expert]/float64(r.count[expert]) > load[hot]/float64(r.count[hot]) {
-				hot = expert
+			if load[expert]/float64(r.count[expert]) > load[hottest]/float64(r.count[hottest]) {
+				hottest = expert
 			}
 		}
-		r.count[hot]++
-		r.experts = append(r.experts, uint16(hot))
+		r.count[hottest]++
+		r.experts = append(r.experts, uint16(hottest))
 	}
 	return r
 }
--- a/policy/planner/scratch.go
+++ b/policy/planner/scratch.go
@@ -12,8 +12,8 @@
 	if slowness == nil {
 		slowness = evenSlowness(input.Shape.Ranks)
 	}
-	start := newSearch(input.Shape, input.Current[p.layer], s.forecast[p.layer], slowness).slowestTime()
-	return start-p.saved > stuckSkewThreshold*evenTime(s.forecast[p.layer], slowness)
+	timeBefore := newSearch(input.Shape, input.Current[p.layer], s.forecast[p.layer], slowness).slowestTime()
+	return timeBefore-p.saved > stuckSkewThreshold*evenTime(s.forecast[p.layer], slowness)
 }
 
 // planFromScratch plans the layer by computing a new placement and relabelling its
--- a/policy/planner/scratch_test.go
+++ b/policy/planner/scratch_test.go
@@ -6,8 +6,8 @@
 	"persimmonwind.dev/policy/planner"
 )
 
-// loadWithHotExperts returns a load in which three consecutive experts carry the
-// most.
+// loadWithHotExperts returns a load in which three consecutive experts, from first on,
+// have 40 times the load of any other.
 func loadWithHotExperts(shape planner.Shape, first int) [][]float64 {
 	load := make([][]float64, shape.Layers)
 	for layer := range load {
@@ -22,7 +22,8 @@
 	return load
 }
 
-// planUntilStable lets a new planner observe the load for enough rounds to plan.
+// planUntilStable lets a planner without state observe the load and plan for 20 rounds
+// and returns the resulting placement.
 func planUntilStable(shape planner.Shape, current planner.Placement, load [][]float64) planner.Placement {
 	var state planner.State
 	for range 20 {
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -52,13 +52,13 @@
 }
 
 func (s *search) slowestRank() int {
-	hot := 0
+	slowest := 0
 	for rank, rankTime := range s.rankTime {
-		if rankTime > s.rankTime[hot] {
-			hot = rank
+		if rankTime > s.rankTime[slowest] {
+			slowest = rank
 		}
 	}
-	return hot
+	return slowest
 }
 
 func (s *search) slowestTime() float64 { return s.rankTime[s.slowestRank()] }
@@ -76,26 +76,26 @@
 // improve applies the step that gains most for the slowest rank and returns its
 // changes; it reports false if no step gains enough.
 func (s *search) improve() ([]change, bool) {
-	hot := s.slowestRank()
-	best := candidate{gain: minGain * s.rankTime[hot]}
-	for slot := hot * s.slotsPerRank; slot < (hot+1)*s.slotsPerRank; slot++ {
+	slowest := s.slowestRank()
+	best := candidate{gain: minGain * s.rankTime[slowest]}
+	for slot := slowest * s.slotsPerRank; slot < (slowest+1)*s.slotsPerRank; slot++ {
 		for other := range s.slotExperts {
-			if other/s.slotsPerRank == hot {
+			if other/s.slotsPerRank == slowest {
 				continue
 			}
 			s.trySwap(&best, slot, other)
-			s.tryReplica(&best, s.slotExperts[slot], hot, other)
+			s.tryReplica(&best, s.slotExperts[slot], slowest, other)
 		}
 	}
 	if best.moves == 0 {
 		return nil, false
 	}
-	taken := best.changes[:best.moves]
-	for _, c := range taken {
+	applied := best.changes[:best.moves]
+	for _, c := range applied {
 		s.applyChange(c)
 	}
-	s.changes = append(s.changes, taken...)
-	return taken, true
+	s.changes = append(s.changes, applied...)
+	return applied, true
 }
 
 // trySwap makes the swap of the experts in two slots the best candidate if it
--- a/policy/topology/snapshot.go
+++ b/policy/topology/snapshot.go
@@ -135,10 +135,10 @@
 	for _, target := range r.Targets {
 		total += target.Weight
 	}
-	point := random * float64(total)
+	remaining := random * float64(total)
 	for _, target := range r.Targets {
-		point -= float64(target.Weight)
-		if point < 0 {
+		remaining -= float64(target.Weight)
+		if remaining < 0 {
 			return target.Service
 		}
 	}
--- a/policy/topology/topology_test.go
+++ b/policy/topology/topology_test.go
@@ -21,10 +21,12 @@
 	return s
 }
 
+// server returns a backend server of the service llm in data centre a.
 func server(id string) Server {
 	return Server{ID: id, Service: "llm", Address: id + ":1", DataCentre: "a", Slots: 2}
 }
 
+// candidateIDs returns the IDs of the servers that may receive new work.
 func candidateIDs(s State) []string {
 	var found []string
 	for _, candidate := range s.Snapshot(nil).Candidates("llm") {
@@ -65,21 +67,21 @@
 		s := applyEvents(New(), &now, ServersListed{Servers: []Server{server("x"), server("y"), server("z")}})
 		So(candidateIDs(s), ShouldResemble, []string{"x", "y", "z"})
 
-		Convey("a leaving one gets no new work but stays listed", func() {
+		Convey("a server that is leaving gets no new work but stays listed", func() {
 			leaving := server("y")
 			leaving.Leaving = true
 			s = applyEvents(s, &now, ServerRead{Server: leaving})
 			So(candidateIDs(s), ShouldResemble, []string{"x", "z"})
 			So(s.Snapshot(nil).ListedServers("llm"), ShouldHaveLength, 3)
 		})
-		Convey("one whose row disappears without notice is a last resort, and is dropped before 2 s", func() {
+		Convey("a server whose row disappears without notice is a last resort, and is dropped before 2 s", func() {
 			s = applyEvents(s, &now, ServerGone{ID: "y"})
 			So(s.Snapshot(nil).Candidates("llm")[1].Unlisted, ShouldBeTrue)
 			now = now.Add(1900 * time.Millisecond)
 			s = applyEvents(s, &now, reduce.Tick{})
 			So(candidateIDs(s), ShouldResemble, []string{"x", "z"})
 		})
-		Convey("one whose row is back in time stays", func() {
+		Convey("a server whose row is back within the grace period stays", func() {
 			s = applyEvents(s, &now, ServerGone{ID: "y"}, ServerRead{Server: server("y")})
 			now = now.Add(5 * time.Second)
 			s = applyEvents(s, &now, reduce.Tick{})
@@ -94,13 +96,13 @@
 			s = applyEvents(s, &now, reduce.Tick{})
 			So(candidateIDs(s), ShouldBeEmpty)
 		})
-		Convey("none gets work in a data centre that is taken out, until it returns", func() {
+		Convey("no server in a data centre that is taken out gets work until the data centre is returned", func() {
 			s = applyEvents(s, &now, TakenOutRead{DataCentre: "a", Out: true})
 			So(candidateIDs(s), ShouldBeEmpty)
 			s = applyEvents(s, &now, TakenOutListed{})
 			So(candidateIDs(s), ShouldHaveLength, 3)
 		})
-		Convey("one whose address has a newer server is left out", func() {
+		Convey("a server whose address belongs to a newer server is left out", func() {
 			successor := server("w")
 			successor.Address, successor.Revision = "y:1", 9
 			s = applyEvents(s, &now, ServerRead{Server: successor})
