--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -20,7 +20,7 @@
 
 // Phases of a coordinator.
 const (
-	Passive    Phase = ""           // Not the coordinator.
+	Passive    Phase = ""           // The process is not the coordinator.
 	Claiming   Phase = "claiming"   // Writes its fencing number to the group's record, so that writes of older coordinators fail.
 	Querying   Phase = "querying"   // Collects the state of every rank.
 	Steady     Phase = "steady"     // No change is in progress.
@@ -56,7 +56,7 @@
 
 	Change         Change // The change in progress.
 	ChangeProposed bool   // A change was proposed and has not started.
-	Version        uint64 // Highest version used for a change.
+	Version        uint64 // Highest map version that this coordinator has used for a change.
 
 	RetryAt  time.Time // When the requests of the phase are repeated or, in Steady, the next query round starts.
 	Deadline time.Time // When the phase times out; zero if it does not.
@@ -76,7 +76,7 @@
 		s.handleReply(event)
 	case RecordReadFailed:
 		s.StoreRequestInFlight = false
-		return s.Coordinator, nil // Retried at the next tick.
+		return s.Coordinator, nil // The read is retried at the next tick.
 	case RecordRead, RecordWritten, RecordConflict, RecordWriteUnknown:
 		s.StoreRequestInFlight = false
 		s.handleStoreResult(event)
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -31,9 +31,9 @@
 	s.becomeSteady()
 }
 
-// groupStopped reports whether every rank without a map already had none in the
-// previous round, with the same boot. The group then ran no step while the other
-// ranks reported theirs.
+// groupStopped reports whether every rank without a map already had none in the previous
+// query round, because its engine has not restarted in between. The group then ran no
+// step while the other ranks reported their states.
 func (s *transition) groupStopped() bool {
 	for rank, state := range s.States {
 		if state.HasNoMap() && s.Before[rank].Boot != state.Boot {
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -30,20 +30,20 @@
 
 func (FenceRead) EventName() string { return "expertmap.fence_read" }
 
-// FenceReadFailed reports that a ReadFence failed.
+// FenceReadFailed reports that a read of the group's fencing number failed.
 type FenceReadFailed struct{}
 
 func (FenceReadFailed) EventName() string { return "expertmap.fence_unread" }
 
-// ReadFence requests the group's fencing number; answered by FenceRead or
-// FenceReadFailed.
+// ReadFence is the effect that reads the group's fencing number; the reply is FenceRead
+// or FenceReadFailed.
 type ReadFence struct{}
 
 func (ReadFence) EffectName() string { return "expertmap.read_fence" }
 
-// Forward passes the order to the engine and returns the engine's state to the
-// coordinator as the reply to the call RequestID. Orders reach the engine one at a
-// time, in the sequence of these effects.
+// Forward is the effect that passes the order to the engine and returns the engine's
+// state to the coordinator as the reply to the call RequestID. Orders reach the engine
+// one at a time, in the sequence of these effects.
 type Forward struct {
 	RequestID uint64
 	Order     Order
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -191,11 +191,11 @@
 // search is a greedy search for a better placement of the experts of one expert set.
 type search struct {
 	shape         Shape
-	load          []float64     // By expert.
+	load          []float64     // Load of each expert.
 	held          [][]int       // By rank: the experts that it holds.
 	holderRanks   [][]int       // By expert: the ranks that hold it.
 	newByRank     []int         // By rank: number of experts that the plan adds to it.
-	rankLoads     []float64     // By rank.
+	rankLoads     []float64     // Load of each rank.
 	meanLoad      float64       // Mean load of the ranks.
 	cost          float64       // Cost of the placement, which the search minimizes.
 	bestStep      placementStep // Best step from the current placement.
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -32,7 +32,7 @@
 	Rank int   // The rank that holds the pass.
 	Pass int64 // The pass that the group must not begin yet.
 
-	firstOrderedAt     time.Time // When the hold was first ordered, at any rank.
+	firstOrderedAt     time.Time // When a rank was first ordered to hold a pass for this change.
 	senderRank         int       // The rank whose agent sends the order.
 	answeredAt         time.Time // When the call to the sender returned; zero until it has.
 	recheckRequestedAt time.Time // When the second check of the sender was requested; zero until it has been.
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -73,11 +73,11 @@
 	// prepareTimeout is how long ranks may copy before the version is abandoned. A
 	// change brings each rank a few experts, and copying one takes about 0.1 s.
 	prepareTimeout = 4 * time.Second
-	// versionsPerFence is the number of versions that one lease can create.
+	// versionsPerFence is the number of map versions that can be created under one lease.
 	versionsPerFence = 1 << 20
 )
 
-// Phase is the phase of a map change.
+// Phase is the state in which the coordinator of map changes is.
 type Phase int
 
 // The phases of a map change.
@@ -180,8 +180,7 @@
 
 func (PlanReady) EventName() string { return "mapswitch.planned" }
 
-// SendOrder is the effect that sends the order to the rank; the rank is read
-// after it.
+// SendOrder is the effect that sends an order to a rank and then reads the rank.
 type SendOrder struct {
 	Rank  int
 	Order topology.Order
@@ -190,8 +189,8 @@
 	// own report may lag behind that version.
 	BaseMap     Map
 	BaseVersion int64
-	// SenderRank is the rank whose agent sends the order. It is the rank itself, except
-	// for holds.
+	// SenderRank is the rank whose agent sends the order to the engine. It is Rank itself,
+	// except for an order to hold a pass.
 	SenderRank int
 }
 
--- a/policy/planner/forecast.go
+++ b/policy/planner/forecast.go
@@ -18,12 +18,12 @@
 
 // State is the planner's state between plans. The zero value is ready to use.
 type State struct {
-	forecast         [][]float64 // Tokens per step by layer and expert.
+	forecast         [][]float64 // By layer and expert: the forecast load, in tokens per step.
 	lastObserved     [][]float64 // By layer and expert: the last observation.
 	varianceWeight   []float64   // By layer: variance of the forecast as a fraction of noiseVariance.
 	noiseVariance    []float64   // By layer: variance of one observation, relative to the squared load.
 	reference        [][]float64 // By layer and expert: the forecast at the first observation or the last plan of the layer.
-	referenceWeight  []float64   // By layer: varianceWeight at the time of reference.
+	referenceWeight  []float64   // By layer: varianceWeight when reference was set.
 	observationCount []int       // By layer: number of observations.
 	slowness         []float64   // By rank: the slowness when the map was last changed.
 }
@@ -127,8 +127,8 @@
 	return squares/float64(len(s.forecast[layer])) > significanceFactor*expectedFromNoise
 }
 
-// slownessChanged reports whether a rank's slowness has changed by more than the
-// constant of the same name since the map was last changed.
+// slownessChanged reports whether the relative change of a rank's slowness since the
+// map was last changed exceeds the constant slownessChanged.
 func (s *State) slownessChanged(slowness []float64) bool {
 	for rank, slow := range slowness {
 		before := 1.0
--- a/policy/planner/recompute.go
+++ b/policy/planner/recompute.go
@@ -128,8 +128,8 @@
 	return relabelled
 }
 
-// relabelLayer permutes the ranks of one layer so that each takes the place of the rank
-// with which it has the most experts in common, then aligns their slots.
+// relabelLayer permutes the ranks of one layer, so that a rank takes the place of one
+// with which it has many experts in common, and then aligns their slots.
 func relabelLayer(shape Shape, current, next []uint16) []uint16 {
 	type pair struct{ from, to, common int }
 	var pairs []pair
--- a/policy/topology/configuration.go
+++ b/policy/topology/configuration.go
@@ -34,7 +34,7 @@
 	Timeout          time.Duration // Maximum time until the final answer.
 	Objective        time.Duration // Latency objective: time to the answer, or to the first event of a stream, that earns full credit.
 	InterTokenTarget time.Duration // Target for the longest pause between events; 0 for plain requests.
-	Priority         int           // 0 is the most urgent.
+	Priority         int           // Priority of the requests; 0 is the most urgent.
 	MaxAttempts      int           // Maximum number of backend servers on which one request may run.
 	Targets          []Target
 }
@@ -65,7 +65,7 @@
 // and each holds some of the model's experts.
 type Engine struct {
 	Slots         int     // Number of requests that one server decodes at the same time.
-	Stride        int     // Number of token steps in a pass in which requests decode.
+	Stride        int     // Number of token steps in one pass of the group while requests decode.
 	StepMS        float64 // Base duration of a token step.
 	PerSequenceMS float64 // Time that each decoding request adds to a step.
 	LinkMbps      float64 // Bandwidth of the link over which experts are copied.
@@ -108,7 +108,7 @@
 	Address    string
 	DataCentre string
 	Slots      int           // Number of requests that it runs at the same time.
-	Leaving    bool          // The server has announced that it stops; it gets no new work.
+	Leaving    bool          // The server is draining before it stops; it gets no new work.
 	WarmUpLeft time.Duration // Remaining warm-up time when the row was read.
 	Revision   uint64        // Revision of the server's row in the store; a higher one was written later.
 }
