--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -13,8 +13,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// runRounds runs one coordinator for a number of rounds on a group without
-// faults.
+// runRounds runs one coordinator for a number of rounds on a group without faults. In
+// each round the coordinator reads all ranks, its orders take effect and the group
+// begins a pass; then each is called unless it is nil.
 func runRounds(g *modelGroup, c *modelCoordinator, now *time.Time, rounds int, each func(int)) error {
 	for round := range rounds {
 		*now = now.Add(50 * time.Millisecond)
@@ -57,7 +58,7 @@
 			for _, r := range g.ranks {
 				So(r.version, ShouldEqual, g.ranks[0].version)
 				So(r.version, ShouldBeGreaterThan, 0)
-				So(r.held, ShouldEqual, 0)
+				So(r.heldPass, ShouldEqual, 0)
 			}
 		})
 
@@ -66,7 +67,7 @@
 				c.plan(now)
 				So(runRounds(g, c, &now, 20, nil), ShouldBeNil)
 			}
-			So(c.plans, ShouldEqual, 5)
+			So(c.planCount, ShouldEqual, 5)
 		})
 
 		Convey("a hold that takes effect late is released again", func() {
@@ -88,7 +89,8 @@
 }
 
 func TestCoordinatorDiesDuringChange(t *testing.T) {
-	// The predecessor crashes after each possible number of rounds of a change.
+	// Each case lets the first coordinator crash after another number of rounds of the
+	// change.
 	for rounds := range 12 {
 		Convey("Given a coordinator that crashed during a change", t, func() {
 			g, first, now := newModelGroup(4), newModelCoordinator(1, 0), start
@@ -96,7 +98,7 @@
 			first.plan(now)
 			So(runRounds(g, first, &now, rounds, nil), ShouldBeNil)
 
-			Convey("its successor completes or abandons the change, and the group continues", func() {
+			Convey("the next coordinator completes or abandons the change, and the group continues", func() {
 				second := newModelCoordinator(2, 1)
 				So(runRounds(g, second, &now, 20, nil), ShouldBeNil)
 				So(second.state.Phase, ShouldEqual, Idle)
@@ -151,7 +153,7 @@
 }
 
 func TestRankArmedByPredecessorAfterSurvey(t *testing.T) {
-	Convey("Given a successor that has found a hold and no armed rank", t, func() {
+	Convey("Given a new coordinator that has found a held pass and no armed rank", t, func() {
 		g, first, now := newModelGroup(4), newModelCoordinator(1, 0), start
 		So(runRounds(g, first, &now, 4, nil), ShouldBeNil)
 		first.plan(now)
@@ -172,7 +174,7 @@
 			So(g.pass, ShouldBeGreaterThan, held+5)
 			So(second.state.Phase, ShouldEqual, Idle)
 
-			Convey("and a late order to arm has no effect", func() {
+			Convey("and an order of the predecessor to arm that arrives later has no effect", func() {
 				g.apply(2, arm)
 				So(g.ranks[2].armed, ShouldEqual, 0)
 			})
@@ -212,7 +214,7 @@
 
 		Convey("a stale report of the previous map does not change the base of the next change", func() {
 			lagging := g.report(2)
-			lagging.State.MapVersion, lagging.Direct, lagging.RequestedAt = first, true, now
+			lagging.State.MapVersion, lagging.AgentUnreachable, lagging.RequestedAt = first, true, now
 			c.handle(lagging, now)
 			c.plan(now)
 			So(runRounds(g, c, &now, 20, nil), ShouldBeNil)
@@ -330,7 +332,7 @@
 		read := n.group.report(rank)
 		if unreachable {
 			// A read of the engine itself returns an older state.
-			read, read.Direct = n.staleReports[rank], true
+			read, read.AgentUnreachable = n.staleReports[rank], true
 		} else {
 			n.fences[rank] = c.state.Fence
 		}
@@ -343,7 +345,8 @@
 	}
 }
 
-// send delivers the pending orders, loses them, or keeps them for late delivery.
+// send delivers the coordinator's pending orders, loses them, or keeps them back to be
+// delivered late.
 func (n *lossyNetwork) send(t *rapid.T, c *modelCoordinator, now time.Time) {
 	effects := c.pending
 	c.pending = nil
@@ -352,7 +355,7 @@
 		if !ok || send.Rank >= len(n.group.ranks) {
 			continue
 		}
-		fenced := c.state.Fence < n.fences[send.Through]
+		fenced := c.state.Fence < n.fences[send.SenderRank]
 		unreachable := rapid.IntRange(0, 4).Draw(t, "agent unreachable") == 0
 		if (fenced || unreachable) && (send.Order.Kind == topology.Hold || send.Order.Kind == topology.Release) {
 			continue // All other orders may bypass an unreachable agent.
@@ -363,7 +366,7 @@
 		case 1: // Lost.
 		default:
 			n.group.apply(send.Rank, n.group.expand(send))
-			if !fenced && send.Through == send.Rank {
+			if !fenced && send.SenderRank == send.Rank {
 				read := n.group.report(send.Rank)
 				read.RequestedAt = now
 				c.handle(read, now)
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -1,6 +1,6 @@
 package planner
 
-// change puts an expert into a slot.
+// change replaces the expert in a slot by another one.
 type change struct {
 	slot   int
 	expert uint16
@@ -11,12 +11,12 @@
 	slotsPerRank  int
 	load          []float64
 	slowness      []float64
-	slotExperts   []uint16
-	replicas      []int     // By expert.
+	slotExperts   []uint16  // By slot: the expert in it.
+	replicas      []int     // By expert: number of its replicas.
 	share         []float64 // By expert: load of each replica.
-	slotsByExpert [][]int   // By expert: slots that hold it.
-	rankTime      []float64 // By rank.
-	changes       []change
+	slotsByExpert [][]int   // By expert: the slots that hold it.
+	rankTime      []float64 // By rank: time for the load of its slots.
+	changes       []change  // Changes applied so far.
 }
 
 func newSearch(shape Shape, slotExperts []uint16, load, slowness []float64) *search {
@@ -42,6 +42,7 @@
 	return s
 }
 
+// evenSlowness returns the slowness of ranks that all have normal speed.
 func evenSlowness(ranks int) []float64 {
 	slowness := make([]float64, ranks)
 	for rank := range slowness {
@@ -51,13 +52,13 @@
 }
 
 func (s *search) slowestRank() int {
-	hot := 0
+	slowest := 0
 	for rank, rankTime := range s.rankTime {
-		if rankTime > s.rankTime[hot] {
-			hot = rank
+		if rankTime > s.rankTime[slowest] {
+			slowest = rank
 		}
 	}
-	return hot
+	return slowest
 }
 
 func (s *search) slowestTime() float64 { return s.rankTime[s.slowestRank()] }
@@ -66,7 +67,7 @@
 type candidate struct {
 	changes [2]change
 	moves   int
-	gain    float64 // Reduction of the slowest affected rank's time, per move.
+	gain    float64 // Reduction of the slowest rank's time, per move.
 }
 
 // minGain is the share of the slowest rank's time that a step must save per move.
@@ -75,26 +76,26 @@
 // improve applies the step that gains most for the slowest rank and returns its
 // changes; it reports false if no step gains enough.
 func (s *search) improve() ([]change, bool) {
-	hot := s.slowestRank()
-	best := candidate{gain: minGain * s.rankTime[hot]}
-	for slot := hot * s.slotsPerRank; slot < (hot+1)*s.slotsPerRank; slot++ {
+	slowest := s.slowestRank()
+	best := candidate{gain: minGain * s.rankTime[slowest]}
+	for slot := slowest * s.slotsPerRank; slot < (slowest+1)*s.slotsPerRank; slot++ {
 		for other := range s.slotExperts {
-			if other/s.slotsPerRank == hot {
+			if other/s.slotsPerRank == slowest {
 				continue
 			}
 			s.trySwap(&best, slot, other)
-			s.tryReplica(&best, s.slotExperts[slot], hot, other)
+			s.tryReplica(&best, s.slotExperts[slot], slowest, other)
 		}
 	}
 	if best.moves == 0 {
 		return nil, false
 	}
-	taken := best.changes[:best.moves]
-	for _, c := range taken {
+	applied := best.changes[:best.moves]
+	for _, c := range applied {
 		s.applyChange(c)
 	}
-	s.changes = append(s.changes, taken...)
-	return taken, true
+	s.changes = append(s.changes, applied...)
+	return applied, true
 }
 
 // trySwap makes the swap of the experts in two slots the best candidate if it
@@ -166,7 +167,8 @@
 	s.addLoad(c.expert, 1)
 }
 
-// addLoad adds the expert's load, multiplied by sign, to the ranks that hold it.
+// addLoad adds the expert's load, multiplied by sign, to the times of the ranks that
+// hold it.
 func (s *search) addLoad(expert uint16, sign float64) {
 	s.share[expert] = s.load[expert] / float64(max(1, s.replicas[expert]))
 	for _, slot := range s.slotsByExpert[expert] {
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -84,7 +84,7 @@
 	case expertmap.Forward:
 		g.enqueueOrder(effect)
 	case expertmap.RefuseOrder:
-		g.answer(effect.Ticket, answer{isRefused: true, highestSeen: effect.Seen})
+		g.answer(effect.RequestID, answer{isRefused: true, highestSeen: effect.Seen})
 		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.Seen.Fence, "ready": effect.FenceKnown})
 	case expertmap.PublishMap:
 		go g.storeMap(ctx, effect.ID)
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -216,7 +216,7 @@
 			return // A read without an answer does not change the control state.
 		}
 	}
-	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: requestedAt, Direct: isDirect})
+	c.recordReport(member, mapswitch.RankRead{State: reply.State, Lists: reply.Lists, RequestedAt: requestedAt, AgentUnreachable: isDirect})
 	if reply.Gains != nil {
 		c.planner.enqueue(rankGains{packed: reply.Gains, elapsed: reply.Elapsed})
 	}
@@ -289,7 +289,7 @@
 	switch effect := effect.(type) {
 	case mapswitch.SendOrder:
 		member, ok := c.member(effect.Rank)
-		through, okThrough := c.member(effect.Through)
+		through, okThrough := c.member(effect.SenderRank)
 		if ok && okThrough {
 			go c.sendOrder(ctx, member, through, effect)
 		}
@@ -325,7 +325,7 @@
 			c.logOrderFailure(member, order, err.Error())
 			return
 		}
-		read.Direct = true
+		read.AgentUnreachable = true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		if err := giveAndReport(callCtx, c.directEngine(member.Server), order, &reply); err != nil {
@@ -381,7 +381,7 @@
 		Caller: c.caller(), Order: sendOrder.Order,
 		Base: sendOrder.BaseVersion, Changes: mapswitch.Changes(sendOrder.BaseMap, sendOrder.Order.Map),
 	}
-	args.InTurn, _ = mapswitch.DealtInTurn(sendOrder.BaseMap)
+	args.InTurn, _ = mapswitch.RoundRobinShape(sendOrder.BaseMap)
 	args.Order.Map = nil
 	c.latestPrepareOrder = args
 	return args
