--- a/ctl/experiment/choice/policies.go
+++ b/ctl/experiment/choice/policies.go
@@ -136,7 +136,7 @@
 		offer := p.servers[untried[candidate]].Probe(work.Prompt)
 		offers[index] = choose.Offer{
 			Refuses: offer.Refuses, RetryAfter: offer.RetryAfter,
-			FirstToken: offer.FirstToken, RTT: roundTripTime, Running: offer.Running, Headroom: offer.Headroom,
+			TimeToFirstToken: offer.TimeToFirstToken, RTT: roundTripTime, Running: offer.Running, Headroom: offer.Headroom,
 		}
 	}
 	cost := len(candidates) * probeBytes(len(work.Prompt.Blocks))
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -88,7 +88,7 @@
 		return
 	}
 	s.pending[p.ticket] = p
-	s.step(admission.Asked{
+	s.step(admission.SlotRequested{
 		Ticket: p.ticket, Org: work.Org, Weight: work.Weight, Priority: work.Priority,
 		Deadline: s.clock.Time().Add(work.Deadline), Prompt: work.Prompt,
 	})
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -226,7 +226,7 @@
 		for index, server := range candidates {
 			offer := r.servers[server].Probe(q.work.Prompt)
 			offers[index] = choose.Offer{
-				Refuses: offer.Refuses, RetryAfter: offer.RetryAfter, FirstToken: offer.FirstToken,
+				Refuses: offer.Refuses, RetryAfter: offer.RetryAfter, TimeToFirstToken: offer.TimeToFirstToken,
 				RTT: roundTripTime, Running: offer.Running, Headroom: offer.Headroom,
 			}
 		}
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -64,8 +64,8 @@
 	ended         time.Time // When its answer was abandoned or cut off; zero before.
 }
 
-// Asked is a request for a slot. Ticket identifies it in the effects.
-type Asked struct {
+// SlotRequested is a request for a slot. Ticket identifies it in the effects.
+type SlotRequested struct {
 	Ticket   uint64
 	Org      string
 	Weight   float64 // The organisation's weight in fair queueing; 0 counts as 1.
@@ -74,7 +74,7 @@
 	Prompt   prefix.Prompt // Empty for a plain service.
 }
 
-func (Asked) EventName() string { return "admission.asked" }
+func (SlotRequested) EventName() string { return "admission.asked" }
 
 // Left reports that the caller has gone before its request for a slot was decided.
 type Left struct{ Ticket uint64 }
@@ -139,7 +139,7 @@
 
 func (s *State) handle(input reduce.Input) []reduce.Effect {
 	switch event := input.Event.(type) {
-	case Asked:
+	case SlotRequested:
 		return s.ask(event, input.Now)
 	case Left:
 		return s.leave(event.Ticket)
@@ -168,7 +168,7 @@
 // ask queues the work. If the wait would be too long, it refuses at once the
 // queued work that is furthest beyond its organisation's fair share, which may be
 // the new work.
-func (s *State) ask(event Asked, now time.Time) []reduce.Effect {
+func (s *State) ask(event SlotRequested, now time.Time) []reduce.Effect {
 	if s.limit.down {
 		return []reduce.Effect{Refuse{Ticket: event.Ticket, Err: s.refusal()}}
 	}
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -59,7 +59,7 @@
 func (d *driver) ask(org string, weight float64, priority int) uint64 {
 	d.next++
 	d.asked[d.next] = d.now
-	d.step(Asked{Ticket: d.next, Org: org, Weight: weight, Priority: priority, Deadline: d.now.Add(time.Minute)})
+	d.step(SlotRequested{Ticket: d.next, Org: org, Weight: weight, Priority: priority, Deadline: d.now.Add(time.Minute)})
 	return d.next
 }
 
--- a/policy/admission/offer.go
+++ b/policy/admission/offer.go
@@ -18,15 +18,15 @@
 
 // Offer is the answer to Probed.
 type Offer struct {
-	Ticket       uint64
-	Refuses      result.Code // OK, or why no new work is taken.
-	RetryAfter   time.Duration
-	Headroom     int // Free slots minus queued requests; may be negative.
-	Running      int
-	Queued       int
-	Cold         bool
-	CachedBlocks int
-	FirstToken   time.Duration // Expected time to first token.
+	Ticket           uint64
+	Refuses          result.Code // OK, or why no new work is taken.
+	RetryAfter       time.Duration
+	Headroom         int // Free slots minus queued requests; may be negative.
+	Running          int
+	Queued           int
+	Cold             bool
+	CachedBlocks     int
+	TimeToFirstToken time.Duration // Expected time to first token.
 }
 
 func (Offer) EffectName() string { return "admission.offer" }
@@ -38,7 +38,7 @@
 		Ticket: event.Ticket, Refuses: result.OK,
 		Headroom: s.currentLimit() - len(s.running) - s.limit.external - s.queue.len(), Running: len(s.running) + s.limit.external, Queued: s.queue.len(),
 		Cold: s.limit.coldSuspected(), CachedBlocks: cached,
-		FirstToken: expectedWait + s.pace.timeToFirstPiece(s.pendingCost()+cost(event.Tokens, cached), s.limit.coldSuspected()),
+		TimeToFirstToken: expectedWait + s.pace.timeToFirstPiece(s.pendingCost()+cost(event.Tokens, cached), s.limit.coldSuspected()),
 	}
 	if s.limit.down || s.limit.unknown(s.settings) || expectedWait > maxWait {
 		err := s.refusal()
--- a/policy/admission/queue.go
+++ b/policy/admission/queue.go
@@ -26,7 +26,7 @@
 }
 
 type queued struct {
-	Asked
+	SlotRequested
 	start, finish float64
 	cost          float64   // Tokens that the backend server reads before the first piece.
 	expires       time.Time // When the request is refused if it is still waiting.
@@ -36,7 +36,7 @@
 
 func (q *queue) len() int { return len(q.waiting) }
 
-func (q *queue) push(event Asked, cost float64, now time.Time) {
+func (q *queue) push(event SlotRequested, cost float64, now time.Time) {
 	weight := event.Weight
 	if weight <= 0 {
 		weight = 1
@@ -49,12 +49,12 @@
 	if !event.Deadline.IsZero() && event.Deadline.Before(expires) {
 		expires = event.Deadline
 	}
-	q.waiting = append(q.waiting, queued{Asked: event, start: start, finish: finish, cost: cost, expires: expires})
+	q.waiting = append(q.waiting, queued{SlotRequested: event, start: start, finish: finish, cost: cost, expires: expires})
 	q.cost += cost
 }
 
 // popFirst removes and returns the request with the least finish tag.
-func (q *queue) popFirst() Asked {
+func (q *queue) popFirst() SlotRequested {
 	first := 0
 	for index := range q.waiting {
 		if q.waiting[index].finish < q.waiting[first].finish {
@@ -64,19 +64,19 @@
 	served := q.take(first)
 	q.virtualTime = max(q.virtualTime, served.start)
 	q.pruneFlows()
-	return served.Asked
+	return served.SlotRequested
 }
 
 // popLast removes and returns the request with the greatest finish tag, the newest
 // of equals, and returns its share to its flow.
-func (q *queue) popLast() Asked {
+func (q *queue) popLast() SlotRequested {
 	last := 0
 	for index := range q.waiting {
 		if q.waiting[index].finish >= q.waiting[last].finish {
 			last = index
 		}
 	}
-	return q.drop(last).Asked
+	return q.drop(last).SlotRequested
 }
 
 // popExpired removes the requests that have waited too long, or all, and returns
--- a/policy/choose/choose.go
+++ b/policy/choose/choose.go
@@ -26,12 +26,12 @@
 
 // Offer is an agent's answer to a probe, seen from the entry instance.
 type Offer struct {
-	Refuses    result.Code // OK, or why the agent takes no new work.
-	RetryAfter time.Duration
-	FirstToken time.Duration // Expected at the agent: queueing, cold start and reading the uncached prompt tokens.
-	RTT        time.Duration // Round-trip time to the agent.
-	Running    int
-	Headroom   int // Requests below the agent's limit.
+	Refuses          result.Code // OK, or why the agent takes no new work.
+	RetryAfter       time.Duration
+	TimeToFirstToken time.Duration // Expected at the agent: queueing, cold start and reading the uncached prompt tokens.
+	RTT              time.Duration // Round-trip time to the agent.
+	Running          int
+	Headroom         int // Requests below the agent's limit.
 }
 
 // expectedDelay returns the expected time to first token plus a penalty for
@@ -40,7 +40,7 @@
 func (o Offer) expectedDelay() time.Duration {
 	limit := max(1, o.Running+o.Headroom)
 	used := float64(o.Running) / float64(limit)
-	return o.FirstToken + o.RTT + time.Duration(used*used*float64(fullBatchPenalty))
+	return o.TimeToFirstToken + o.RTT + time.Duration(used*used*float64(fullBatchPenalty))
 }
 
 // RTT returns the expected round-trip time between two data centres.
@@ -72,7 +72,7 @@
 	if fastest < 0 {
 		return -1, earliestRefusal(offers)
 	}
-	if expectedDelay := offers[fastest].FirstToken + offers[fastest].RTT; expectedDelay > remaining {
+	if expectedDelay := offers[fastest].TimeToFirstToken + offers[fastest].RTT; expectedDelay > remaining {
 		return -1, &result.Error{Code: result.DeadlineTooShort, RetryAfter: expectedDelay}
 	}
 	return pickLeastLoaded(offers, offers[fastest].expectedDelay()+tieMargin, random), nil
--- a/policy/choose/choose_test.go
+++ b/policy/choose/choose_test.go
@@ -102,7 +102,7 @@
 				t.Fatalf("took %v although %v was faster", offers[index], offer)
 			}
 		}
-		if offers[index].Refuses != result.OK || offers[index].FirstToken+offers[index].RTT > remaining+fullBatchPenalty+tieMargin {
+		if offers[index].Refuses != result.OK || offers[index].TimeToFirstToken+offers[index].RTT > remaining+fullBatchPenalty+tieMargin {
 			t.Fatalf("took %v with %v until the deadline", offers[index], remaining)
 		}
 	})
@@ -110,10 +110,10 @@
 
 func drawOffer(t *rapid.T) Offer {
 	return Offer{
-		Refuses:    rapid.SampledFrom([]result.Code{result.OK, result.Overloaded, result.Leaving}).Draw(t, "refuses"),
-		FirstToken: time.Duration(rapid.IntRange(0, 200).Draw(t, "first")) * time.Millisecond,
-		RTT:        time.Duration(rapid.IntRange(0, 80).Draw(t, "trip")) * time.Millisecond,
-		Headroom:   rapid.IntRange(-3, 10).Draw(t, "headroom"),
+		Refuses:          rapid.SampledFrom([]result.Code{result.OK, result.Overloaded, result.Leaving}).Draw(t, "refuses"),
+		TimeToFirstToken: time.Duration(rapid.IntRange(0, 200).Draw(t, "first")) * time.Millisecond,
+		RTT:              time.Duration(rapid.IntRange(0, 80).Draw(t, "trip")) * time.Millisecond,
+		Headroom:         rapid.IntRange(-3, 10).Draw(t, "headroom"),
 	}
 }
 
--- a/policy/control/configuration_test.go
+++ b/policy/control/configuration_test.go
@@ -35,7 +35,7 @@
 		// ask requests a slot and returns the refusal, or nil if it was granted.
 		ask := func() *result.Error {
 			ticket++
-			for _, effect := range step(admission.Asked{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)}) {
+			for _, effect := range step(admission.SlotRequested{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)}) {
 				if refusal, ok := effect.(admission.Refuse); ok && refusal.Ticket == ticket {
 					return refusal.Err
 				}
--- a/policy/control/control.go
+++ b/policy/control/control.go
@@ -74,7 +74,7 @@
 		closed := reduce.Input{Now: input.Now, Event: admission.Closed{Err: err}}
 		state.Admission, effects = admission.Step(state.Admission, closed)
 	}
-	if asked, ok := input.Event.(admission.Asked); ok && err != nil {
+	if asked, ok := input.Event.(admission.SlotRequested); ok && err != nil {
 		return state, append(effects, admission.Refuse{Ticket: asked.Ticket, Err: err})
 	}
 	state.Admission, more = admission.Step(state.Admission, input)
--- a/policy/control/gate_test.go
+++ b/policy/control/gate_test.go
@@ -43,7 +43,7 @@
 			step(view.StoreRead{Revision: 1, BeganAt: now})
 			now = now.Add(evidence.MaxStoreAge - time.Second)
 			for ticket := uint64(running); ticket <= queued; ticket++ {
-				step(admission.Asked{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)})
+				step(admission.SlotRequested{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)})
 			}
 			effects := c.close(step, func(d time.Duration) { now = now.Add(d) })
 			effects = append(effects, step(admission.Released{Ticket: running, Completed: true})...)
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -348,7 +348,7 @@
 func TestColdServerIsNotOverloaded(t *testing.T) {
 	Convey("All entries together stay below the overload limit of a cold server", t, func() {
 		const entries = 4
-		warmUp := WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: entries}
+		warmUp := WarmUpLimit{OverloadFactor: 1.5, ExtraPerSecond: 5, Entries: entries}
 		service := topology.Service{WarmUpPerSecond: 36}
 		total := 0
 		for range entries {
@@ -370,7 +370,7 @@
 	Convey("Eighteen entries stay below the overload limit of one of 63 servers that turns cold unannounced", t, func() {
 		total := 0
 		for range 18 {
-			d := NewDispatcher(WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: 8})
+			d := NewDispatcher(WarmUpLimit{OverloadFactor: 1.5, ExtraPerSecond: 5, Entries: 8})
 			d.Configure(candidates(63, 1000), topology.Service{WarmUpPerSecond: 26}, 0)
 			d.Configure(candidates(1, 1000), topology.Service{WarmUpPerSecond: 26}, 0) // All others have left.
 			for i := range 1000 {
--- a/policy/dispatch/warm_up_limit.go
+++ b/policy/dispatch/warm_up_limit.go
@@ -8,7 +8,7 @@
 type WarmUpLimit struct {
 	PerSecond      float64 // Requests per second that a cold server can take from all entries; 0 for no limit.
 	OverloadFactor float64 // Multiple of PerSecond at which the server is overloaded.
-	Allowance      float64 // Requests per second allowed beyond that.
+	ExtraPerSecond float64 // Requests per second allowed beyond that.
 	Entries        int     // Upper estimate of the running entries.
 }
 
@@ -25,7 +25,7 @@
 // perEntryLimit returns the requests per second that this entry may send to a
 // server, whether it is known to be cold or not: it may have just turned cold.
 func (r WarmUpLimit) perEntryLimit() float64 {
-	return (r.PerSecond*r.OverloadFactor + r.Allowance) / float64(max(1, r.Entries))
+	return (r.PerSecond*r.OverloadFactor + r.ExtraPerSecond) / float64(max(1, r.Entries))
 }
 
 // sendWindow records when requests were sent to one server within the last second.
--- a/policy/evidence/evidence.go
+++ b/policy/evidence/evidence.go
@@ -99,8 +99,8 @@
 	// Contacts holds, by data centre, the start of the latest exchange with a
 	// peer there that knew no newer configuration. The map is replaced, never
 	// modified.
-	Contacts map[string]time.Time
-	NextAsk  time.Time
+	Contacts      map[string]time.Time
+	NextPeerQuery time.Time
 }
 
 // AskPeers requests exchanges with peers; each reply arrives as a
@@ -124,11 +124,11 @@
 	if known.CurrentAt.After(state.BootedAt) {
 		state.Started = true
 	}
-	if _, ok := input.Event.(reduce.Tick); !ok || input.Now.Before(state.NextAsk) {
+	if _, ok := input.Event.(reduce.Tick); !ok || input.Now.Before(state.NextPeerQuery) {
 		return state, nil
 	}
 	jitter := time.Duration(input.Random % uint64(askJitter))
-	state.NextAsk = input.Now.Add(askInterval - jitter)
+	state.NextPeerQuery = input.Now.Add(askInterval - jitter)
 	return state, []reduce.Effect{AskPeers{DataCentres: dataCentresToAsk(known, input.Now)}}
 }
 
--- a/policy/once/budget.go
+++ b/policy/once/budget.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Budget is the token bucket for the final cancellations that one entry writes,
+// CancelBudget is the token bucket for the final cancellations that one entry writes,
 // so that a burst of refusals does not overload the table service.
-type Budget struct {
+type CancelBudget struct {
 	tokens     float64
 	refilledAt time.Time
 }
@@ -16,7 +16,7 @@
 
 // Take takes a token for one write and reports whether one was available.
 // entries is the number of live entries, which share the rate.
-func (b Budget) Take(now time.Time, entries int) (Budget, bool) {
+func (b CancelBudget) Take(now time.Time, entries int) (CancelBudget, bool) {
 	rate := finalCancelsPerSecond / float64(max(entries, 1))
 	if b.refilledAt.IsZero() {
 		b.tokens = finalCancelBurst
--- a/policy/once/machine_test.go
+++ b/policy/once/machine_test.go
@@ -42,7 +42,7 @@
 	Convey("Given any number of entries that refuse requests continuously for 20 s", t, func() {
 		const seconds, attemptsPerSecond = 20, 200
 		for _, entries := range []int{1, 3, 330} {
-			budgets := make([]Budget, entries)
+			budgets := make([]CancelBudget, entries)
 			taken := 0
 			now := time.Unix(0, 0)
 			for range seconds * attemptsPerSecond {
--- a/policy/wholesystem/world_test.go
+++ b/policy/wholesystem/world_test.go
@@ -200,7 +200,7 @@
 func (w *world) sendRequests(p *process, count int) {
 	for range count {
 		w.tickets++
-		w.receive(p, message{kind: localEvent, boot: p.boot, event: admission.Asked{Ticket: w.tickets, Org: "o", Deadline: w.now.Add(time.Minute)}})
+		w.receive(p, message{kind: localEvent, boot: p.boot, event: admission.SlotRequested{Ticket: w.tickets, Org: "o", Deadline: w.now.Add(time.Minute)}})
 	}
 }
 
--- a/server/agent/admitter.go
+++ b/server/agent/admitter.go
@@ -75,7 +75,7 @@
 func (a *admitter) admit(ctx context.Context, work wire.Work, prompt prefix.Prompt) (*slot, *result.Error) {
 	ticket := a.lastTicket.Add(1)
 	decision := a.addPending(ticket)
-	a.node.Loop.Post(admission.Asked{
+	a.node.Loop.Post(admission.SlotRequested{
 		Ticket: ticket, Org: work.Org, Weight: a.weight(work.Org), Priority: work.Priority, Deadline: work.Deadline,
 		Prompt: prompt,
 	})
--- a/server/agent/receiver.go
+++ b/server/agent/receiver.go
@@ -26,7 +26,7 @@
 	reply.Refuses, reply.RetryAfterMS = offer.Refuses, offer.RetryAfter.Milliseconds()
 	reply.Headroom, reply.Queued, reply.Running = offer.Headroom, offer.Queued, offer.Running
 	reply.Cold, reply.CachedBlocks = offer.Cold, offer.CachedBlocks
-	reply.ExpectedWaitMS = float64(offer.FirstToken.Microseconds()) / 1000
+	reply.ExpectedWaitMS = float64(offer.TimeToFirstToken.Microseconds()) / 1000
 	return nil
 }
 
--- a/server/entry/attempt/cancels.go
+++ b/server/entry/attempt/cancels.go
@@ -19,7 +19,7 @@
 	entries func() int // Number of live entries.
 
 	mu       sync.Mutex
-	budget   policy.Budget
+	budget   policy.CancelBudget
 	inflight map[string]*inflightWrite
 }
 
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -172,10 +172,10 @@
 		probe := target.Probe
 		offers[index] = choose.Offer{
 			Refuses: probe.Refuses, RetryAfter: time.Duration(probe.RetryAfterMS) * time.Millisecond,
-			FirstToken: time.Duration(probe.ExpectedWaitMS * float64(time.Millisecond)),
-			RTT:        choose.RTT(state.View.InForce, state.Self.DataCentre, probe.Stamp.DataCentre),
-			Running:    probe.Running,
-			Headroom:   probe.Headroom,
+			TimeToFirstToken: time.Duration(probe.ExpectedWaitMS * float64(time.Millisecond)),
+			RTT:              choose.RTT(state.View.InForce, state.Self.DataCentre, probe.Stamp.DataCentre),
+			Running:          probe.Running,
+			Headroom:         probe.Headroom,
 		}
 	}
 	index, err := choose.Best(offers, time.Until(query.Deadline), rand.Uint64())
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -55,7 +55,7 @@
 func New(settings platform.Settings, log *logrus.Entry, metrics *Metrics) *Gateway {
 	return &Gateway{
 		dispatchers: newDispatchers(dispatch.WarmUpLimit{
-			OverloadFactor: settings.WarmUpOvershoot, Allowance: settings.WarmUpAllowance, Entries: assumedEntries,
+			OverloadFactor: settings.WarmUpOvershoot, ExtraPerSecond: settings.WarmUpAllowance, Entries: assumedEntries,
 		}, log),
 		pool:    upstream.NewPool(upstream.Dial),
 		log:     log,
