--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -1,12 +1,19 @@
-// Package admission decides which work an agent's backend server takes. Only the
-// agent admits work.
+// Package admission decides which requests an agent sends to its backend server
+// and when. Only the agent admits requests.
+//
+// A backend server in cold start, that is, for some time after it was started, is
+// slow and can handle only few concurrent requests. The agent may learn of a cold
+// start late, so it looks for signs of one, such as a first piece of an answer
+// (the first part of the response that arrives) that is late. Some backend servers
+// also report their load; a warm report is one that says that the backend server
+// is not in cold start.
 //
 // Invariants:
 //   - Work is started only while all work at the backend server, including work
-//     not started by this agent, stays within the limit.
-//   - After any sign of a cold start the limit is the cold limit, until a report
-//     taken later says that the backend server is warm or, if the backend server
-//     makes no reports, until work was completed.
+//     not started by this agent, stays within the concurrency limit.
+//   - After any sign of a cold start the limit is the cold limit (Settings.Cold),
+//     until a report taken later says that the backend server is warm or, if the
+//     backend server makes no reports, until enough work was completed.
 //   - If the backend server reports its load, the work in flight without proof
 //     that the backend server was warm when the work began never exceeds the cold
 //     limit. A backend server that turns cold unannounced therefore gets no more
@@ -21,21 +28,21 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Settings is the configuration of the backend server.
+// Settings holds the limits of the backend server.
 type Settings struct {
-	Full        int  // Concurrent requests when warm.
-	Cold        int  // Concurrent requests in cold start.
+	Full        int  // Maximum concurrent requests when warm.
+	Cold        int  // Maximum concurrent requests in cold start.
 	ReportsLoad bool // The backend server reports its load.
 }
 
 // Summary is the part of the State that traffic goroutines may read.
 type Summary struct {
-	Limit     int // Concurrent requests.
-	Running   int // Requests started by this agent.
-	External  int // Requests at the backend server not started by this agent.
-	Queued    int
-	Cold      bool // In cold start, or suspected to be.
-	Down      bool // The backend server can't be reached.
+	Limit     int  // Current maximum of concurrent requests.
+	Running   int  // Requests started by this agent.
+	External  int  // Requests at the backend server not started by this agent.
+	Queued    int  // Requests that wait for a slot.
+	Cold      bool // The backend server is, or is suspected to be, in cold start.
+	Down      bool // The backend server can't be connected to.
 	ColdSigns int  // Times that a cold start was newly suspected.
 }
 
@@ -43,28 +50,29 @@
 // the reducer's may read only the Summary.
 type State struct {
 	Summary
-	settings Settings
-	limit    limiter
-	pace     pace
-	queue    queue
-	running  map[uint64]*work
-	history  history
-
-	lastBegun time.Time // When the latest first piece of any answer arrived.
-	index     *prefix.Index
+	settings      Settings
+	limit         limiter
+	speedEstimate speedEstimate
+	queue         queue
+	running       map[uint64]*work
+	history       history
+
+	lastFirstPieceAt time.Time // When an answer last began to arrive: the time of the latest first piece.
+	index            *prefix.Index
 }
 
 // work is one request that has been started.
 type work struct {
-	started       time.Time
-	cost          float64   // Tokens that the backend server reads before the first piece.
-	begun         time.Time // When the backend server sent the first piece; zero before.
+	startedAt     time.Time
+	cost          float64   // Expected work before the first piece of the answer, in tokens; see the function cost.
+	firstPieceAt  time.Time // When the first piece of the answer arrived; zero before.
 	startedCold   bool      // Started while the backend server counted as cold.
 	confirmedWarm bool      // The backend server is known to have been warm when it began the work.
-	ended         time.Time // When its answer was abandoned or cut off; zero before.
+	endedAt       time.Time // When the caller abandoned the request or the answer was cut off; zero before.
 }
 
-// SlotRequested is a request for a slot. Ticket identifies it in the effects.
+// SlotRequested asks for a slot, that is, permission to start one request at the
+// backend server. Ticket identifies the request in the effects.
 type SlotRequested struct {
 	Ticket   uint64
 	Org      string
@@ -76,37 +84,39 @@
 
 func (SlotRequested) EventName() string { return "admission.asked" }
 
-// Left reports that the caller has gone before its request for a slot was decided.
+// Left reports that the caller has disconnected before its request for a slot was
+// decided.
 type Left struct{ Ticket uint64 }
 
 func (Left) EventName() string { return "admission.left" }
 
-// Closed reports that no new work may be started now, and why. All queued work is
-// refused with Err.
+// Closed reports that no new work may be started now; all queued work is refused
+// with Err, which says why.
 type Closed struct{ Err *result.Error }
 
 func (Closed) EventName() string { return "admission.closed" }
 
-// Begun reports that the backend server has sent the first piece of an answer.
+// Begun reports that the first piece of the answer to a started request has
+// arrived from the backend server.
 type Begun struct{ Ticket uint64 }
 
 func (Begun) EventName() string { return "admission.begun" }
 
-// Released returns a slot.
+// Released returns the slot of a started request, which has ended.
 type Released struct {
 	Ticket    uint64
 	Completed bool // The backend server sent the whole answer.
-	Broken    bool // The backend server cut the answer off.
+	Broken    bool // The backend server broke the answer off before its end.
 }
 
 func (Released) EventName() string { return "admission.released" }
 
-// Admit grants a slot to the ticket.
+// Admit grants a slot to the request with this ticket.
 type Admit struct{ Ticket uint64 }
 
 func (Admit) EffectName() string { return "admission.admit" }
 
-// Refuse denies a slot to the ticket.
+// Refuse denies a slot to the request with this ticket.
 type Refuse struct {
 	Ticket uint64
 	Err    *result.Error
@@ -133,7 +143,7 @@
 	effects := state.handle(input)
 	effects = append(effects, state.expire(input.Now)...)
 	effects = append(effects, state.start(input.Now)...)
-	state.summarise()
+	state.updateSummary()
 	return state, effects
 }
 
@@ -165,9 +175,9 @@
 	return nil
 }
 
-// ask queues the work. If the wait would be too long, it refuses at once the
-// queued work that is furthest beyond its organisation's fair share, which may be
-// the new work.
+// ask queues the request. If the wait would be too long, it refuses the queued
+// request with the greatest finish time in the fair queue, which belongs to the
+// organisation furthest beyond its fair share and may be the new request.
 func (s *State) ask(event SlotRequested, now time.Time) []reduce.Effect {
 	if s.limit.down {
 		return []reduce.Effect{Refuse{Ticket: event.Ticket, Err: s.refusal()}}
@@ -180,7 +190,7 @@
 	return []reduce.Effect{Refuse{Ticket: last.Ticket, Err: s.refusal()}}
 }
 
-// leave refuses the ticket if it is still queued.
+// leave removes the ticket from the queue and refuses it if it is still queued.
 func (s *State) leave(ticket uint64) []reduce.Effect {
 	if !s.queue.remove(ticket) {
 		return nil
@@ -188,7 +198,7 @@
 	return []reduce.Effect{Refuse{Ticket: ticket, Err: &result.Error{Code: result.Cancelled}}}
 }
 
-// close refuses all queued work.
+// close refuses all queued work with the given error.
 func (s *State) close(err *result.Error, now time.Time) []reduce.Effect {
 	var effects []reduce.Effect
 	for _, ticket := range s.queue.popExpired(now, true) {
@@ -207,13 +217,14 @@
 	return effects
 }
 
-// start admits queued work while it may be started.
+// start admits queued work in the order of the fair queue while slots are
+// available.
 func (s *State) start(now time.Time) []reduce.Effect {
 	var effects []reduce.Effect
 	for s.queue.len() > 0 && s.availableSlots() > 0 {
 		asked := s.queue.popFirst()
 		ticket := asked.Ticket
-		s.running[ticket] = &work{started: now, cost: s.cost(asked.Prompt), startedCold: s.limit.coldSuspected()}
+		s.running[ticket] = &work{startedAt: now, cost: s.cost(asked.Prompt), startedCold: s.limit.coldSuspected()}
 		s.index.RecordPrompt(asked.Prompt.Blocks)
 		s.history.record(now, s.activeCount())
 		effects = append(effects, Admit{Ticket: ticket})
@@ -226,11 +237,11 @@
 	if s.limit.down || s.limit.unknown(s.settings) {
 		return 0
 	}
-	within := max(0, s.currentLimit()-len(s.running)-s.limit.external)
+	free := max(0, s.currentLimit()-len(s.running)-s.limit.externalRequests)
 	if !s.settings.ReportsLoad {
-		return within
+		return free
 	}
-	return max(0, min(within, s.settings.Cold-s.unconfirmed()))
+	return max(0, min(free, s.settings.Cold-s.unconfirmed()))
 }
 
 // activeCount returns the number of running requests whose answer was neither
@@ -238,7 +249,7 @@
 func (s *State) activeCount() int {
 	count := 0
 	for _, w := range s.running {
-		if w.ended.IsZero() {
+		if w.endedAt.IsZero() {
 			count++
 		}
 	}
@@ -262,35 +273,36 @@
 
 func (s *State) begin(event Begun, now time.Time) {
 	w, ok := s.running[event.Ticket]
-	if !ok || !w.begun.IsZero() {
+	if !ok || !w.firstPieceAt.IsZero() {
 		return
 	}
-	w.begun = now
+	w.firstPieceAt = now
 	s.evaluateFirstPiece(w, now)
 }
 
-// evaluateFirstPiece treats a late first piece as a sign of a cold start. One that
-// is in time proves, once the usual pace is known, that the backend server was
-// warm. A backend server reads one prompt after the other, so the time is counted
-// from the previous first piece if that is later than the start.
+// evaluateFirstPiece evaluates the time from the start of a request to the first
+// piece of its answer. A late first piece is a sign of a cold start. One that is
+// in time proves that the backend server was warm, once there are enough samples
+// of its usual speed. A backend server reads one prompt after the other, so the
+// time is counted from the previous first piece if that is later than the start.
 func (s *State) evaluateFirstPiece(w *work, now time.Time) {
-	took, cost := now.Sub(later(w.started, s.lastBegun)), w.cost
-	s.lastBegun = now
+	took, cost := now.Sub(later(w.startedAt, s.lastFirstPieceAt)), w.cost
+	s.lastFirstPieceAt = now
 	if s.limit.coldSuspected() || w.startedCold {
-		s.pace.learnCold(took, cost)
+		s.speedEstimate.learnCold(took, cost)
 		return
 	}
-	if s.pace.late(took, cost) {
+	if s.speedEstimate.late(took, cost) {
 		s.limit.suspectCold(now, signLate)
-		s.pace.recordLate(took, cost)
+		s.speedEstimate.recordLate(took, cost)
 		return
 	}
-	if s.pace.calibrated() {
+	if s.speedEstimate.calibrated() {
 		s.confirmWarm(w)
 	}
-	s.pace.addSample(now, took, cost)
+	s.speedEstimate.addSample(now, took, cost)
 	if !s.settings.ReportsLoad {
-		s.pace.learnUntil(now)
+		s.speedEstimate.learnUntil(now)
 	}
 }
 
@@ -309,18 +321,19 @@
 	}
 }
 
-// cost returns the tokens that the backend server reads before the first
-// piece of the answer to the prompt.
+// cost returns the prompt tokens, with a fixed addition, that the backend server
+// processes before the first piece of the answer: those not in its prefix cache.
 func (s *State) cost(prompt prefix.Prompt) float64 {
 	cached := s.index.Lookup(prefix.Sample(prompt.Blocks), len(prompt.Blocks))
 	return cost(prompt.Tokens, cached)
 }
 
-// pendingCost returns the cost of the started work without a first piece.
+// pendingCost returns the cost of all started work for which no first piece has
+// arrived yet.
 func (s *State) pendingCost() float64 {
 	total := 0.0
 	for _, w := range s.running {
-		if w.begun.IsZero() && w.ended.IsZero() {
+		if w.firstPieceAt.IsZero() && w.endedAt.IsZero() {
 			total += w.cost
 		}
 	}
@@ -332,19 +345,19 @@
 // stays taken until a later report has shown what runs.
 func (s *State) release(event Released, now time.Time) {
 	w, ok := s.running[event.Ticket]
-	if !ok || !w.ended.IsZero() {
+	if !ok || !w.endedAt.IsZero() {
 		return
 	}
 	if event.Broken {
 		s.limit.suspectCold(now, signReset)
 	}
-	w.ended = now
+	w.endedAt = now
 	if event.Completed || !s.settings.ReportsLoad {
 		delete(s.running, event.Ticket)
 	}
 	s.history.record(now, s.activeCount())
 	if event.Completed {
-		s.pace.recordCompleted(now.Sub(w.started))
+		s.speedEstimate.recordCompleted(now.Sub(w.startedAt))
 		s.limit.completed(s.settings, len(s.running)+1)
 	}
 }
@@ -352,15 +365,15 @@
 // freeEnded frees the slots of work that ended before the time at of a report.
 func (s *State) freeEnded(at time.Time) {
 	for ticket, w := range s.running {
-		if !w.ended.IsZero() && at.After(w.ended) {
+		if !w.endedAt.IsZero() && at.After(w.endedAt) {
 			delete(s.running, ticket)
 		}
 	}
 }
 
-func (s *State) summarise() {
+func (s *State) updateSummary() {
 	s.Summary = Summary{
-		Limit: s.currentLimit(), Running: len(s.running), External: s.limit.external, Queued: s.queue.len(),
+		Limit: s.currentLimit(), Running: len(s.running), External: s.limit.externalRequests, Queued: s.queue.len(),
 		Cold: s.limit.coldSuspected(), Down: s.limit.down, ColdSigns: s.limit.coldSigns,
 	}
 }
@@ -377,7 +390,8 @@
 	return err
 }
 
-// retryAfter returns the expected time until the queue has shrunk by half.
+// retryAfter returns the Retry-After of a refusal: the expected time until the
+// queue has shrunk by half.
 func (s *State) retryAfter() time.Duration {
 	return max(minRetryAfter, s.expectedWait()/2)
 }
@@ -385,10 +399,10 @@
 // expectedWait returns the expected time in the queue of the work queued last:
 // until a slot is free and the prompts ahead of it have been read.
 func (s *State) expectedWait() time.Duration {
-	reading := s.pace.timeToFirstPiece(s.queue.cost, s.limit.coldSuspected())
-	beyond := len(s.running) + s.limit.external + s.queue.len() - s.currentLimit()
-	if beyond <= 0 || s.currentLimit() == 0 {
-		return reading
+	readTime := s.speedEstimate.timeToFirstPiece(s.queue.cost, s.limit.coldSuspected())
+	excess := len(s.running) + s.limit.externalRequests + s.queue.len() - s.currentLimit()
+	if excess <= 0 || s.currentLimit() == 0 {
+		return readTime
 	}
-	return reading + s.pace.serviceTime()*time.Duration(beyond)/time.Duration(s.currentLimit())
+	return readTime + s.speedEstimate.serviceTime()*time.Duration(excess)/time.Duration(s.currentLimit())
 }
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -22,15 +22,16 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// driver applies events to a State and tracks the expected state on its own.
+// driver applies events to a State and tracks the requests by the effects alone,
+// independently of the State.
 type driver struct {
 	state   State
 	now     time.Time
 	next    uint64
 	asked   map[uint64]time.Time
-	running map[uint64]bool // Whether the first piece has arrived.
+	running map[uint64]bool // By ticket of a started request: whether the first piece of its answer has arrived.
 	refused map[uint64]*result.Error
-	order   []uint64 // Tickets in the order of their admission.
+	order   []uint64 // Tickets in the order in which slots were granted.
 }
 
 func newDriver(settings Settings) *driver {
@@ -67,7 +68,7 @@
 	d.step(Reported{BootID: boot, Running: running, Cold: cold, At: d.now, AgentStarted: epoch})
 }
 
-// warm completes work until the limit reaches full.
+// warm completes requests until the concurrency limit reaches full.
 func (d *driver) warm(full int) {
 	for d.state.Limit < full {
 		d.now = d.now.Add(time.Second)
@@ -199,7 +200,9 @@
 	}
 }
 
-// A report may not include work that was on its way to the engine when it was made.
+// A load report does not include requests that were in transit to the engine when
+// the engine made it. They must not be mistaken for requests that the report
+// includes.
 func TestWorkInTransitDoesNotHideEarlierWork(t *testing.T) {
 	d := newDriver(Settings{Full: 16, Cold: 4, ReportsLoad: true})
 	d.now = d.now.Add(time.Second)
@@ -212,7 +215,8 @@
 	}
 }
 
-// An engine may continue work that was abandoned.
+// An engine may continue a request that the caller has abandoned, so the slot stays
+// taken until a later report shows what runs.
 func TestAbandonedWorkKeepsItsSlotUntilALaterReport(t *testing.T) {
 	d := newDriver(Settings{Full: 16, Cold: 2, ReportsLoad: true})
 	d.now = d.now.Add(time.Second)
@@ -278,8 +282,8 @@
 	}
 }
 
-// While organisations ask for more than the limit, each gets work by its weight.
-// Low priority gets less but is not starved.
+// While organisations ask for more than the concurrency limit, each is served in
+// proportion to its weight. Low priority is served less but not starved.
 func TestSharesFollowWeightsAndPriorities(t *testing.T) {
 	d := newDriver(Settings{Full: 4, Cold: 4})
 	owner := map[uint64]string{}
--- a/policy/admission/limit.go
+++ b/policy/admission/limit.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	maxWait        = 2 * time.Second        // Longest time in the queue.
+	maxWait        = 2 * time.Second        // Longest time that a request waits in the queue.
 	minRetryAfter  = 100 * time.Millisecond // Shortest Retry-After.
 	downRetryAfter = time.Second            // Retry-After while the backend server can't be reached.
-	defaultService = time.Second            // Assumed time of one request before any was completed.
+	defaultService = time.Second            // Assumed duration of one request before any was completed.
 	reportMaxAge   = 3 * time.Second        // Age above which the last report counts as missing.
 
 	// completionsBeforeRaise is the number of completed requests, as a multiple of
@@ -15,52 +15,52 @@
 	completionsBeforeRaise = 2
 )
 
-// sign is a sign of a cold start.
+// sign is an observation that suggests that the backend server is in cold start.
 type sign int
 
 const (
 	signNone     sign = iota
-	signStart         // The agent itself has just started.
-	signLate          // A first piece was late.
+	signStart         // The agent itself has just started, so the state is unknown.
+	signLate          // The first piece of an answer was late.
 	signReset         // An answer was cut off, or a connection was refused.
-	signBoot          // A report has another boot ID.
+	signBoot          // A report has another boot ID: the backend server has restarted.
 	signReport        // A report says that the backend server is cold.
-	signSilent        // There is no recent report.
+	signSilent        // There is no recent load report.
 	signReturned      // The backend server was taken out of service and has returned.
 )
 
-// refutable reports whether a warm report shows that the sign was a false alarm,
-// so that the previous limit is restored at once.
+// refutable reports whether a later report that the backend server is warm shows
+// that the sign was a false alarm, so that the previous limit is restored at once.
 func (s sign) refutable() bool {
 	return s == signLate || s == signSilent || s == signReturned
 }
 
-// limiter tracks the backend server's state and the concurrency limit.
+// limiter tracks whether the backend server is warm, and its concurrency limit.
 type limiter struct {
-	openSign           sign      // The most serious sign since the last warm report; signNone when warm.
-	lastSignAt         time.Time // Time of the last sign.
-	raisedLimit        int       // Limit reached through completed work; 0 for the cold limit.
+	currentSign        sign      // The most serious sign of a cold start since the backend server was last known to be warm; signNone when warm.
+	lastSignAt         time.Time // Time of the last sign of a cold start.
+	raisedLimit        int       // Limit above the cold limit that completed work has led to; 0 for the cold limit.
 	limitBeforeSign    int       // raisedLimit before the first sign of the current suspicion.
-	completedSinceSign int       // Requests completed since the last sign.
-	external           int
+	completedSinceSign int       // Requests completed since the last sign of a cold start.
+	externalRequests   int
 	down               bool
 	coldSigns          int
 
-	bootID     string
-	reported   bool // A report taken after the agent's start has arrived.
-	lastReport time.Time
+	bootID       string
+	hasReport    bool // A load report taken after the agent's start has arrived.
+	lastReportAt time.Time
 }
 
-func newLimiter() limiter { return limiter{openSign: signStart} }
+func newLimiter() limiter { return limiter{currentSign: signStart} }
 
-func (l *limiter) coldSuspected() bool { return l.openSign != signNone }
+func (l *limiter) coldSuspected() bool { return l.currentSign != signNone }
 
 // unknown reports whether it is not known yet how much work from before the
 // agent's start runs at the backend server.
-func (l *limiter) unknown(settings Settings) bool { return settings.ReportsLoad && !l.reported }
+func (l *limiter) unknown(settings Settings) bool { return settings.ReportsLoad && !l.hasReport }
 
-// current returns the limit. While a cold start is suspected, raisedLimit is 0 and
-// does not rise, so the limit is the cold limit.
+// current returns the current concurrency limit. While a cold start is suspected,
+// raisedLimit is 0 and does not rise, so the limit is the cold limit.
 func (l *limiter) current(settings Settings) int {
 	return min(settings.Full, max(settings.Cold, l.raisedLimit))
 }
@@ -72,7 +72,7 @@
 		l.coldSigns++
 	}
 	if !l.coldSuspected() || !sign.refutable() {
-		l.openSign = sign
+		l.currentSign = sign
 	}
 	l.raisedLimit = 0
 	l.completedSinceSign = 0
@@ -84,14 +84,14 @@
 // endSuspicion records that the backend server is warm. After a false alarm the
 // previous limit is restored. After the agent's own start the limit becomes the
 // number of requests that run, which the backend server evidently can handle.
-func (l *limiter) endSuspicion(runs int) {
+func (l *limiter) endSuspicion(running int) {
 	switch {
-	case l.openSign.refutable():
+	case l.currentSign.refutable():
 		l.raisedLimit = l.limitBeforeSign
-	case l.openSign == signStart:
-		l.raisedLimit = runs
+	case l.currentSign == signStart:
+		l.raisedLimit = running
 	}
-	l.openSign = signNone
+	l.currentSign = signNone
 	l.completedSinceSign = 0
 }
 
@@ -107,14 +107,15 @@
 	}
 }
 
-// raise raises the limit by one if at least half of it is in use.
+// raise raises the concurrency limit by one if at least half of it is in use.
 func (l *limiter) raise(settings Settings, running int) {
 	if limit := l.current(settings); running*2 >= limit {
 		l.raisedLimit = min(settings.Full, limit+1)
 	}
 }
 
-// unreachable treats a refused connection as the end of the current boot.
+// unreachable records a refused connection: the backend server has ended and will
+// be in cold start when it is back.
 func (l *limiter) unreachable(now time.Time) {
 	l.suspectCold(now, signReset)
 	l.down = true
@@ -124,7 +125,7 @@
 	if !settings.ReportsLoad && l.down && now.Sub(l.lastSignAt) > downRetryAfter {
 		l.down = false
 	}
-	if settings.ReportsLoad && l.reported && !l.coldSuspected() && now.Sub(l.lastReport) > reportMaxAge {
+	if settings.ReportsLoad && l.hasReport && !l.coldSuspected() && now.Sub(l.lastReportAt) > reportMaxAge {
 		l.suspectCold(now, signSilent)
 	}
 }
--- a/policy/admission/offer.go
+++ b/policy/admission/offer.go
@@ -6,17 +6,18 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Probed asks what work the agent could take. The answer is an Offer.
+// Probed asks how soon the agent could serve a request with a given prompt. The
+// answer is an Offer.
 type Probed struct {
 	Ticket uint64
-	Tokens int // Length of the prompt.
-	Blocks int
+	Tokens int      // Length of the prompt.
+	Blocks int      // Number of full blocks of the prompt.
 	Sample []uint64 // Hashes of the prompt's blocks, as prefix.Sample selects them.
 }
 
 func (Probed) EventName() string { return "admission.probed" }
 
-// Offer is the answer to Probed.
+// Offer is the answer to a Probed event.
 type Offer struct {
 	Ticket           uint64
 	Refuses          result.Code // OK, or why no new work is taken.
@@ -36,9 +37,9 @@
 	expectedWait := s.expectedWait()
 	offer := Offer{
 		Ticket: event.Ticket, Refuses: result.OK,
-		Headroom: s.currentLimit() - len(s.running) - s.limit.external - s.queue.len(), Running: len(s.running) + s.limit.external, Queued: s.queue.len(),
+		Headroom: s.currentLimit() - len(s.running) - s.limit.externalRequests - s.queue.len(), Running: len(s.running) + s.limit.externalRequests, Queued: s.queue.len(),
 		Cold: s.limit.coldSuspected(), CachedBlocks: cached,
-		TimeToFirstToken: expectedWait + s.pace.timeToFirstPiece(s.pendingCost()+cost(event.Tokens, cached), s.limit.coldSuspected()),
+		TimeToFirstToken: expectedWait + s.speedEstimate.timeToFirstPiece(s.pendingCost()+cost(event.Tokens, cached), s.limit.coldSuspected()),
 	}
 	if s.limit.down || s.limit.unknown(s.settings) || expectedWait > maxWait {
 		err := s.refusal()
--- a/policy/admission/pace.go
+++ b/policy/admission/pace.go
@@ -7,45 +7,47 @@
 )
 
 const (
-	lateFactor        = 3                      // Multiple of the usual time from which a first piece is late.
-	lateSlack         = 50 * time.Millisecond  // Allowance for scheduling jitter on the agent's machine.
-	baseTokens        = 64                     // Fixed cost of a first piece, in tokens, besides the uncached tokens.
-	minSamples        = 4                      // Samples needed before a first piece can count as late.
-	maxPendingSamples = 64                     // Samples kept until a report shows whether they count.
-	slowdownStep      = 1.2                    // Largest factor by which one false alarm changes the usual pace.
-	learnWeight       = 0.05                   // Weight of a new sample.
-	coldWeight        = 0.2                    // Weight of a new sample in cold start.
-	coldFactor        = 4                      // Slowdown assumed in cold start before any sample.
-	defaultPace       = 200 * time.Microsecond // Time per token of cost assumed before any sample.
+	lateFactor          = 3                      // Multiple of the expected time from which the first piece of an answer is late.
+	lateSlack           = 50 * time.Millisecond  // Added to that time for scheduling jitter on the agent's machine.
+	baseTokens          = 64                     // Fixed cost of the first piece of an answer, in tokens, besides the uncached tokens.
+	minSamples          = 4                      // Samples needed before the first piece of an answer can count as late.
+	maxPendingSamples   = 64                     // Samples kept until a report shows whether the backend server was warm.
+	slowdownStep        = 1.2                    // Largest factor by which one false alarm raises the estimated time per token.
+	learnWeight         = 0.05                   // Weight of a new sample in the moving averages.
+	coldWeight          = 0.2                    // Weight of a new sample in the moving average of cold start.
+	coldFactor          = 4                      // Slowdown assumed in cold start before any sample in cold start.
+	defaultTimePerToken = 200 * time.Microsecond // Time per token assumed before any sample.
 )
 
 // cost returns the cost, in tokens, of reading a prompt before the first piece:
-// the tokens not cached and a fixed base.
+// the tokens that are not in the prefix cache, and a fixed base.
 func cost(tokens, cachedBlocks int) float64 {
 	return float64(baseTokens + max(0, tokens-cachedBlocks*prefix.BlockTokens))
 }
 
-// pace estimates the backend server's speed from observed answers.
-type pace struct {
-	samples             int
-	warm                float64 // Seconds to the first piece per token of cost.
-	cold                float64 // The same in cold start; 0 before any sample.
-	lateSecondsPerToken float64 // The same for the latest late first piece.
-	pendingSamples      []paceSample
-	requestSeconds      float64 // Duration of one whole request in seconds; 0 before any was completed.
+// speedEstimate estimates the backend server's speed from observed answers: the
+// time to the first piece of an answer (the first part that arrives) per token of
+// cost, as the function cost computes it.
+type speedEstimate struct {
+	samples             int           // Samples taken while the backend server was warm.
+	warmSecondsPerToken float64       // Seconds to the first piece per token of cost when warm.
+	cold                float64       // Seconds to the first piece per token of cost in cold start; 0 before any sample.
+	lateSecondsPerToken float64       // Seconds per token of cost of the last answer whose first piece was late.
+	pendingSamples      []speedSample // Samples for which it is not known yet whether the backend server was warm.
+	requestSeconds      float64       // Duration of one whole request in seconds; 0 before any was completed.
 }
 
-type paceSample struct {
+type speedSample struct {
 	at              time.Time
 	secondsPerToken float64 // Seconds to the first piece per token of cost.
 }
 
-// timeToFirstPiece returns the expected time to the first piece of a prompt with
-// this cost.
-func (p *pace) timeToFirstPiece(cost float64, cold bool) time.Duration {
-	secondsPerToken := p.warm
+// timeToFirstPiece returns the expected time to the first piece of the answer to a
+// prompt with this cost.
+func (p *speedEstimate) timeToFirstPiece(cost float64, cold bool) time.Duration {
+	secondsPerToken := p.warmSecondsPerToken
 	if p.samples == 0 {
-		secondsPerToken = defaultPace.Seconds()
+		secondsPerToken = defaultTimePerToken.Seconds()
 	}
 	switch {
 	case cold && p.cold > 0:
@@ -58,38 +60,40 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// calibrated reports whether there are enough samples to know the usual pace.
-func (p *pace) calibrated() bool { return p.samples >= minSamples }
+// calibrated reports whether there are enough samples to know the usual speed of
+// the warm backend server.
+func (p *speedEstimate) calibrated() bool { return p.samples >= minSamples }
 
-func (p *pace) late(took time.Duration, cost float64) bool {
+func (p *speedEstimate) late(took time.Duration, cost float64) bool {
 	return p.calibrated() && took > lateFactor*p.timeToFirstPiece(cost, false)+lateSlack
 }
 
 // addSample keeps the time to a first piece until it is known whether the backend
 // server was warm.
-func (p *pace) addSample(now time.Time, took time.Duration, cost float64) {
+func (p *speedEstimate) addSample(now time.Time, took time.Duration, cost float64) {
 	if len(p.pendingSamples) >= maxPendingSamples {
 		p.pendingSamples = p.pendingSamples[1:]
 	}
-	p.pendingSamples = append(p.pendingSamples, paceSample{at: now, secondsPerToken: took.Seconds() / cost})
+	p.pendingSamples = append(p.pendingSamples, speedSample{at: now, secondsPerToken: took.Seconds() / cost})
 }
 
-// learnUntil learns from the samples up to the time at, as the backend server was
-// warm until then.
-func (p *pace) learnUntil(at time.Time) {
+// learnUntil updates the estimate for the warm backend server from the pending
+// samples up to the time at, until which the backend server is known to have been
+// warm.
+func (p *speedEstimate) learnUntil(at time.Time) {
 	for len(p.pendingSamples) > 0 && !p.pendingSamples[0].at.After(at) {
 		p.samples++
 		weight := max(learnWeight, 1/float64(p.samples))
-		p.warm += weight * (p.pendingSamples[0].secondsPerToken - p.warm)
+		p.warmSecondsPerToken += weight * (p.pendingSamples[0].secondsPerToken - p.warmSecondsPerToken)
 		p.pendingSamples = p.pendingSamples[1:]
 	}
 }
 
 // discardSamples drops the pending samples, which may come from a cold backend
 // server.
-func (p *pace) discardSamples() { p.pendingSamples = nil }
+func (p *speedEstimate) discardSamples() { p.pendingSamples = nil }
 
-func (p *pace) learnCold(took time.Duration, cost float64) {
+func (p *speedEstimate) learnCold(took time.Duration, cost float64) {
 	sample := took.Seconds() / cost
 	if p.cold == 0 {
 		p.cold = sample
@@ -97,22 +101,23 @@
 	p.cold += coldWeight * (sample - p.cold)
 }
 
-func (p *pace) recordLate(took time.Duration, cost float64) {
+func (p *speedEstimate) recordLate(took time.Duration, cost float64) {
 	p.lateSecondsPerToken = took.Seconds() / cost
 }
 
-// adaptToFalseAlarm moves the usual pace towards that of a late first piece after a
-// warm report has shown that it was no sign of a cold start: the backend server is
-// warm but slower than before. The step is small, so that a cold start is still
-// detected.
-func (p *pace) adaptToFalseAlarm(openSign sign) {
-	if openSign == signLate && p.lateSecondsPerToken > p.warm {
-		p.warm = min(p.lateSecondsPerToken, p.warm*slowdownStep)
+// adaptToFalseAlarm raises the estimated time per token after a load report has
+// shown that a cold start was suspected wrongly because of a late first piece: the
+// backend server is warm but slower than before. The estimate moves towards the
+// time per token of that late answer, by a small step, so that a real cold start
+// is still detected.
+func (p *speedEstimate) adaptToFalseAlarm(openSign sign) {
+	if openSign == signLate && p.lateSecondsPerToken > p.warmSecondsPerToken {
+		p.warmSecondsPerToken = min(p.lateSecondsPerToken, p.warmSecondsPerToken*slowdownStep)
 	}
 }
 
-// recordCompleted learns from the duration of one whole request.
-func (p *pace) recordCompleted(took time.Duration) {
+// recordCompleted updates the average duration of whole requests.
+func (p *speedEstimate) recordCompleted(took time.Duration) {
 	if p.requestSeconds == 0 {
 		p.requestSeconds = took.Seconds()
 		return
@@ -121,7 +126,7 @@
 }
 
 // serviceTime returns the expected duration of one whole request.
-func (p *pace) serviceTime() time.Duration {
+func (p *speedEstimate) serviceTime() time.Duration {
 	if p.requestSeconds == 0 {
 		return defaultService
 	}
--- a/policy/admission/queue.go
+++ b/policy/admission/queue.go
@@ -13,22 +13,24 @@
 // queueing): each request has a virtual finish time, and the request with the
 // least is served first. The queue is short, so linear scans are fast enough.
 type queue struct {
-	virtualTime float64 // Virtual time: the start tag of the request served last.
-	lastFinish  map[flow]float64
-	waiting     []queued
+	virtualTime float64          // The greatest virtual start time of the requests served so far.
+	lastFinish  map[flow]float64 // Virtual finish time of the last request of each flow.
+	waiting     []queuedRequest
 	cost        float64 // Total cost of the waiting requests.
 }
 
-// flow identifies the requests that share one weight.
+// flow identifies the requests that share one weight: those of one organisation
+// with one priority.
 type flow struct {
 	org      string
 	priority int
 }
 
-type queued struct {
+// queuedRequest is a request that waits for a slot.
+type queuedRequest struct {
 	SlotRequested
-	start, finish float64
-	cost          float64   // Tokens that the backend server reads before the first piece.
+	start, finish float64   // Virtual start and finish time in fair queueing.
+	cost          float64   // Expected work before the first piece of the answer, in tokens.
 	expires       time.Time // When the request is refused if it is still waiting.
 }
 
@@ -49,11 +51,11 @@
 	if !event.Deadline.IsZero() && event.Deadline.Before(expires) {
 		expires = event.Deadline
 	}
-	q.waiting = append(q.waiting, queued{SlotRequested: event, start: start, finish: finish, cost: cost, expires: expires})
+	q.waiting = append(q.waiting, queuedRequest{SlotRequested: event, start: start, finish: finish, cost: cost, expires: expires})
 	q.cost += cost
 }
 
-// popFirst removes and returns the request with the least finish tag.
+// popFirst removes and returns the request with the least virtual finish time.
 func (q *queue) popFirst() SlotRequested {
 	first := 0
 	for index := range q.waiting {
@@ -61,14 +63,14 @@
 			first = index
 		}
 	}
-	served := q.take(first)
+	served := q.removeAt(first)
 	q.virtualTime = max(q.virtualTime, served.start)
 	q.pruneFlows()
 	return served.SlotRequested
 }
 
-// popLast removes and returns the request with the greatest finish tag, the newest
-// of equals, and returns its share to its flow.
+// popLast removes and returns the request with the greatest virtual finish time,
+// the newest of equals, and does not charge its flow for it.
 func (q *queue) popLast() SlotRequested {
 	last := 0
 	for index := range q.waiting {
@@ -76,11 +78,11 @@
 			last = index
 		}
 	}
-	return q.drop(last).SlotRequested
+	return q.removeUnserved(last).SlotRequested
 }
 
-// popExpired removes the requests that have waited too long, or all, and returns
-// their tickets.
+// popExpired removes the requests that have waited too long, or every request if
+// all is set, and returns their tickets.
 func (q *queue) popExpired(now time.Time, all bool) []uint64 {
 	var tickets []uint64
 	for index := 0; index < len(q.waiting); {
@@ -88,7 +90,7 @@
 			index++
 			continue
 		}
-		tickets = append(tickets, q.drop(index).Ticket)
+		tickets = append(tickets, q.removeUnserved(index).Ticket)
 	}
 	return tickets
 }
@@ -97,31 +99,32 @@
 func (q *queue) remove(ticket uint64) bool {
 	for index := range q.waiting {
 		if q.waiting[index].Ticket == ticket {
-			q.drop(index)
+			q.removeUnserved(index)
 			return true
 		}
 	}
 	return false
 }
 
-// drop removes a request that was not served. The later requests of its flow move
-// forward by its share.
-func (q *queue) drop(index int) queued {
-	dropped := q.take(index)
+// removeUnserved removes a request that was not served. Its virtual service time
+// (finish minus start) is subtracted from the virtual start and finish times of the
+// later requests of its flow, so that the flow isn't charged for it.
+func (q *queue) removeUnserved(index int) queuedRequest {
+	dropped := q.removeAt(index)
 	key := flow{dropped.Org, dropped.Priority}
-	share := dropped.finish - dropped.start
+	serviceTime := dropped.finish - dropped.start
 	for index := range q.waiting {
 		other := &q.waiting[index]
 		if (flow{other.Org, other.Priority}) == key && other.finish > dropped.finish {
-			other.start -= share
-			other.finish -= share
+			other.start -= serviceTime
+			other.finish -= serviceTime
 		}
 	}
-	q.lastFinish[key] -= share
+	q.lastFinish[key] -= serviceTime
 	return dropped
 }
 
-func (q *queue) take(index int) queued {
+func (q *queue) removeAt(index int) queuedRequest {
 	taken := q.waiting[index]
 	q.cost -= taken.cost
 	q.waiting = append(q.waiting[:index], q.waiting[index+1:]...)
@@ -131,8 +134,8 @@
 	return taken
 }
 
-// pruneFlows removes the flows whose last finish tag is not ahead of the virtual
-// time.
+// pruneFlows removes the flows whose last virtual finish time is not after the
+// queue's virtual time, as they don't affect the order any more.
 func (q *queue) pruneFlows() {
 	if len(q.lastFinish) <= 2*len(q.waiting)+64 {
 		return
--- a/policy/answer/answer.go
+++ b/policy/answer/answer.go
@@ -1,5 +1,5 @@
-// Package answer assembles one answer from parts that may arrive late, more than
-// once or out of order.
+// Package answer assembles a streamed answer from its parts, each a run of tokens,
+// which may arrive late, more than once or out of order.
 //
 // Invariants: every token is delivered exactly once and in order; a part of
 // another answer is never delivered; the end is delivered only after every token
@@ -26,12 +26,12 @@
 	ErrAfterEnd = errors.New("part extends past the end of the answer")
 )
 
-// Part is one part of an answer: a run of Tokens tokens at offset From.
+// Part is one part of a streamed answer: a run of Tokens tokens at offset From.
 type Part[T any] struct {
-	ID      string
-	From    int
-	Tokens  int
-	End     bool
+	ID      string // ID of the answer.
+	From    int    // Number of tokens of the answer before this part.
+	Tokens  int    // Number of tokens in this part.
+	End     bool   // The answer ends with this part.
 	Payload T
 }
 
@@ -40,7 +40,7 @@
 type Assembler[T any] struct {
 	next    int // Tokens delivered so far.
 	ended   bool
-	pending map[int]Part[T] // Buffered parts that wait for earlier ones, by From.
+	pending map[int]Part[T] // Buffered parts that wait for earlier ones, by Part.From.
 }
 
 // ResumeAt returns an assembler for an answer whose first from tokens have already
@@ -61,10 +61,11 @@
 	return fmt.Errorf("%w: source ended after %d delivered tokens", ErrGap, a.next)
 }
 
-// DropPending discards the buffered parts. A new source sends them again.
+// DropPending discards the buffered parts, because a new source of the answer sends
+// them again.
 func (a *Assembler[T]) DropPending() { a.pending = nil }
 
-// Accept takes the next part from the source of the answer with this ID and returns
+// Accept takes the next part received for the answer with this ID and returns
 // the payloads that can now be delivered, in order. A duplicate yields none.
 func (a *Assembler[T]) Accept(id string, part Part[T]) ([]T, error) {
 	if part.ID != id {
@@ -88,7 +89,8 @@
 	return a.deliver(part), nil
 }
 
-// duplicate reports whether the part contains nothing new.
+// duplicate reports whether all tokens of the part, and the end if it has one, were
+// delivered before.
 func (a *Assembler[T]) duplicate(part Part[T]) bool {
 	if part.End {
 		return a.ended && part.From+part.Tokens == a.next
--- a/policy/answer/answer_test.go
+++ b/policy/answer/answer_test.go
@@ -16,8 +16,8 @@
 	os.Exit(m.Run())
 }
 
-// drawParts splits an answer of numbered tokens into parts, followed by an end
-// part.
+// drawParts splits an answer of numbered tokens into parts and adds a last part,
+// without tokens, that ends the answer.
 func drawParts(t *rapid.T) (parts []Part[[]int], total int) {
 	for _, tokens := range rapid.SliceOfN(rapid.IntRange(1, 5), 0, 20).Draw(t, "sizes") {
 		payload := make([]int, tokens)
@@ -30,8 +30,8 @@
 	return append(parts, Part[[]int]{ID: "a", From: total, End: true}), total
 }
 
-// TestAnyOrderAndDuplicates checks the invariants for parts that arrive in any
-// order and more than once.
+// TestAnyOrderAndDuplicates checks the invariants of the package for parts that
+// arrive in any order and more than once.
 func TestAnyOrderAndDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts, total := drawParts(t)
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestLostPart checks that an answer with a missing part never ends.
-func TestLostPart(t *testing.T) {
+// TestLostPartPreventsEnd checks that an answer with a missing part never ends.
+func TestLostPartPreventsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts, _ := drawParts(t)
 		lost := rapid.IntRange(0, len(parts)-1).Draw(t, "lost")
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestRefusedParts(t *testing.T) {
+func TestInvalidPartsAreRejected(t *testing.T) {
 	Convey("Given an answer with four tokens delivered", t, func() {
 		var assembler Assembler[string]
 		_, err := assembler.Accept("a", Part[string]{ID: "a", Tokens: 4})
--- a/policy/choose/candidates.go
+++ b/policy/choose/candidates.go
@@ -1,5 +1,5 @@
-// Package choose selects the backend server for one attempt: which few agents
-// to probe, and which of their offers to take.
+// Package choose selects the backend server for one attempt of a request: which
+// few agents to probe for an offer, and which of their offers to take.
 package choose
 
 import (
@@ -15,9 +15,9 @@
 	shallowBlocks = 4  // Leading blocks shared by prompts from the same template of an organisation.
 	deepBlocks    = 16 // Leading blocks shared by the turns of one conversation.
 
-	shallowCandidates = 2
-	deepCandidates    = 1
-	randomCandidates  = 2
+	shallowCandidates = 2 // Candidates by the hash of the first shallowBlocks blocks.
+	deepCandidates    = 1 // Candidates by the hash of the first deepBlocks blocks.
+	randomCandidates  = 2 // Candidates chosen at random.
 )
 
 // Work describes the request for which a backend server is chosen.
@@ -41,7 +41,8 @@
 	return appendRandom(chosen, len(names), random)
 }
 
-// affinityKey hashes the model, version, adapter and first blocks of the prompt.
+// affinityKey returns the rendezvous key of the work: a hash of the model, version,
+// adapter and first blocks of the prompt.
 // Block hashes are chained, so the hash of the last of these blocks covers all.
 func affinityKey(work Work, blocks int) uint64 {
 	digest := xxhash.New()
--- a/policy/choose/choose.go
+++ b/policy/choose/choose.go
@@ -14,14 +14,15 @@
 	otherRegionRTT    = 80 * time.Millisecond
 )
 
-// fullBatchPenalty is the delay added to the offer of an agent at its limit.
+// fullBatchPenalty is the delay added to the expected delay of an offer whose
+// agent is at its concurrency limit.
 const fullBatchPenalty = 400 * time.Millisecond
 
 // tieMargin is the difference in expected delay up to which two offers count as
 // equal, so that load spreads between them.
 const tieMargin = 2 * time.Millisecond
 
-// defaultRetryAfter is the Retry-After if no offer has one.
+// defaultRetryAfter is the Retry-After of refusals that carry none.
 const defaultRetryAfter = time.Second
 
 // Offer is an agent's answer to a probe, seen from the entry instance.
@@ -30,8 +31,8 @@
 	RetryAfter       time.Duration
 	TimeToFirstToken time.Duration // Expected at the agent: queueing, cold start and reading the uncached prompt tokens.
 	RTT              time.Duration // Round-trip time to the agent.
-	Running          int
-	Headroom         int // Requests below the agent's limit.
+	Running          int           // Requests in flight at the backend server.
+	Headroom         int           // Requests that the agent can take before it reaches its limit.
 }
 
 // expectedDelay returns the expected time to first token plus a penalty for
@@ -43,7 +44,8 @@
 	return o.TimeToFirstToken + o.RTT + time.Duration(used*used*float64(fullBatchPenalty))
 }
 
-// RTT returns the expected round-trip time between two data centres.
+// RTT returns the expected network round-trip time between the data centres from
+// and to.
 func RTT(snapshot *config.Snapshot, from, to string) time.Duration {
 	switch {
 	case from == to:
@@ -79,7 +81,8 @@
 }
 
 // pickLeastLoaded returns the index of the offer with the most headroom among those
-// with an expected delay of at most maxDelay. The search starts at a random offer.
+// with an expected delay of at most maxDelay. The search starts at a random offer,
+// which breaks ties.
 func pickLeastLoaded(offers []Offer, maxDelay time.Duration, random uint64) int {
 	chosen, headroom := -1, 0
 	start := int(random % uint64(len(offers)))
--- a/policy/choose/choose_test.go
+++ b/policy/choose/choose_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// When a server leaves, only the keys assigned to it may move.
+// When a server is removed, only the keys assigned to it may move to others.
 func TestRendezvousMovesFewKeysWhenAServerLeaves(t *testing.T) {
 	names := serverNames(20)
 	for key := range uint64(500) {
--- a/policy/config/config.go
+++ b/policy/config/config.go
@@ -1,7 +1,7 @@
 // Package config parses, validates and compares the declarative configuration.
 // An immutable snapshot holds the data centres, the backend servers, the
-// organisations, and the work: models and plain services with the idempotency of
-// their operations.
+// organisations, and the work that can be requested: models and plain services with
+// the idempotency of their operations.
 package config
 
 import "time"
@@ -22,8 +22,8 @@
 // shared between goroutines.
 type Snapshot struct {
 	Revision       uint64
-	Versions       map[string]FileVersion // By file name.
-	Files          Files                  // Source texts.
+	Versions       map[string]FileVersion // Version of each file, by file name.
+	Files          Files                  // Source text of each file.
 	DataCentres    map[string]DataCentre
 	BackendServers map[string]BackendServer
 	Organisations  map[string]Organisation
@@ -33,7 +33,7 @@
 	organisationByKey map[string]string // Organisation names by hex SHA-256 of the key.
 }
 
-// FileVersion identifies one accepted version of a file.
+// FileVersion identifies one accepted version of a configuration file.
 type FileVersion struct {
 	Revision uint64 `json:"revision"` // Revision that introduced this text.
 	Digest   string `json:"digest"`   // Hex SHA-256 of the text.
@@ -63,11 +63,11 @@
 // Organisation is one customer.
 type Organisation struct {
 	Name              string   `json:"name"`
-	KeySHA256         []string `json:"key_sha256"` // Hex SHA-256 digests of the accepted keys.
-	Weight            float64  `json:"weight"`
-	RequestsPerSecond float64  `json:"requests_per_second"`
-	Concurrency       int      `json:"concurrency"`
-	Priority          int      `json:"priority"` // 0 is the highest.
+	KeySHA256         []string `json:"key_sha256"`          // Hex SHA-256 digests of the accepted keys.
+	Weight            float64  `json:"weight"`              // Weight in fair queueing.
+	RequestsPerSecond float64  `json:"requests_per_second"` // Rate limit; 0 for none.
+	Concurrency       int      `json:"concurrency"`         // Maximum requests in flight; 0 for no limit.
+	Priority          int      `json:"priority"`            // 0 is the highest.
 }
 
 // Model is one model that backend servers serve.
--- a/policy/config/diff.go
+++ b/policy/config/diff.go
@@ -8,16 +8,16 @@
 	"persimmonwind.dev/policy/jsonfile"
 )
 
-// Change is one field that differs between two versions of a file.
+// Change is one field that differs between two versions of a configuration file.
 type Change struct {
 	File string `json:"file"`
 	Path string `json:"path"`          // Such as data_centres[dc-1].taken_out.
-	Old  string `json:"old,omitempty"` // JSON; empty if the field is new.
-	New  string `json:"new,omitempty"` // JSON; empty if the field was removed.
+	Old  string `json:"old,omitempty"` // Previous value as JSON; empty if the field is new.
+	New  string `json:"new,omitempty"` // New value as JSON; empty if the field was removed.
 }
 
-// Diff returns the fields that differ, ordered by file and path. It ignores
-// comments and the order of list elements.
+// Diff returns the fields that differ between the old and the updated files, ordered
+// by file and path. It ignores comments and the order of list elements.
 func Diff(old, updated Files) ([]Change, error) {
 	var changes []Change
 	for _, file := range FileNames {
@@ -50,23 +50,23 @@
 	return changes
 }
 
-// flatten returns the JSON values of a file's fields by path.
+// flatten returns the values of a file's fields as JSON, by the path of the field.
 func flatten(file string, text []byte) (map[string]string, error) {
 	fields := map[string]string{}
 	if len(text) == 0 {
 		return fields, nil
 	}
-	p := &decodedFiles{}
-	target := p.target(file)
+	decoded := &decodedFiles{}
+	target := decoded.target(file)
 	if err := jsonfile.Decode(file, text, target); err != nil {
 		return nil, err
 	}
-	standard, err := json.Marshal(target)
+	encoded, err := json.Marshal(target)
 	if err != nil {
 		return nil, fmt.Errorf("encode file %q: %w", file, err)
 	}
 	var value any
-	if err := json.Unmarshal(standard, &value); err != nil {
+	if err := json.Unmarshal(encoded, &value); err != nil {
 		return nil, fmt.Errorf("decode file %q: %w", file, err)
 	}
 	flattenValue(fields, "", value)
--- a/policy/config/parse.go
+++ b/policy/config/parse.go
@@ -27,9 +27,9 @@
 	Services []Service `json:"services"`
 }
 
-// decodedFiles holds every decoded file, and the documents that locate problems.
+// decodedFiles holds the decoded configuration files.
 type decodedFiles struct {
-	documents      map[string]*jsonfile.Document
+	documents      map[string]*jsonfile.Document // Parsed texts by file name, which give the positions of problems.
 	dataCentres    dataCentresFile
 	backendServers backendServersFile
 	organisations  organisationsFile
@@ -59,8 +59,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Build parses and validates all files and returns the snapshot of a revision that
-// introduced every one of them. The error is of type jsonfile.Problems.
+// Build parses and validates all files and returns the snapshot of a revision whose
+// files are all new. The error is of type jsonfile.Problems.
 func Build(revision uint64, files Files) (*Snapshot, error) {
 	versions := map[string]FileVersion{}
 	for name, text := range files {
@@ -69,7 +69,9 @@
 	return BuildVersions(revision, versions, files)
 }
 
-// BuildVersions is Build for files that earlier revisions may have introduced.
+// BuildVersions parses and validates all files and returns the snapshot of a
+// revision. versions says which revision introduced each file. The error is of type
+// jsonfile.Problems.
 func BuildVersions(revision uint64, versions map[string]FileVersion, files Files) (*Snapshot, error) {
 	p, problems := parse(files)
 	if len(problems) == 0 {
--- a/policy/config/splice.go
+++ b/policy/config/splice.go
@@ -6,12 +6,12 @@
 // A splice without a base replaces the whole text.
 type Splice struct {
 	Base   string // Digest of the text that the splice applies to; empty for none.
-	Offset int    // Bytes kept from the start.
-	Delete int    // Bytes replaced.
-	Insert []byte
+	Offset int    // Number of bytes kept before the replaced range.
+	Delete int    // Length of the replaced range.
+	Insert []byte // Bytes put in place of the range.
 }
 
-// NewSplice returns the shortest splice from old, which may be nil, to
+// NewSplice returns the shortest splice that turns old, which may be nil, into
 // updated.
 func NewSplice(old, updated []byte) Splice {
 	if old == nil {
--- a/policy/config/validate.go
+++ b/policy/config/validate.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxLimit       = 100_000
-	maxConcurrency = 10_000_000
+	maxLimit       = 100_000    // Largest full_limit and cold_limit of a backend server.
+	maxConcurrency = 10_000_000 // Largest concurrency of an organisation.
 	maxPriority    = 9
 	maxRank        = 1023
 	minTimeoutMS   = 50
@@ -26,7 +26,7 @@
 
 const nameRule = "use up to 128 letters, digits, dots, dashes and underscores, starting with a letter or digit"
 
-// validator checks each decoded file and the references between files.
+// validator checks the values in each decoded file and the references between files.
 type validator struct {
 	*decodedFiles
 	problems jsonfile.Problems
@@ -41,7 +41,7 @@
 	return v.problems
 }
 
-// report adds a problem at the value that the JSON pointer refers to.
+// report adds a problem at the value in the file that the JSON pointer refers to.
 func (v *validator) report(file, pointer, message, hint string) {
 	v.problems = append(v.problems, v.documents[file].Problem(pointer, message, hint))
 }
@@ -57,7 +57,7 @@
 	seen[name] = true
 }
 
-// checkRange checks that the value is within its bounds, which are inclusive.
+// checkRange checks that the value is at least minimum and at most maximum.
 func (v *validator) checkRange(file, pointer string, value, minimum, maximum float64, unit string) {
 	if value >= minimum && value <= maximum {
 		return
--- a/policy/control/configuration_test.go
+++ b/policy/control/configuration_test.go
@@ -32,7 +32,7 @@
 			state, effects = Step(state, reduce.Input{Now: now, Event: event})
 			return effects
 		}
-		// ask requests a slot and returns the refusal, or nil if it was granted.
+		// ask requests a slot and returns the error if it was refused, or nil.
 		ask := func() *result.Error {
 			ticket++
 			for _, effect := range step(admission.SlotRequested{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)}) {
--- a/policy/control/control.go
+++ b/policy/control/control.go
@@ -1,5 +1,5 @@
 // Package control combines the reducers of a process's control state: it passes
-// every input to the parts that it concerns and collects their effects.
+// every input to the reducers that it concerns and collects their effects.
 package control
 
 import (
@@ -12,7 +12,7 @@
 	"persimmonwind.dev/policy/view"
 )
 
-// Self identifies a process; it comes from the process's settings.
+// Self identifies the process itself; the values come from its settings.
 type Self struct {
 	ID            string
 	Role          string
@@ -28,7 +28,7 @@
 	StaleErr  *result.Error    // Why the evidence does not permit new work, or nil.
 	Admission admission.State  // Used by agents only.
 	Member    expertmap.Member // Used by agents of a group only.
-	Leaving   bool
+	Leaving   bool             // The process shuts down and takes no new work.
 }
 
 // Leave starts a graceful shutdown.
@@ -42,7 +42,7 @@
 
 func (Announce) EffectName() string { return "control.announce" }
 
-// Step reduces one input.
+// Step applies one input to the state and returns the resulting effects.
 func Step(state State, input reduce.Input) (State, []reduce.Effect) {
 	var effects, moreEffects []reduce.Effect
 	_, leaving := input.Event.(Leave)
@@ -91,8 +91,8 @@
 	return state
 }
 
-// stepConfiguration passes the input to the parts that track the configuration
-// and how current it is.
+// stepConfiguration passes the input to the reducers that track the configuration
+// and the evidence that it is current.
 func stepConfiguration(state State, input reduce.Input) (State, []reduce.Effect) {
 	var effects, more []reduce.Effect
 	state.View, effects = view.Step(state.View, input)
@@ -101,7 +101,8 @@
 	return state, append(effects, more...)
 }
 
-// stepMember passes the input to the agent's state as a member of its group.
+// stepMember passes the input to the reducer for the agent's membership in its
+// expert-parallel group, if it has one.
 func stepMember(state State, server config.BackendServer, input reduce.Input) (State, []reduce.Effect) {
 	if server.Group == "" {
 		return state, nil
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -5,16 +5,17 @@
 )
 
 // sampledServers is the number of random servers compared for one request.
-// Load reports are about one pass old: if every entry chose the least loaded
-// server of the whole group, that server would get all requests that arrive
-// within a pass, and their prompts would queue behind each other. Two entries
-// rarely choose the same server when each takes the less loaded of two random
-// ones.
+// Load reports are about as old as one forward pass of the group takes: if every
+// entry chose the least loaded server of the whole group, that server would get
+// all requests that arrive within a pass, and their prompts would queue behind
+// each other. Two entries rarely choose the same server when each takes the less
+// loaded of two random ones.
 const sampledServers = 2
 
-// choose returns the least loaded of the sampled servers with room, nil for
-// none. At a plain service all servers with room are compared. Slow servers, and
-// servers that may have left the service, are used only when no other has room.
+// choose returns the server to which the ticket is sent: the least loaded of a
+// random sample of the servers with room, or nil if none has room. At a plain
+// service all servers with room are compared. Slow servers, and servers that may
+// have left the service, are used only when no other has room.
 func (d *Dispatcher) choose(ticket Ticket, random float64, now time.Time) *server {
 	usable := d.usable(ticket, now)
 	if d.pace.engine == nil {
@@ -23,7 +24,8 @@
 	return leastLoaded(usable, sampledServers, random, now)
 }
 
-// usable returns the servers with room in the best tier that has any.
+// usable returns the servers with room that have the best tier (see server.tier)
+// among all servers with room, except the one that the ticket avoids.
 func (d *Dispatcher) usable(ticket Ticket, now time.Time) []*server {
 	var usable []*server
 	best := 0
--- a/policy/dispatch/choice_test.go
+++ b/policy/dispatch/choice_test.go
@@ -12,19 +12,19 @@
 )
 
 // busyGroup simulates a group of engines to which several entries send requests.
-// The entries' load reports are up to reportEvery old.
+// The load reports that the entries use are up to reportEvery old.
 type busyGroup struct {
 	entries  []*Dispatcher
-	active   []int         // Requests by server.
-	ends     [][]time.Time // By server.
-	arrivals [][]time.Time // By server.
+	active   []int         // Number of requests in flight, by server.
+	ends     [][]time.Time // When the streams in flight end, by server.
+	arrivals [][]time.Time // When requests arrived, by server.
 	random   *rand.Rand
 }
 
 const (
-	reportEvery = 100 * time.Millisecond
-	groupPass   = 70 * time.Millisecond
-	streamTime  = 1600 * time.Millisecond
+	reportEvery       = 100 * time.Millisecond
+	groupPassDuration = 70 * time.Millisecond
+	streamDuration    = 1600 * time.Millisecond
 )
 
 func newBusyGroup(entries, servers int) *busyGroup {
@@ -49,8 +49,8 @@
 	}
 }
 
-// end ends the streams that are due. Each is released at the first entry that has
-// a request at the server.
+// end ends the streams whose time has come. The slot of each is released at the
+// first entry that has a request at the server.
 func (g *busyGroup) end(now time.Time) {
 	for server := range g.ends {
 		for len(g.ends[server]) > 0 && !g.ends[server][0].After(now) {
@@ -58,7 +58,7 @@
 			g.active[server]--
 			id := fmt.Sprint("s", server)
 			for _, d := range g.entries {
-				if d.byID[id].own > 0 {
+				if d.byID[id].ownRequests > 0 {
 					d.Done(id, Served, now)
 					break
 				}
@@ -75,7 +75,7 @@
 		for _, at := range arrivals {
 			others := -1
 			for _, other := range arrivals {
-				if distance := at.Sub(other); distance > -groupPass/2 && distance < groupPass/2 {
+				if distance := at.Sub(other); distance > -groupPassDuration/2 && distance < groupPassDuration/2 {
 					others++
 				}
 			}
@@ -112,10 +112,10 @@
 				_, err := fmt.Sscanf(decision.Server.ID, "s%d", &server)
 				So(err, ShouldBeNil)
 				g.active[server]++
-				g.ends[server] = append(g.ends[server], now.Add(streamTime))
+				g.ends[server] = append(g.ends[server], now.Add(streamDuration))
 				g.arrivals[server] = append(g.arrivals[server], now)
 			}
-			// A server reads about three usual prompts in one pass.
+			// A server reads about three prompts of the usual length in one pass.
 			So(g.crowded(), ShouldBeLessThan, 0.02)
 		})
 	}
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -3,6 +3,12 @@
 //
 // A Dispatcher holds the state of one service. It reads no clock and takes no lock:
 // the caller passes the time and serializes the calls.
+//
+// A service is either a plain service, whose backend servers are independent, or
+// an engine group: expert-parallel ranks that execute each forward pass together.
+// A pass reads waiting prompts and yields the next event of every stream in the
+// group, so passes that take longer delay all streams. A group is closed while it
+// takes no work, for example because a rank is missing.
 package dispatch
 
 import (
@@ -12,56 +18,57 @@
 )
 
 const (
-	// overloadBackoff is how long a server gets no requests after it refused one
-	// because of load.
+	// overloadBackoff is how long no request is sent to a server that has refused
+	// one because of load.
 	overloadBackoff = 60 * time.Millisecond
-	// replacedBackoff is longer than the server list takes to drop a server that
-	// has gone, which is three heartbeats of about one second each.
+	// replacedBackoff is how long no request is sent to a server at whose address
+	// another server has answered. It is longer than the server list takes to drop
+	// a server that has gone, which is three heartbeats of about one second each.
 	replacedBackoff = 5 * time.Second
 	// lateCapacityShare is the share of the concurrency limit open to requests
 	// that can no longer meet their latency objective. Otherwise a backlog would
 	// take the whole capacity of a group that has just opened, and all requests of
 	// the next seconds would be late too.
 	lateCapacityShare = 0.7
-	// engineFillShare is the share of an engine group's slots that is used, so that
-	// entries which dispatch at the same moment rarely find a server full.
+	// engineFillShare is the largest share of an engine group's slots that is used,
+	// so that entries which dispatch at the same moment rarely find a server full.
 	engineFillShare = 0.95
 )
 
-// Ticket is a request that needs a slot at a backend server.
+// Ticket describes a request that needs a slot at a backend server.
 type Ticket struct {
 	ID          uint64
 	Arrived     time.Time
-	SLODeadline time.Time // When the first answer is due by the latency objective.
-	Deadline    time.Time // When an answer is of no use any more.
+	SLODeadline time.Time // When the first part of the answer is due by the latency objective.
+	Deadline    time.Time // When the caller stops waiting for the answer.
 	Priority    int       // 0 is the most urgent.
 	Avoid       string    // ID of the server that has just failed the request; empty for none.
-	FoundClosed bool      // The group was closed when the request was sent; another request probes next.
+	FoundClosed bool      // The request was sent before and found the group closed, so it is not the next probe.
 }
 
 // Verdict is the decision about a ticket.
 type Verdict int
 
-// The verdicts.
+// The verdicts about a ticket.
 const (
 	Wait   Verdict = iota // The ticket is queued.
-	Go                    // The request is sent to a server.
+	Go                    // The request is sent to the chosen server now.
 	Refuse                // The request is refused; the caller may retry later.
 )
 
-// Decision is a verdict and, for the log, the inputs that led to it.
+// Decision is the verdict about a ticket and, for the log, the inputs that led to it.
 type Decision struct {
 	Ticket              uint64
 	Verdict             Verdict
-	Server              topology.Candidate // Set for Go.
-	RetryAfter          time.Duration      // Set for Refuse.
+	Server              topology.Candidate // The chosen server if the verdict is Go.
+	RetryAfter          time.Duration      // When the caller may retry if the verdict is Refuse.
 	Reason              string
 	OwnInFlight         int           // Requests of this entry in flight at the service.
-	TotalInFlight       int           // The same of all entries, as far as known.
-	Limit               int           // Of TotalInFlight; 0 for none.
+	TotalInFlight       int           // Requests of all entries in flight at the service, as far as known.
+	Limit               int           // Upper limit of TotalInFlight; 0 for no limit.
 	PredictedWait       time.Duration // Expected time in the queue.
-	PredictedFirstEvent time.Duration // Set for Go at an engine; counted from now.
-	ReportAge           time.Duration // Age of the oldest report in use.
+	PredictedFirstEvent time.Duration // Expected time from now to the first event of the answer if the verdict is Go at an engine.
+	ReportAge           time.Duration // Age of the oldest load report that the decision used.
 }
 
 // Dispatcher holds the state of one service at one entry.
@@ -71,11 +78,11 @@
 	servers []*server
 	byID    map[string]*server
 	queue   []Ticket
-	freedAt []time.Time // When slots became free, within rateWindow.
+	freedAt []time.Time // When slots became free, for the times within rateWindow.
 	limit   int         // Concurrency limit of all servers together; 0 for none.
 	gate    gate
 
-	groupActiveSince time.Time // Start of the group's current activity; zero while no server sends events.
+	groupActiveSince time.Time // Since when the group's servers have sent events without a long break; zero while none sends any.
 }
 
 // NewDispatcher returns a dispatcher for one service.
@@ -103,20 +110,22 @@
 	d.servers, d.byID = servers, byID
 }
 
-// ObserveGap records the time between two events of a stream at a server.
+// ObserveGap records the time between two events of a stream at the server with
+// this ID.
 func (d *Dispatcher) ObserveGap(id string, gap time.Duration, now time.Time) {
 	d.ObserveEvent(id, now)
 	d.pace.observe(gap, d.inFlight(now), now)
 }
 
-// Submit decides about a new ticket and queues it if the verdict is Wait.
+// Submit decides about a new ticket and queues it if the verdict is Wait. random
+// is a random number in [0, 1) for the choice of the server.
 func (d *Dispatcher) Submit(ticket Ticket, random float64, now time.Time) Decision {
 	if len(d.queue) == 0 || d.meetsSLO(ticket, now) && !d.anyMeetsSLO(now) {
-		if decision, ok := d.place(ticket, random, now); ok {
+		if decision, ok := d.tryDispatch(ticket, random, now); ok {
 			return decision
 		}
 	}
-	decision := d.describe(ticket, now)
+	decision := d.newDecision(ticket, now)
 	decision.PredictedWait = d.predictedWait(ticket, now)
 	if len(d.servers) == 0 {
 		decision.Verdict, decision.Reason = Refuse, "no_server"
@@ -143,25 +152,26 @@
 	return decision
 }
 
-// DispatchQueued decides about the queued tickets. It is called whenever a slot
-// may have become free, and every few tens of milliseconds.
+// DispatchQueued decides about the queued tickets and returns the decisions on
+// those that leave the queue. It is called whenever a slot may have become free,
+// and every few tens of milliseconds.
 func (d *Dispatcher) DispatchQueued(random func() float64, now time.Time) []Decision {
 	var decisions []Decision
 	d.sortQueue(now)
 	kept := d.queue[:0]
-	full := false
+	blocked := false
 	for _, ticket := range d.queue {
-		if !full {
-			if decision, ok := d.place(ticket, random(), now); ok {
+		if !blocked {
+			if decision, ok := d.tryDispatch(ticket, random(), now); ok {
 				decisions = append(decisions, decision)
 				continue
 			}
 			// A ticket that has already found the group closed does not block those
 			// behind it: they may probe the group.
-			full = !(d.gate.closed && ticket.FoundClosed)
+			blocked = !(d.gate.closed && ticket.FoundClosed)
 		}
 		if d.timedOut(ticket, now) {
-			decision := d.describe(ticket, now)
+			decision := d.newDecision(ticket, now)
 			decision.Verdict, decision.Reason = Refuse, "waited_too_long"
 			decision.RetryAfter = max(minRetryAfter, d.predictedWait(ticket, now))
 			if d.gate.closed {
@@ -179,9 +189,9 @@
 // Accepted records that a server has begun to answer a request.
 func (d *Dispatcher) Accepted() { d.gate.accepted() }
 
-// place chooses a server for the ticket and takes a slot there. It returns false
+// tryDispatch chooses a server for the ticket and takes a slot there. It returns false
 // if the ticket can't be sent now.
-func (d *Dispatcher) place(ticket Ticket, random float64, now time.Time) (Decision, bool) {
+func (d *Dispatcher) tryDispatch(ticket Ticket, random float64, now time.Time) (Decision, bool) {
 	if !d.gate.allows(d.reportedGroupState(now), now) || d.gate.closed && ticket.FoundClosed {
 		return Decision{}, false
 	}
@@ -197,18 +207,18 @@
 	if best == nil {
 		return Decision{}, false
 	}
-	decision := d.describe(ticket, now)
+	decision := d.newDecision(ticket, now)
 	decision.Verdict, decision.Server, decision.Reason = Go, best.candidate, "least_loaded"
 	decision.PredictedFirstEvent = d.pace.predictFirstEvent()
 	best.requestSent(now)
-	d.gate.noteSent()
+	d.gate.recordSent()
 	return decision, true
 }
 
-func (d *Dispatcher) describe(ticket Ticket, now time.Time) Decision {
+func (d *Dispatcher) newDecision(ticket Ticket, now time.Time) Decision {
 	decision := Decision{Ticket: ticket.ID, Limit: d.limit, TotalInFlight: d.inFlight(now)}
 	for _, server := range d.servers {
-		decision.OwnInFlight += server.own
+		decision.OwnInFlight += server.ownRequests
 		if server.fresh(now) {
 			decision.ReportAge = max(decision.ReportAge, now.Sub(server.reportAt))
 		}
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -130,7 +130,7 @@
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		unseen := d.Submit(ticket(1, start), 0, start)
 		So(unseen.Verdict, ShouldEqual, Go)
-		So(unseen.PredictedFirstEvent, ShouldAlmostEqual, 84*time.Millisecond, time.Millisecond) // Passes without work.
+		So(unseen.PredictedFirstEvent, ShouldAlmostEqual, 84*time.Millisecond, time.Millisecond) // 2.9 passes of 29 ms without work.
 		now := start
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
@@ -140,7 +140,7 @@
 	})
 }
 
-func TestEvenLoad(t *testing.T) {
+func TestRequestsAreSpreadEvenly(t *testing.T) {
 	Convey("Requests are spread evenly, counting those of other entries", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
@@ -236,7 +236,7 @@
 	})
 }
 
-func TestClosedGroup(t *testing.T) {
+func TestClosedGroupIsProbed(t *testing.T) {
 	Convey("Given a group that refuses a request despite free slots", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(4, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
@@ -298,7 +298,7 @@
 	})
 }
 
-func TestSlowRank(t *testing.T) {
+func TestSlowRankGetsWorkLast(t *testing.T) {
 	Convey("Given a group with one rank three times as slow as normal", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
@@ -338,9 +338,9 @@
 // setInFlight sets the reported load so that the group has total requests.
 func (d *Dispatcher) setInFlight(total int, now time.Time) {
 	for i, s := range d.servers {
-		s.others, s.reportAt = total/len(d.servers), now
+		s.otherRequests, s.reportAt = total/len(d.servers), now
 		if i < total%len(d.servers) {
-			s.others++
+			s.otherRequests++
 		}
 	}
 }
--- a/policy/dispatch/gate.go
+++ b/policy/dispatch/gate.go
@@ -3,12 +3,13 @@
 import "time"
 
 const (
-	// closedProbeInterval is the time between two probes of a group that takes no
-	// work. A group forms within some hundred milliseconds.
+	// closedProbeInterval is the time between two probe requests to a group that
+	// takes no work. A group's ranks connect with each other within some hundred
+	// milliseconds.
 	closedProbeInterval = 100 * time.Millisecond
 	// closedRetryAfter is the Retry-After for callers refused because the group is
-	// closed. A rank that was cut off is back after some seconds, and callers
-	// retry only once.
+	// closed. A rank that was cut off from the network is back after some seconds,
+	// and callers retry only once.
 	closedRetryAfter = 2 * time.Second
 )
 
@@ -21,9 +22,9 @@
 	reportsClosed
 )
 
-// gate holds requests back from a group that refuses all of them, like a circuit
-// breaker. While a rank is missing or the group forms, every rank refuses, and
-// each refusal costs the caller one of its attempts. One request at a time probes
+// gate is a circuit breaker for a group that refuses all requests. While a rank is
+// missing or the ranks have not all connected, every rank refuses, and each
+// refusal costs the caller one of its attempts. One request at a time probes
 // whether the group takes work again.
 type gate struct {
 	closed    bool
@@ -31,14 +32,15 @@
 	probing   bool // A probe request is in flight.
 }
 
-// refused records that a server with room has refused a request.
+// refused closes the gate: a server with room has refused a request, so its group
+// takes no work.
 func (g *gate) refused(now time.Time) {
 	g.closed, g.probing = true, false
 	g.nextProbe = now.Add(closedProbeInterval)
 }
 
-// allows reports whether a request may be sent. It also updates the gate from
-// the reported state.
+// allows reports whether a request may be sent to the group now. It also opens or
+// closes the gate according to the reported state.
 func (g *gate) allows(reported reportedState, now time.Time) bool {
 	switch {
 	case reported == reportsClosed:
@@ -57,9 +59,9 @@
 	}
 }
 
-// noteSent records that a request was sent. While the group is closed, that request
-// is the probe.
-func (g *gate) noteSent() { g.probing = g.closed }
+// recordSent records that a request was sent to the group. While the gate is closed,
+// that request is the probe.
+func (g *gate) recordSent() { g.probing = g.closed }
 
-// accepted records that the group takes work.
+// accepted opens the gate: the group takes work.
 func (g *gate) accepted() { g.closed, g.probing = false, false }
--- a/policy/dispatch/health.go
+++ b/policy/dispatch/health.go
@@ -9,14 +9,14 @@
 	// failureLimit is the failure rate from which a server is excluded. Services
 	// that normally fail a seventh of their calls stay below it.
 	failureLimit = 0.55
-	// initialExclusion is the first exclusion period. It doubles with every further
-	// failure, up to maxExclusion.
+	// initialExclusion is the first period in which a failing server gets no
+	// requests. It doubles with every further failure, up to maxExclusion.
 	initialExclusion = 500 * time.Millisecond
 	maxExclusion     = 4 * time.Second
 )
 
-// health tracks a server's failures by the outcomes of callers' requests. Health
-// checks don't count, as they may be wrong in either direction.
+// health tracks a server's failure rate by the outcomes of callers' requests. The
+// results of health checks are not used, as they may be wrong in either direction.
 type health struct {
 	rate            float64 // Exponentially weighted failure rate.
 	excludedUntil   time.Time
@@ -37,8 +37,8 @@
 	}
 }
 
-// unreachable excludes the server at once: nothing listens there or nothing
-// answers.
+// unreachable excludes the server at once, because no process listens at its
+// address or none answers.
 func (h *health) unreachable(now time.Time) {
 	h.rate = max(h.rate, failureLimit)
 	h.exclude(now)
--- a/policy/dispatch/limiter.go
+++ b/policy/dispatch/limiter.go
@@ -8,44 +8,48 @@
 )
 
 const (
-	// pauseGoalShare is the share of the longest allowed pause that a pass may
-	// take. The rest allows for the usual variation of passes.
+	// pauseGoalShare is the share of the longest allowed pause between two events
+	// of a stream that one pass of the group may take. The rest allows for the
+	// usual variation of passes.
 	pauseGoalShare = 0.85
 	// largeGroupPauseGoalShare replaces pauseGoalShare in groups of at least
-	// largeGroupServers. There over ten entries dispatch on reports that are one
-	// pass old, and after a jump of demand a single pass over the limit makes
+	// largeGroupServers. There over ten entries dispatch on load reports that are
+	// one pass old, and after a jump of demand a single pass over the limit makes
 	// hundreds of streams late.
 	largeGroupPauseGoalShare = 0.80
-	// largeGroupServers lies between the users' groups of 12 ranks and grown groups
-	// of 63.
+	// largeGroupServers is the number of servers from which a group counts as large.
+	// It lies between the users' groups of 12 ranks and grown groups of 63.
 	largeGroupServers = 32
-	// slopeTimeConstant is the time constant of the smoothed slope. A shift of
-	// demand shows within one pass, so it is a few passes long.
+	// slopeTimeConstant is the time constant of the smoothed
+	// ConcurrencyLimiter.slope. A shift of demand shows within one pass, so the
+	// constant is a few passes long.
 	slopeTimeConstant = 300 * time.Millisecond
-	// initialSkew is the expert load skew assumed before any pass was observed.
+	// initialSkew is the expert load skew (the load of the busiest rank relative to
+	// the mean) assumed before any pass was observed.
 	initialSkew = 1.5
 	// firstEventPasses is the number of passes from sending a request to its first
 	// event: on average half of the pass in progress, one that reads the prompt, one
 	// that writes, and part of one for a long prompt. With 2.5, half of the first
 	// events come 20 to 25 ms later than predicted, in passes of 50 to 60 ms.
 	firstEventPasses = 2.9
-	// minRequestsPerServer is the lower bound of the limit, so that a wrong slope
-	// does not starve a group.
+	// minRequestsPerServer is the lower bound of the concurrency limit, so that a
+	// wrong estimate of the slope does not starve a group.
 	minRequestsPerServer = 1.0
 )
 
 // ConcurrencyLimiter bounds the number of requests in flight in a group so that
 // the pause between events of a stream stays under its goal. All ranks advance in
 // lock-step, so the duration of a pass grows with the requests of the whole group.
-// The slope of that growth is measured; it includes the effect of expert load skew
-// and of prompts read in the same passes.
+// The slope of that growth, the time that each request adds to a pass, is measured.
+// It includes the effect of expert load skew and of prompts read in the same
+// passes.
 type ConcurrencyLimiter struct {
-	engine     *topology.Engine
-	pauseGoal  time.Duration
-	slowest    float64 // Slowdown of the group's slowest server; 0 while unknown.
-	slope      float64 // Seconds that one request in flight in the group adds to a pass.
-	observedAt time.Time
-	pass       time.Duration // Smoothed duration of a pass.
+	engine       *topology.Engine // Nil for a plain service.
+	pauseGoal    time.Duration    // Longest allowed pause between two events of a stream.
+	slowest      float64          // Slowdown of the group's slowest server, 1 for a normal one; 0 while unknown.
+	slope        float64          // Seconds that one request in flight in the group adds to a pass.
+	observedAt   time.Time
+	smoothedPass time.Duration // Smoothed duration of a pass.
 }
 
 func (l *ConcurrencyLimiter) configure(engine *topology.Engine, pauseGoal time.Duration) {
@@ -64,7 +68,7 @@
 }
 
 // observe updates the smoothed slope and pass duration from the gap between two
-// events of a stream.
+// events of a stream, which is the duration of one pass.
 func (l *ConcurrencyLimiter) observe(gap time.Duration, inFlight int, now time.Time) {
 	if l.engine == nil || inFlight <= 0 || gap <= 0 {
 		return
@@ -72,13 +76,13 @@
 	slope := max(0, gap.Seconds()-l.base()) / float64(inFlight)
 	weight := 1.0
 	if !l.observedAt.IsZero() {
-		// Every stream in a pass reports its gap, so each gets its part of the weight
-		// that one pass has by the time constant.
+		// Every stream in a pass reports its gap, so the weight that the time constant
+		// gives to one pass is divided among the streams.
 		weight = 1 - math.Exp(-gap.Seconds()/slopeTimeConstant.Seconds()/float64(max(1, inFlight)))
 		weight = max(weight, 1-math.Exp(-now.Sub(l.observedAt).Seconds()/slopeTimeConstant.Seconds()))
 	}
 	l.slope += weight * (slope - l.slope)
-	l.pass += time.Duration(weight * float64(gap-l.pass))
+	l.smoothedPass += time.Duration(weight * float64(gap-l.smoothedPass))
 	l.observedAt = now
 }
 
@@ -98,15 +102,15 @@
 	if servers >= largeGroupServers {
 		share = largeGroupPauseGoalShare
 	}
-	room := share*l.pauseGoal.Seconds() - l.base()
-	limit := room / slope
+	availableSeconds := share*l.pauseGoal.Seconds() - l.base()
+	limit := availableSeconds / slope
 	limit = max(limit, minRequestsPerServer*float64(servers))
 	return int(min(limit, engineFillShare*float64(servers*l.engine.Slots)))
 }
 
 // passDuration returns the current smoothed duration of a pass.
 func (l *ConcurrencyLimiter) passDuration() time.Duration {
-	return max(l.pass, time.Duration(l.base()*float64(time.Second)))
+	return max(l.smoothedPass, time.Duration(l.base()*float64(time.Second)))
 }
 
 // passesDuration returns the current duration of count passes.
--- a/policy/dispatch/queue.go
+++ b/policy/dispatch/queue.go
@@ -6,32 +6,34 @@
 )
 
 const (
-	// maxPredictedWait is the predicted wait above which a request is refused at
-	// once. Beyond it, its late answer would take capacity with which newer
-	// requests can still meet their objective.
+	// maxPredictedWait is the predicted wait in the queue above which a request is
+	// refused at once. After a longer wait, its late answer would take capacity with
+	// which newer requests can still meet their latency objective.
 	maxPredictedWait = time.Second
-	// maxWait is the longest time in the queue, for when predictions are wrong.
+	// maxWait is the longest time that a request stays in the queue; it applies when
+	// the predicted wait was too short.
 	maxWait = 2 * time.Second
-	// lateGrace is how long a request that can no longer meet its objective waits
-	// for a slot that no other request needs.
+	// lateGrace is how long a request that can no longer meet its latency objective
+	// waits for a slot that no other request needs.
 	lateGrace = 800 * time.Millisecond
-	// minRetryAfter keeps refused callers from retrying before anything has
-	// changed.
+	// minRetryAfter is the shortest Retry-After. It keeps refused callers from
+	// retrying before the load has changed.
 	minRetryAfter = 300 * time.Millisecond
 
 	// rateWindow is the window over which the rate of freed slots is measured.
 	rateWindow = 2 * time.Second
-	// minFreedRate, in slots per second, is the lower bound of that rate: after a
-	// start or an outage no slot has become free yet.
+	// minFreedRate is the lower bound of the assumed rate of freed slots, in slots
+	// per second: after a start or an outage no slot has become free yet.
 	minFreedRate = 5.0
 
-	// plainServiceMargin is how long before its objective a request to a plain
+	// plainServiceMargin is how long before its SLO deadline a request to a plain
 	// service must be sent to meet it: the usual duration of a call.
 	plainServiceMargin = 60 * time.Millisecond
-	// engineMarginPasses is the same margin at an engine, in passes: the rest of the
-	// pass in progress, the pass that reads the prompt, and half of one for a long
-	// prompt. It is less than firstEventPasses, so that a request which may still
-	// meet its objective counts as one that does.
+	// engineMarginPasses is how long before its SLO deadline a request to an engine
+	// must be sent to meet it, in passes of the group: the rest of the pass in
+	// progress, the pass that reads the prompt, and half of one for a long prompt.
+	// It is less than firstEventPasses, so that a request which may still meet its
+	// deadline counts as one that does.
 	engineMarginPasses = 2.5
 
 	// assumedEntries is the assumed number of entries that share the slots of a
@@ -40,7 +42,7 @@
 	assumedEntries = 3
 )
 
-// Cancel removes a queued ticket whose caller has gone.
+// Cancel removes a queued ticket whose caller has disconnected.
 func (d *Dispatcher) Cancel(id uint64) {
 	for i, ticket := range d.queue {
 		if ticket.ID == id {
@@ -56,14 +58,14 @@
 // Outcome is how a request at a server ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	Served      Outcome = iota
-	Busy                // Refused because of load; the request did not run.
-	Failed              // The server failed, or the exchange was cut off.
-	Unreachable         // No connection could be made.
-	Replaced            // Another server answers at the address.
-	CallerLeft          // The caller has gone; says nothing about the server.
+	Served      Outcome = iota // The server answered.
+	Busy                       // Refused because of load; the request did not run.
+	Failed                     // The server failed, or the exchange was cut off.
+	Unreachable                // No connection could be made.
+	Replaced                   // Another server answers at the address.
+	CallerLeft                 // The caller has disconnected, which says nothing about the server.
 )
 
 // Done releases the request's slot at the server. It reports whether the server's
@@ -73,7 +75,7 @@
 	if server == nil {
 		return d.gate.closed // The server has been removed from the list since.
 	}
-	server.own = max(0, server.own-1)
+	server.ownRequests = max(0, server.ownRequests-1)
 	switch outcome {
 	case Served:
 		d.freedAt = append(d.freedAt, now)
@@ -96,8 +98,8 @@
 	return d.gate.closed
 }
 
-// closedQueueLimit returns the number of requests that may wait for a closed
-// group: this entry's part of its slots.
+// closedQueueLimit returns the number of requests that may wait at this entry for
+// a closed group to open: the group's slots divided among the entries.
 func (d *Dispatcher) closedQueueLimit() int {
 	slots := 0
 	for _, server := range d.servers {
@@ -106,8 +108,8 @@
 	return slots / assumedEntries
 }
 
-// sortQueue sorts the queued tickets: those that can still meet their objective
-// come first. Within both parts the order is by priority, then by arrival.
+// sortQueue sorts the queued tickets: those that can still meet their latency
+// objective come first, then by priority, then by arrival.
 func (d *Dispatcher) sortQueue(now time.Time) {
 	sort.SliceStable(d.queue, func(i, j int) bool {
 		a, b := d.queue[i], d.queue[j]
@@ -127,8 +129,8 @@
 	return now.Add(d.firstAnswerMargin()).Before(ticket.SLODeadline)
 }
 
-// firstAnswerMargin returns the least time from sending a request to its first
-// answer.
+// firstAnswerMargin returns how long before its SLO deadline a request must be
+// sent to meet it.
 func (d *Dispatcher) firstAnswerMargin() time.Duration {
 	if d.pace.engine == nil {
 		return plainServiceMargin
@@ -136,8 +138,8 @@
 	return d.pace.passesDuration(engineMarginPasses)
 }
 
-// timedOut reports whether the ticket has reached the end of its time in the
-// queue.
+// timedOut reports whether the ticket has waited in the queue for as long as it
+// may.
 func (d *Dispatcher) timedOut(ticket Ticket, now time.Time) bool {
 	late := ticket.SLODeadline.Add(lateGrace - d.firstAnswerMargin())
 	if d.gate.closed {
--- a/policy/dispatch/server.go
+++ b/policy/dispatch/server.go
@@ -7,51 +7,54 @@
 )
 
 const (
-	// unreportedLimit is the number of own requests allowed at an engine whose load
-	// is not reported: three from each of four entries fill an engine's slots.
+	// unreportedLimit is the number of requests that this entry may have in flight at
+	// an engine whose load is not reported: three from each of four entries fill an
+	// engine's slots.
 	unreportedLimit = 3
 	// reportMaxAge is the age from which a load report is ignored; reports arrive
 	// about every 100 ms.
 	reportMaxAge = time.Second
 
 	// slowThreshold is the slowdown from which a rank gets work only when all others
-	// are full: ranks advance in lock-step, so its part prolongs every pass of the
-	// group.
+	// are full: ranks advance in lock-step, so work at a slow rank prolongs every
+	// pass of the group.
 	slowThreshold = 1.25
-	// migrateThreshold is the slowdown from which resumable streams are moved off a
-	// rank: its base time alone is then half of the longest pause that users allow.
-	// A rank without requests does not slow its group.
+	// migrateThreshold is the slowdown from which resumable streams are moved to
+	// other ranks: a pass of a rank this slow takes half of the longest pause that
+	// users allow even without load. A rank without requests does not slow its
+	// group.
 	migrateThreshold = 2.0
 )
 
+// server is a backend server as this entry sees it.
 type server struct {
-	candidate   topology.Candidate
-	own         int // Requests of this entry in flight.
-	others      int // Requests of other entries, as of reportAt.
-	reportAt    time.Time
-	closed      bool    // The server's group takes no work.
-	slowdown    float64 // Relative to a normal server, which has 1.
-	busyUntil   time.Time
-	busySince   time.Time // When own last rose from zero.
-	lastEventAt time.Time // When the server last sent an event.
-	silent      bool      // Found silent and no event seen since.
-	health      health
-	sends       sendWindow
+	candidate     topology.Candidate
+	ownRequests   int       // Requests of this entry in flight.
+	otherRequests int       // Requests of other entries in flight at the time of the last load report.
+	reportAt      time.Time // When the last load report arrived.
+	closed        bool      // The server's group takes no work.
+	slowdown      float64   // Time of a pass relative to a normal server, which has 1.
+	busyUntil     time.Time // Until then the server gets no requests, because it refused one.
+	busySince     time.Time // Since when this entry has had requests in flight at the server.
+	lastEventAt   time.Time // When the server last sent an event.
+	silent        bool      // FindSilent has returned the server, and it has sent no event since.
+	health        health
+	sends         sendWindow // Limits the requests per second.
 }
 
-// requestSent records that a request is sent to the server.
+// requestSent records that this entry sends a request to the server.
 func (s *server) requestSent(now time.Time) {
-	if s.own == 0 {
+	if s.ownRequests == 0 {
 		s.busySince = now
 	}
-	s.own++
+	s.ownRequests++
 	s.sends.requestSent(now)
 }
 
 // Report is the load of a server as reported by the agent next to it.
 type Report struct {
-	Queued int
-	Active int
+	Queued int     // Requests that wait at the server.
+	Active int     // Requests that the server executes.
 	Open   bool    // The server's group takes work.
 	Pace   float64 // Slowdown relative to a normal server; over 1 for a slow one.
 }
@@ -62,7 +65,7 @@
 	if server == nil {
 		return
 	}
-	server.others = max(0, report.Queued+report.Active-server.own)
+	server.otherRequests = max(0, report.Queued+report.Active-server.ownRequests)
 	server.closed, server.slowdown, server.reportAt = !report.Open, max(1, report.Pace), now
 	d.pace.slowest = d.slowest(now)
 }
@@ -72,7 +75,7 @@
 func (d *Dispatcher) slowest(now time.Time) float64 {
 	slowest := 1.0
 	for _, server := range d.servers {
-		if server.fresh(now) && server.own+server.others > 0 {
+		if server.fresh(now) && server.ownRequests+server.otherRequests > 0 {
 			slowest = max(slowest, server.slowdown)
 		}
 	}
@@ -95,8 +98,8 @@
 	return 2*normal > len(d.servers)
 }
 
-// reportedGroupState returns the state of the group according to the majority of the
-// servers with a recent report.
+// reportedGroupState returns whether the group takes work according to the majority
+// of the servers with a recent load report.
 func (d *Dispatcher) reportedGroupState(now time.Time) reportedState {
 	open, closed := 0, 0
 	for _, server := range d.servers {
@@ -122,23 +125,24 @@
 	if now.Before(s.busyUntil) || s.closed && s.fresh(now) || s.health.excluded(now) {
 		return false
 	}
-	if s.silent && s.own > 0 || !s.sends.allows(d.warmUp, now) {
+	if s.silent && s.ownRequests > 0 || !s.sends.allows(d.warmUp, now) {
 		return false
 	}
 	if d.pace.engine != nil && !s.fresh(now) {
-		return s.own < unreportedLimit
+		return s.ownRequests < unreportedLimit
 	}
 	return s.load(now) < max(1, s.candidate.Slots)
 }
 
-// load returns the number of requests at the server, as far as known.
-func (s *server) load(now time.Time) int { return s.own + s.freshOthers(now) }
+// load returns the number of requests of all entries in flight at the server, as
+// far as known.
+func (s *server) load(now time.Time) int { return s.ownRequests + s.freshOthers(now) }
 
-// Tiers of servers, in the order of preference.
+// Tiers of servers, the preferred tier first.
 const (
 	normalServer = iota
 	slowServer
-	unlistedServer
+	unlistedServer // A server that may have left the service.
 )
 
 // tier returns the server's tier. A server of a better tier is preferred whatever
@@ -162,10 +166,11 @@
 	if !s.fresh(now) {
 		return 0
 	}
-	return s.others
+	return s.otherRequests
 }
 
-// inFlight returns the requests of all entries at the service, as far as known.
+// inFlight returns the number of requests of all entries in flight at the service,
+// as far as known.
 func (d *Dispatcher) inFlight(now time.Time) int {
 	total := 0
 	for _, server := range d.servers {
--- a/policy/dispatch/silence.go
+++ b/policy/dispatch/silence.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// silenceTimeout is how long a server with requests may send nothing before it
+	// silenceTimeout is how long a server with requests may send no event before it
 	// counts as silent: four times the longest pause that users allow, and enough
 	// for two retransmissions of a lost packet. Callers give up after two seconds.
 	silenceTimeout = 500 * time.Millisecond
-	// firstEventSilenceTimeout applies while none of a server's requests has had an
-	// event: in a group that has just opened, prompts wait behind those of other
-	// entries. It is half of the time after which callers give up.
+	// firstEventSilenceTimeout replaces silenceTimeout while none of a server's
+	// requests has had an event: in a group that has just opened, prompts wait behind
+	// those of other entries. It is half of the time after which callers give up.
 	firstEventSilenceTimeout = time.Second
-	// groupActiveWindow is how recently some server of the group must have sent an
-	// event: two of the longest passes. If none has, the whole group is stalled and
-	// moving its streams gains nothing.
+	// groupActiveWindow is how recently some server of a group must have sent an
+	// event for the group to count as active: two of the longest passes. If none
+	// has, the whole group is stalled and moving its streams gains nothing.
 	groupActiveWindow = 250 * time.Millisecond
 )
 
@@ -27,7 +27,8 @@
 	}
 }
 
-// silenceLimit returns how long the server may send nothing.
+// silenceLimit returns how long the server may send no event before it counts as
+// silent.
 func (s *server) silenceLimit() time.Duration {
 	if s.lastEventAt.After(s.busySince) {
 		return silenceTimeout
@@ -37,7 +38,7 @@
 
 // FindSilent returns the servers that have requests of this entry and send
 // neither events nor reports while others of their group send events, and excludes
-// them for a while. All servers of a group advance together, so the machine of a
+// them for a while. All servers of a group execute each pass together, so the machine of a
 // silent server has stalled or the network path from it is cut. Streams that can
 // resume elsewhere should be moved. A server that still sends reports is not
 // silent: its prompts are waiting to be read.
@@ -55,7 +56,7 @@
 	}
 	var silent []string
 	for _, server := range d.servers {
-		if server.own == 0 || server.health.excluded(now) || now.Sub(server.reportAt) < silenceTimeout {
+		if server.ownRequests == 0 || server.health.excluded(now) || now.Sub(server.reportAt) < silenceTimeout {
 			continue
 		}
 		if now.Sub(latest(server.lastEventAt, server.busySince, d.groupActiveSince)) >= server.silenceLimit() {
@@ -68,8 +69,8 @@
 }
 
 // trackGroupActivity updates groupActiveSince: the time since which the group's
-// servers have sent events without a break of groupActiveWindow, or the zero time
-// while none sends any.
+// servers have sent events without a break of groupActiveWindow, or zero while none
+// sends any.
 func (d *Dispatcher) trackGroupActivity(now time.Time) {
 	active := slices.ContainsFunc(d.servers, func(s *server) bool { return now.Sub(s.lastEventAt) < groupActiveWindow })
 	switch {
--- a/policy/dispatch/silence_test.go
+++ b/policy/dispatch/silence_test.go
@@ -23,9 +23,9 @@
 	return d
 }
 
-// write lets the servers send an event in each pass for the given time, and
-// returns the servers found silent and the time at the end.
-func write(d *Dispatcher, from time.Time, lasting time.Duration, servers ...string) (silent []string, now time.Time) {
+// sendEvents lets the servers send an event in each pass for the given time, and
+// returns the servers that FindSilent has reported and the time at the end.
+func sendEvents(d *Dispatcher, from time.Time, lasting time.Duration, servers ...string) (silent []string, now time.Time) {
 	for now = from; now.Sub(from) < lasting; now = now.Add(pass) {
 		for _, id := range servers {
 			d.ObserveEvent(id, now)
@@ -35,14 +35,14 @@
 	return silent, now
 }
 
-func TestOneSilentServer(t *testing.T) {
+func TestSilentServerIsReportedAndExcluded(t *testing.T) {
 	Convey("Given a group in which every server sends events", t, func() {
 		d := streamingDispatcher(3)
-		silent, now := write(d, start, 2*time.Second, "s0", "s1", "s2")
+		silent, now := sendEvents(d, start, 2*time.Second, "s0", "s1", "s2")
 		So(silent, ShouldBeEmpty)
 
-		Convey("a server that falls silent while the others send events is reported once", func() {
-			silent, now = write(d, now, silenceTimeout+3*pass, "s0", "s2")
+		Convey("a server that stops sending events while the others send them is reported once", func() {
+			silent, now = sendEvents(d, now, silenceTimeout+3*pass, "s0", "s2")
 			So(silent, ShouldResemble, []string{"s1"})
 			Convey("and gets no new requests for a while", func() {
 				for i := range 4 {
@@ -53,7 +53,7 @@
 			})
 			Convey("and is tried again after its exclusion", func() {
 				d.Done("s1", CallerLeft, now)
-				_, now = write(d, now, initialExclusion, "s0", "s2")
+				_, now = sendEvents(d, now, initialExclusion, "s0", "s2")
 				So(d.byID["s1"].health.excluded(now), ShouldBeFalse)
 				Convey("with one request until it sends an event", func() {
 					tried := func() (tried int) {
@@ -74,28 +74,28 @@
 		Convey("a server that sends reports is not silent, however long its prompts wait to be read", func() {
 			for range 20 {
 				d.Report("s1", Report{Queued: 1, Open: true}, now)
-				silent, now = write(d, now, 2*pass, "s0", "s2")
+				silent, now = sendEvents(d, now, 2*pass, "s0", "s2")
 				So(silent, ShouldBeEmpty)
 			}
 		})
 		Convey("no server is silent while the whole group is stalled", func() {
-			silent, _ = write(d, now, 3*time.Second)
+			silent, _ = sendEvents(d, now, 3*time.Second)
 			So(silent, ShouldBeEmpty)
 		})
 		Convey("a group that resumes after a stall gets time to send events", func() {
-			_, now = write(d, now, 3*time.Second)
+			_, now = sendEvents(d, now, 3*time.Second)
 			d.ObserveEvent("s0", now)
 			So(d.FindSilent(now), ShouldBeEmpty)
-			silent, _ = write(d, now.Add(pass), 2*time.Second, "s0", "s1", "s2")
+			silent, _ = sendEvents(d, now.Add(pass), 2*time.Second, "s0", "s1", "s2")
 			So(silent, ShouldBeEmpty)
 		})
 		Convey("a server without requests of this entry is not silent", func() {
 			d.Done("s1", Served, now)
-			silent, now = write(d, now, 2*time.Second, "s0", "s2")
+			silent, now = sendEvents(d, now, 2*time.Second, "s0", "s2")
 			So(silent, ShouldBeEmpty)
 			Convey("and its next request gets the full time to its first event", func() {
 				d.byID["s1"].requestSent(now)
-				silent, _ = write(d, now, firstEventSilenceTimeout-pass, "s0", "s2")
+				silent, _ = sendEvents(d, now, firstEventSilenceTimeout-pass, "s0", "s2")
 				So(silent, ShouldBeEmpty)
 			})
 		})
@@ -104,7 +104,7 @@
 		d := plainDispatcher(2, 4)
 		d.byID["s0"].requestSent(start)
 		d.byID["s1"].requestSent(start)
-		silent, _ := write(d, start, 3*time.Second, "s0")
+		silent, _ := sendEvents(d, start, 3*time.Second, "s0")
 		So(silent, ShouldBeEmpty)
 	})
 }
--- a/policy/dispatch/warm_up_limit.go
+++ b/policy/dispatch/warm_up_limit.go
@@ -8,8 +8,8 @@
 type WarmUpLimit struct {
 	PerSecond      float64 // Requests per second that a cold server can take from all entries; 0 for no limit.
 	OverloadFactor float64 // Multiple of PerSecond at which the server is overloaded.
-	ExtraPerSecond float64 // Requests per second allowed beyond that.
-	Entries        int     // Upper estimate of the running entries.
+	ExtraPerSecond float64 // Requests per second allowed in addition to PerSecond*OverloadFactor.
+	Entries        int     // Upper estimate of the number of running entries.
 }
 
 // serversPerEntry is the least number of backend servers per entry, spare entries
@@ -22,26 +22,27 @@
 // running.
 func (r *WarmUpLimit) raiseEntries(servers int) { r.Entries = max(r.Entries, servers/serversPerEntry) }
 
-// perEntryLimit returns the requests per second that this entry may send to a
-// server, whether it is known to be cold or not: it may have just turned cold.
+// perEntryLimit returns the requests per second that this entry may send to one
+// server. It applies whether the server is known to be cold or not, because the
+// server may have just turned cold.
 func (r WarmUpLimit) perEntryLimit() float64 {
 	return (r.PerSecond*r.OverloadFactor + r.ExtraPerSecond) / float64(max(1, r.Entries))
 }
 
 // sendWindow records when requests were sent to one server within the last second.
-type sendWindow struct{ sent []time.Time }
+type sendWindow struct{ sentAt []time.Time }
 
 func (w *sendWindow) allows(limit WarmUpLimit, now time.Time) bool {
 	if limit.PerSecond <= 0 {
-		w.sent = w.sent[:0]
+		w.sentAt = w.sentAt[:0]
 		return true
 	}
 	expired := 0
-	for expired < len(w.sent) && now.Sub(w.sent[expired]) >= time.Second {
+	for expired < len(w.sentAt) && now.Sub(w.sentAt[expired]) >= time.Second {
 		expired++
 	}
-	w.sent = w.sent[expired:]
-	return float64(len(w.sent)+1) <= max(1, limit.perEntryLimit())
+	w.sentAt = w.sentAt[expired:]
+	return float64(len(w.sentAt)+1) <= max(1, limit.perEntryLimit())
 }
 
-func (w *sendWindow) requestSent(now time.Time) { w.sent = append(w.sent, now) }
+func (w *sendWindow) requestSent(now time.Time) { w.sentAt = append(w.sentAt, now) }
--- a/policy/evidence/evidence.go
+++ b/policy/evidence/evidence.go
@@ -1,12 +1,13 @@
 // Package evidence decides whether an agent may start new work: only while it
 // has recent evidence that its configuration is current. A process that was
-// paused or cut off does not know whether its data centre has been taken
-// out, so it must stop when evidence is missing.
+// paused or cut off from the network does not know whether its data centre has
+// been taken out, so it must start no work while evidence is missing.
 //
 // A read of the table service is always evidence, whether the process made the
 // read itself or a peer reported it. While the table service is down for every
-// process, no change can be accepted, so contact with peers can be evidence as
-// well; ContactRule says which contacts count.
+// process, no change can be accepted, so contact with peers (an exchange in which
+// a peer answers with its own revision) can be evidence as well; ContactRule says
+// which contacts count.
 package evidence
 
 import (
@@ -27,18 +28,18 @@
 	// change with a delay.
 	MaxContactAge = 3 * time.Second
 
-	askInterval = time.Second
-	askJitter   = 250 * time.Millisecond
-	// askAllAge is the age of the newest known read of the table service from
+	peerQueryInterval = time.Second
+	peerQueryJitter   = 250 * time.Millisecond
+	// askEveryDataCentreAge is the age of the newest known read of the table service from
 	// which one peer in every data centre is asked instead of one peer anywhere.
-	askAllAge  = 2200 * time.Millisecond
-	retryAfter = time.Second
+	askEveryDataCentreAge = 2200 * time.Millisecond
+	retryAfter            = time.Second
 )
 
 // ContactRule says which contacts with peers count as evidence.
 type ContactRule int
 
-// The contact rules, from strict to lenient.
+// The contact rules, the strictest first.
 const (
 	// StoreOnly accepts no contact as evidence.
 	StoreOnly ContactRule = iota
@@ -60,13 +61,13 @@
 // before its answers count as evidence for others.
 type StartupCheck int
 
-// The start-up checks.
+// The values of StartupCheck.
 const (
 	// NoStartupCheck accepts the answers of every process that has a
 	// configuration.
 	NoStartupCheck StartupCheck = iota
 	// PeerStartupCheck sets State.Started on evidence from the table service,
-	// on contact with a peer whose Started is set, or on contact with a peer
+	// on contact with a peer whose State.Started is set, or on contact with a peer
 	// in every data centre that is not taken out. Until then the process may not
 	// start work on the evidence of contacts either.
 	PeerStartupCheck
@@ -91,20 +92,20 @@
 // reasons.
 var DefaultPolicy = Policy{ContactRule: EveryDataCentre, StartupCheck: StoreStartupCheck}
 
-// State is a process's evidence, apart from view.State.CurrentAt.
+// State is the evidence that a process has, except for the time of the last read of
+// the table service, which is view.State.CurrentAt.
 type State struct {
 	Policy   Policy
 	BootedAt time.Time // Time of the first input.
 	Started  bool      // Whether the start-up check has passed.
-	// Contacts holds, by data centre, the start of the latest exchange with a
-	// peer there that knew no newer configuration. The map is replaced, never
-	// modified.
+	// Contacts holds, by data centre, when the latest exchange began with a peer
+	// there that knew no newer configuration. The map is replaced, never modified.
 	Contacts      map[string]time.Time
 	NextPeerQuery time.Time
 }
 
-// AskPeers requests exchanges with peers; each reply arrives as a
-// view.ExchangeAnswered.
+// AskPeers requests that the process query peers for their revisions; each reply
+// arrives as a view.ExchangeAnswered.
 type AskPeers struct {
 	// DataCentres lists the data centres in which to ask one peer each; empty
 	// means one peer in any data centre.
@@ -113,34 +114,35 @@
 
 func (AskPeers) EffectName() string { return "evidence.ask" }
 
-// Step reduces one input. view.Step must have reduced the same input before.
-func Step(state State, known view.State, input reduce.Input) (State, []reduce.Effect) {
+// Step applies one input to the state and returns the resulting effects. view.Step
+// must have processed the same input before.
+func Step(state State, viewState view.State, input reduce.Input) (State, []reduce.Effect) {
 	if exchange, ok := input.Event.(view.ExchangeAnswered); ok {
-		state = applyExchange(state, known, exchange)
+		state = applyExchange(state, viewState, exchange)
 	}
 	if state.BootedAt.IsZero() {
 		state.BootedAt = input.Now
 	}
-	if known.CurrentAt.After(state.BootedAt) {
+	if viewState.CurrentAt.After(state.BootedAt) {
 		state.Started = true
 	}
 	if _, ok := input.Event.(reduce.Tick); !ok || input.Now.Before(state.NextPeerQuery) {
 		return state, nil
 	}
-	jitter := time.Duration(input.Random % uint64(askJitter))
-	state.NextPeerQuery = input.Now.Add(askInterval - jitter)
-	return state, []reduce.Effect{AskPeers{DataCentres: dataCentresToAsk(known, input.Now)}}
+	jitter := time.Duration(input.Random % uint64(peerQueryJitter))
+	state.NextPeerQuery = input.Now.Add(peerQueryInterval - jitter)
+	return state, []reduce.Effect{AskPeers{DataCentres: dataCentresToAsk(viewState, input.Now)}}
 }
 
 // applyExchange records the contact with a peer, unless the peer has no
 // configuration, has not passed its start-up check or has a newer revision.
-func applyExchange(state State, known view.State, exchange view.ExchangeAnswered) State {
-	if state.Policy.StartupCheck == PeerStartupCheck && (exchange.Started || state.hasContactEverywhere(known, exchange.BeganAt)) {
+func applyExchange(state State, viewState view.State, exchange view.ExchangeAnswered) State {
+	if state.Policy.StartupCheck == PeerStartupCheck && (exchange.Started || state.hasContactEverywhere(viewState, exchange.BeganAt)) {
 		state.Started = true
 	}
 	hasNoRevision := exchange.Revision == 0
 	unconfirmed := state.Policy.StartupCheck != NoStartupCheck && !exchange.Started
-	if hasNoRevision || unconfirmed || exchange.Revision > known.Revision() {
+	if hasNoRevision || unconfirmed || exchange.Revision > viewState.Revision() {
 		return state
 	}
 	if exchange.BeganAt.Before(state.Contacts[exchange.DataCentre]) {
@@ -155,12 +157,12 @@
 
 // dataCentresToAsk returns the data centres in which one peer each must be
 // asked; nil means one peer in any data centre.
-func dataCentresToAsk(known view.State, now time.Time) []string {
-	if known.InForce == nil || known.Age(now) < askAllAge {
+func dataCentresToAsk(viewState view.State, now time.Time) []string {
+	if viewState.InForce == nil || viewState.Age(now) < askEveryDataCentreAge {
 		return nil
 	}
 	var names []string
-	for name, dataCentre := range known.InForce.DataCentres {
+	for name, dataCentre := range viewState.InForce.DataCentres {
 		if !dataCentre.TakenOut {
 			names = append(names, name)
 		}
@@ -171,21 +173,21 @@
 
 // CheckNewWork returns why a process in dataCentre may not start new work now,
 // or nil if it may.
-func (s State) CheckNewWork(known view.State, dataCentre string, now time.Time) *result.Error {
-	if known.InForce != nil && known.Age(now) <= MaxStoreAge {
+func (s State) CheckNewWork(viewState view.State, dataCentre string, now time.Time) *result.Error {
+	if viewState.InForce != nil && viewState.Age(now) <= MaxStoreAge {
 		return nil
 	}
 	confirmed := s.Policy.StartupCheck != PeerStartupCheck || s.Started
-	if known.InForce != nil && !known.Behind() && confirmed && s.hasRequiredContacts(known, dataCentre, now) {
+	if viewState.InForce != nil && !viewState.Behind() && confirmed && s.hasRequiredContacts(viewState, dataCentre, now) {
 		return nil
 	}
 	return &result.Error{Code: result.StaleConfiguration, RetryAfter: retryAfter}
 }
 
-func (s State) hasRequiredContacts(known view.State, dataCentre string, now time.Time) bool {
+func (s State) hasRequiredContacts(viewState view.State, dataCentre string, now time.Time) bool {
 	switch s.Policy.ContactRule {
 	case EveryDataCentre:
-		return s.hasContactEverywhere(known, now)
+		return s.hasContactEverywhere(viewState, now)
 	case OtherDataCentre:
 		return s.hasAnyContact(now, func(name string) bool { return name != dataCentre })
 	case AnyPeer:
@@ -194,11 +196,11 @@
 	return false
 }
 
-func (s State) hasContactEverywhere(known view.State, now time.Time) bool {
-	if known.InForce == nil {
+func (s State) hasContactEverywhere(viewState view.State, now time.Time) bool {
+	if viewState.InForce == nil {
 		return false
 	}
-	for name, dataCentre := range known.InForce.DataCentres {
+	for name, dataCentre := range viewState.InForce.DataCentres {
 		if !dataCentre.TakenOut && now.Sub(s.Contacts[name]) > MaxContactAge {
 			return false
 		}
--- a/policy/jsonfile/check.go
+++ b/policy/jsonfile/check.go
@@ -14,14 +14,14 @@
 
 var (
 	unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
-	bytesType       = reflect.TypeFor[[]byte]() // encoding/json writes it as a base64 string.
+	bytesType       = reflect.TypeFor[[]byte]() // encoding/json encodes this type as a base64 string.
 )
 
 // checker checks a document against a Go type.
 type checker struct {
 	document *Document
 	problems Problems
-	fields   map[reflect.Type]map[string]reflect.Type // By struct type.
+	fields   map[reflect.Type]map[string]reflect.Type // Cached results of the function fieldsOf, by struct type.
 }
 
 func (c *checker) report(value *hujson.Value, message, hint string) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// checkDuplicates reports names that appear twice in an object.
+// checkDuplicates reports the names that appear twice if the value is an object.
 func (c *checker) checkDuplicates(value *hujson.Value) {
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
--- a/policy/jsonfile/edit.go
+++ b/policy/jsonfile/edit.go
@@ -7,9 +7,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// SetInList sets one field in the element called name of a list of objects and
-// returns the edited text, which keeps its comments. It reports whether the
-// element exists.
+// SetInList sets one field of an object in the file's top-level list called list:
+// the one whose field "name" has the value name. It returns the edited text, which
+// keeps its comments, and reports whether the object exists.
 func SetInList(file string, text []byte, list, name, field string, value any) (edited []byte, found bool, err error) {
 	document, err := Parse(file, text)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return root.Pack(), true, nil
 }
 
-// patchOperation is one operation of a JSON Patch.
+// patchOperation is one operation of a JSON Patch (RFC 6902).
 type patchOperation struct {
 	Op    string `json:"op"`
 	Path  string `json:"path"`
--- a/policy/jsonfile/jsonfile.go
+++ b/policy/jsonfile/jsonfile.go
@@ -43,16 +43,16 @@
 		message := fmt.Sprintf("values are nested more than %d deep", MaxDepth)
 		return nil, Problems{d.problem(offset, message, "no configuration file needs such depth")}
 	}
-	// Document.Decode modifies the tree and the bytes that it refers to, so parse a
-	// copy.
+	// Document.Decode modifies the syntax tree and the bytes that the tree refers to,
+	// so parse a copy.
 	root, err := hujson.Parse(bytes.Clone(data))
 	if err != nil {
 		// hujson requires a line break after a comment on the last line.
-		withBreak, breakErr := hujson.Parse(append(bytes.Clone(data), '\n'))
-		if breakErr != nil {
+		withNewline, retryErr := hujson.Parse(append(bytes.Clone(data), '\n'))
+		if retryErr != nil {
 			return nil, Problems{d.syntaxProblem(err)}
 		}
-		root = withBreak
+		root = withNewline
 	}
 	d.root = root
 	return d, nil
@@ -90,11 +90,11 @@
 		if value := d.root.Find(pointer); value != nil {
 			return d.problem(value.StartOffset, message, hint)
 		}
-		cut := strings.LastIndexByte(pointer, '/')
-		if cut < 0 {
+		slash := strings.LastIndexByte(pointer, '/')
+		if slash < 0 {
 			return d.problem(0, message, hint)
 		}
-		pointer = pointer[:cut]
+		pointer = pointer[:slash]
 	}
 }
 
--- a/policy/jsonfile/problem.go
+++ b/policy/jsonfile/problem.go
@@ -20,14 +20,14 @@
 // String returns the problem as one line that starts with file:line:column, which
 // editors recognise.
 func (p Problem) String() string {
-	place := p.File
+	position := p.File
 	if p.Line > 0 {
-		place = fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
+		position = fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 	}
 	if p.Hint == "" {
-		return place + ": " + p.Message
+		return position + ": " + p.Message
 	}
-	return place + ": " + p.Message + "; " + p.Hint
+	return position + ": " + p.Message + "; " + p.Hint
 }
 
 // Problems is a list of problems. It is an error if it is not empty.
--- a/policy/once/agent.go
+++ b/policy/once/agent.go
@@ -5,8 +5,8 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// maxResolveAttempts is the number of reads and cancellations that an agent
-// makes to determine the outcome of its write before it gives up the execution.
+// maxResolveAttempts is how often an agent reads the row, and cancels it, to
+// determine the outcome of its write before it gives up the execution.
 const maxResolveAttempts = 4
 
 // phase is the phase of an execution at its agent.
@@ -14,12 +14,12 @@
 
 const (
 	reading    phase = iota // Reading the version of a cancelled row.
-	starting                // Writing the started row.
-	resolving               // Determining the outcome of that write.
+	starting                // Writing the row in state Started.
+	resolving               // Determining the outcome of the write of the started row.
 	cancelling              // Cancelling the row so that a delayed write cannot take effect.
 	calling                 // Waiting for the backend server.
 	releasing               // Releasing the row: the work will not run.
-	storing                 // Writing the answer.
+	storing                 // Writing the answer to the row.
 	finished
 )
 
@@ -33,24 +33,24 @@
 	fingerprint     string
 	resolveAttempts int
 	answer          Answer
-	refusal         result.Code
+	refusalCode     result.Code
 }
 
-// NewAgent starts an execution in the epoch for work that the agent has
-// admitted.
+// NewAgent starts an execution for work that the agent has admitted. The epoch is
+// that of the attempt, at which the row must be.
 func NewAgent(epoch uint64, fingerprint string, execution Execution) (Agent, reduce.Effect) {
-	a := Agent{epoch: epoch, fingerprint: fingerprint, execution: execution, refusal: result.StoreUnavailable}
+	a := Agent{epoch: epoch, fingerprint: fingerprint, execution: execution, refusalCode: result.StoreUnavailable}
 	if epoch > 0 {
 		return a, ReadRow{}
 	}
 	return a.write(Row{}, 0)
 }
 
-// Storing returns the backend server's answer and whether it has answered and
-// the answer is being stored.
+// Storing returns the backend server's answer, and whether there is one that is
+// being stored.
 func (a Agent) Storing() (Answer, bool) { return a.answer, a.phase == storing }
 
-// Step processes one event.
+// Step processes one event and returns the successor and the next effect.
 func (a Agent) Step(event reduce.Event) (Agent, reduce.Effect) {
 	switch a.phase {
 	case reading:
@@ -98,11 +98,12 @@
 	return a.resolveWrite()
 }
 
-// started calls the backend server. A start that became known only after the
-// deadline is released instead, because no caller waits for the answer.
+// started calls the backend server after the started row was written. If that
+// became known only after the request's deadline, it releases the row instead,
+// because no caller waits for the answer.
 func (a Agent) started(late bool) (Agent, reduce.Effect) {
 	if late {
-		a.refusal = result.Cancelled
+		a.refusalCode = result.Cancelled
 		return a.release()
 	}
 	a.phase = calling
@@ -150,7 +151,7 @@
 func (a Agent) stepCalling(event reduce.Event) (Agent, reduce.Effect) {
 	answered, ok := event.(Answered)
 	if !ok {
-		a.refusal = result.NoBackendServer
+		a.refusalCode = result.NoBackendServer
 		return a.release()
 	}
 	a.answer = answered.Answer
@@ -158,12 +159,12 @@
 }
 
 // stepReleasing makes at most one attempt to release the row. That is enough
-// because the execution is inactive in any case, and this agent reports so when
-// it is queried.
+// because the execution is inactive in any case, and this agent answers that it is
+// inactive when an entry queries its progress.
 func (a Agent) stepReleasing(event reduce.Event) (Agent, reduce.Effect) {
 	read, ok := event.(RowRead)
 	if !ok || !read.Row.heldBy(a.execution) {
-		return a.refuse(a.refusal)
+		return a.refuse(a.refusalCode)
 	}
 	return a, WriteRow{Version: read.Version, Row: read.Row.cancel(a.fingerprint, false)}
 }
@@ -173,7 +174,8 @@
 	return a, ReadRow{Delayed: delayed}
 }
 
-// stepStoring retries the write until the answer is known to be stored.
+// stepStoring retries the write of the answer until it is known to be stored or
+// the row no longer names the execution.
 func (a Agent) stepStoring(event reduce.Event) (Agent, reduce.Effect) {
 	switch event := event.(type) {
 	case RowRead:
--- a/policy/once/budget.go
+++ b/policy/once/budget.go
@@ -10,11 +10,12 @@
 }
 
 const (
-	finalCancelsPerSecond = 50 // All entries combined.
-	finalCancelBurst      = 5  // Per entry.
+	finalCancelsPerSecond = 50 // Final cancellations per second of all entries combined.
+	finalCancelBurst      = 5  // Most tokens that one entry's bucket holds.
 )
 
-// Take takes a token for one write and reports whether one was available.
+// Take takes a token for one final cancellation and reports whether one was
+// available.
 // entries is the number of live entries, which share the rate.
 func (b CancelBudget) Take(now time.Time, entries int) (CancelBudget, bool) {
 	rate := finalCancelsPerSecond / float64(max(entries, 1))
--- a/policy/once/entry.go
+++ b/policy/once/entry.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	maxAttempts           = 3
+	maxAttempts           = 3 // Attempts sent for one request.
 	maxReads              = 6 // Reads of the row for one request.
 	maxUnreachableReplies = 5 // Progress queries without a reply, for one request.
 )
@@ -26,30 +26,30 @@
 	callerKey          bool // The caller chose the key, so other requests may use it too.
 	fingerprint        string
 	intent             intent
-	admittedEpoch      uint64 // Epoch at which the request was admitted.
+	admittedEpoch      uint64 // Epoch of the row when the request was admitted.
 	epoch              uint64 // Epoch of the latest attempt.
 	attempts           int
 	reads              int
-	unreachableReplies int
-	inFlight           bool // An attempt of the epoch may be in flight.
-	pendingWrite       Row  // Cancelled row that is being written.
-	queried            Execution
-	knownInactive      Execution
-	agentRestarted     Execution
-	refusal            result.Code // Reason why the latest attempt did not run.
+	unreachableReplies int         // Progress queries that got no reply.
+	mayBeInFlight      bool        // An attempt that this entry sent, or that the row names, may still run.
+	pendingWrite       Row         // Cancelled row that is being written.
+	queriedExecution   Execution   // Execution whose progress was queried last.
+	inactiveExecution  Execution   // Execution that its agent has reported as inactive.
+	orphanedExecution  Execution   // Execution whose agent has restarted since it began.
+	refusalCode        result.Code // Reason why the latest attempt did not run.
 }
 
 // NewEntry admits a request. callerKey reports whether the caller chose the key.
 // No other request knows a generated key, so its row is not read.
 func NewEntry(callerKey bool, fingerprint string) (Entry, reduce.Effect) {
-	e := Entry{callerKey: callerKey, fingerprint: fingerprint, refusal: result.Cancelled}
+	e := Entry{callerKey: callerKey, fingerprint: fingerprint, refusalCode: result.Cancelled}
 	if callerKey {
 		return e.read()
 	}
 	return e.send(0)
 }
 
-// Step processes one event.
+// Step processes one event and returns the successor and the next effect.
 func (e Entry) Step(event reduce.Event) (Entry, reduce.Effect) {
 	switch event := event.(type) {
 	case RowRead:
@@ -59,16 +59,16 @@
 	case Refused:
 		return e.refused(event.Code)
 	case NoTarget:
-		if e.refusal == result.Cancelled { // No attempt was refused before.
-			e.refusal = event.Code
+		if e.refusalCode == result.Cancelled { // No attempt was refused before.
+			e.refusalCode = event.Code
 		}
 		return e.giveUp()
 	case Superseded:
 		e.intent = retry
 		return e.read()
 	case NoReply:
-		e.inFlight = true
-		e.intent = e.next()
+		e.mayBeInFlight = true
+		e.intent = e.nextIntent()
 		return e.read()
 	case WriteSucceeded:
 		return e.cancelled()
@@ -77,13 +77,13 @@
 	case ProgressReported:
 		return e.progressReported(event.Progress)
 	case Expired:
-		e.inFlight = e.inFlight || e.attempts > 0
+		e.mayBeInFlight = e.mayBeInFlight || e.attempts > 0
 	}
 	return e.endUnknown() // ReadFailed, WriteSkipped, Expired.
 }
 
-// next returns the intent for when no attempt is in flight.
-func (e Entry) next() intent {
+// nextIntent returns the intent for when no attempt is in flight.
+func (e Entry) nextIntent() intent {
 	if e.attempts < maxAttempts {
 		return retry
 	}
@@ -92,7 +92,7 @@
 
 func (e Entry) send(epoch uint64) (Entry, reduce.Effect) {
 	e.epoch = epoch
-	e.inFlight = false
+	e.mayBeInFlight = false
 	e.intent = retry
 	e.attempts++
 	return e, SendAttempt{Epoch: epoch}
@@ -106,9 +106,10 @@
 	return e, ReadRow{}
 }
 
-// refused continues after an attempt that did not run and never will.
+// refused sends the next attempt, or gives up, after an attempt that did not run
+// and never will.
 func (e Entry) refused(code result.Code) (Entry, reduce.Effect) {
-	e.refusal = code
+	e.refusalCode = code
 	if e.attempts < maxAttempts && code != result.StoreUnavailable {
 		return e.send(e.epoch)
 	}
@@ -120,15 +121,15 @@
 // did not run.
 func (e Entry) giveUp() (Entry, reduce.Effect) {
 	if !e.callerKey {
-		return e, Refuse{Code: e.refusal, NotRunBefore: MaxEpoch}
+		return e, Refuse{Code: e.refusalCode, NotRunBefore: MaxEpoch}
 	}
 	e.intent = abandon
 	return e.read()
 }
 
-// endUnknown ends the request without a guarantee that the work did not run.
+// endUnknown refuses the request without a guarantee that the work did not run.
 func (e Entry) endUnknown() (Entry, reduce.Effect) {
-	if e.inFlight {
+	if e.mayBeInFlight {
 		return e, Refuse{Code: result.OutcomeUnknown}
 	}
 	return e, Refuse{Code: result.KeyStateUnknown}
@@ -150,23 +151,23 @@
 }
 
 func (e Entry) resolveStarted(row Row, version uint64) (Entry, reduce.Effect) {
-	e.inFlight = true
+	e.mayBeInFlight = true
 	switch row.Execution {
-	case e.agentRestarted:
+	case e.orphanedExecution:
 		return e, Refuse{Code: result.OutcomeUnknown}
-	case e.knownInactive:
+	case e.inactiveExecution:
 		return e.cancel(row, version)
 	}
-	e.queried = row.Execution
+	e.queriedExecution = row.Execution
 	return e, QueryProgress{Execution: row.Execution}
 }
 
 func (e Entry) resolveOpen(row Row, version uint64) (Entry, reduce.Effect) {
 	switch {
 	case row.Ended > e.admittedEpoch && row.finallyCancelled():
-		return e, Refuse{Code: e.refusal, NotRunBefore: row.Ended}
+		return e, Refuse{Code: e.refusalCode, NotRunBefore: row.Ended}
 	case row.Ended > e.admittedEpoch:
-		e.inFlight = false
+		e.mayBeInFlight = false
 		return e.endUnknown()
 	case e.intent == admit:
 		return e.send(row.Epoch)
@@ -179,7 +180,7 @@
 // attemptInFlight reports whether an attempt of this entry may still start from
 // the row.
 func (e Entry) attemptInFlight(row Row) bool {
-	return e.inFlight && row.Epoch == e.epoch
+	return e.mayBeInFlight && row.Epoch == e.epoch
 }
 
 func (e Entry) sendOrGiveUp(row Row, version uint64) (Entry, reduce.Effect) {
@@ -190,20 +191,20 @@
 	return e.cancel(row, version)
 }
 
-// cancel moves the row to the next epoch. The cancellation is final if the
-// request ends with it.
+// cancel writes the row as cancelled at the next epoch, so that earlier attempts
+// cannot start. The cancellation is final if the request ends with it.
 func (e Entry) cancel(row Row, version uint64) (Entry, reduce.Effect) {
 	if row.Ended > e.admittedEpoch {
 		return e.endUnknown()
 	}
-	final := e.next() == abandon || e.intent == abandon
+	final := e.nextIntent() == abandon || e.intent == abandon
 	e.pendingWrite = row.cancel(e.fingerprint, final)
 	return e, WriteRow{Version: version, Row: e.pendingWrite, Budgeted: final}
 }
 
 func (e Entry) cancelled() (Entry, reduce.Effect) {
 	if e.pendingWrite.finallyCancelled() {
-		return e, Refuse{Code: e.refusal, NotRunBefore: e.pendingWrite.Ended}
+		return e, Refuse{Code: e.refusalCode, NotRunBefore: e.pendingWrite.Ended}
 	}
 	return e.send(e.pendingWrite.Epoch)
 }
@@ -213,12 +214,12 @@
 func (e Entry) progressReported(progress Progress) (Entry, reduce.Effect) {
 	switch progress {
 	case Running:
-		return e, QueryProgress{Execution: e.queried}
+		return e, QueryProgress{Execution: e.queriedExecution}
 	case Inactive:
-		e.knownInactive = e.queried
+		e.inactiveExecution = e.queriedExecution
 		return e.read()
 	case AgentRestarted:
-		e.agentRestarted = e.queried
+		e.orphanedExecution = e.queriedExecution
 		return e.read()
 	}
 	e.unreachableReplies++
--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -11,8 +11,8 @@
 )
 
 // explorer is a model checker: it visits every reachable state of the model once
-// and checks the invariants in each. A visited state is remembered by two
-// independent hashes.
+// and checks the invariants in each. It records a visited state by two independent
+// hashes.
 type explorer struct {
 	t        testing.TB
 	scenario scenario
@@ -241,8 +241,8 @@
 	}
 }
 
-// reply delivers the event to the request if it still awaits the message's
-// reply.
+// reply delivers the event, as the reply to the message with this number, to the
+// request that sent the message if the request still awaits the reply.
 func (x *explorer) reply(step string, w modelState, number int, event reduce.Event) {
 	i := int(w.sent[number].request)
 	if w.requests[i].finished || w.requests[i].awaiting != uint8(number+1) {
--- a/policy/once/interleaving_test.go
+++ b/policy/once/interleaving_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// quickScenarios are small enough for every test run.
+// quickScenarios have few enough states to be enumerated in every test run.
 var quickScenarios = []scenario{
 	{"two entries, delayed write", []string{"a", "a"}, true, faultBudget{DelayedWrite: 1, Timeout: 1}, 2, 0},
 	{"two entries, lost answer", []string{"a", "a"}, true, faultBudget{LostAnswer: 1, Refusal: 1}, 2, 0},
@@ -18,7 +18,7 @@
 	{"generated key", []string{"a"}, false, faultBudget{DelayedWrite: 1, StoreDown: 1, Timeout: 1, Refusal: 1}, 3, 0},
 }
 
-// fullScenarios take minutes; run them with -args -full.
+// fullScenarios take minutes to enumerate; run them with -args -full.
 var fullScenarios = []scenario{
 	{"two entries, store faults", []string{"a", "a"}, true, faultBudget{LostAnswer: 1, DelayedWrite: 1, Timeout: 1, Refusal: 1}, 3, 0},
 	{"two entries, restarts", []string{"a", "a"}, true, faultBudget{EntryCrash: 1, AgentCrash: 1, Timeout: 1, StoreDown: 1, DelayedWrite: 1}, 3, 0},
--- a/policy/once/messages.go
+++ b/policy/once/messages.go
@@ -3,20 +3,20 @@
 import "persimmonwind.dev/policy/result"
 
 // ReadRow requests a read of the key's row; the result is RowRead or ReadFailed.
-type ReadRow struct{ Delayed bool } // Delayed requests a pause before the read.
+type ReadRow struct{ Delayed bool } // Delayed requests a short wait before the read.
 
 // WriteRow requests a compare-and-set of the row against the version; the result
-// is WriteSucceeded, WriteConflict, WriteUnknown or, for a budgeted write of an
-// entry, WriteSkipped.
+// is WriteSucceeded, WriteConflict, WriteUnknown or, for a final cancellation by an
+// entry whose CancelBudget is exhausted, WriteSkipped.
 type WriteRow struct {
 	Version  uint64
 	Row      Row
-	Budgeted bool // Takes a token from the budget of final cancellations.
+	Budgeted bool // A final cancellation, which takes a token from the entry's CancelBudget.
 }
 
-// SendAttempt requests that an entry choose a backend server and send it an
-// attempt of the epoch; the result is Answered, Refused, Superseded, NoReply or
-// NoTarget.
+// SendAttempt requests that an entry choose a backend server and send its agent an
+// attempt, which may start only while the row is at this epoch; the result is
+// Answered, Refused, Superseded, NoReply or NoTarget.
 type SendAttempt struct{ Epoch uint64 }
 
 // QueryProgress requests the execution's progress from its agent; the result is
@@ -69,25 +69,29 @@
 // WriteUnknown reports that the write may have taken effect or may still do so.
 type WriteUnknown struct{}
 
-// WriteSkipped reports that the budget of final cancellations is exhausted.
+// WriteSkipped reports that a final cancellation was not written because the
+// entry's CancelBudget is exhausted.
 type WriteSkipped struct{}
 
 // Answered carries the backend server's answer.
 type Answered struct{ Answer Answer }
 
-// Refused reports that the attempt did not run and never will.
+// Refused reports that an agent refused the attempt: it did not run and never will.
 type Refused struct{ Code result.Code }
 
 // NoTarget reports that no backend server is available for an attempt.
 type NoTarget struct{ Code result.Code }
 
-// Superseded reports that the row did not allow the attempt.
+// Superseded reports that an agent found a row that does not allow the attempt,
+// because another attempt has changed it.
 type Superseded struct{}
 
-// NoReply reports that the attempt got no reply and may be in flight.
+// NoReply reports that no reply to the attempt arrived, so that it may still be in
+// flight.
 type NoReply struct{}
 
-// BackendNotCalled reports that the backend server was not called.
+// BackendNotCalled reports that the agent could not call the backend server, so
+// the work did not run.
 type BackendNotCalled struct{}
 
 // Expired reports that the request's deadline has passed or its caller has
@@ -97,12 +101,12 @@
 // Progress is the progress of an execution as its agent reports it.
 type Progress int
 
-// Progress of an execution.
+// The values of Progress.
 const (
 	Unreachable    Progress = iota // The agent did not reply.
 	Running                        // It may still start, is running, or its answer is not yet stored.
 	Inactive                       // It was given up permanently, or its answer is stored.
-	AgentRestarted                 // The agent has restarted since; the outcome is unknown.
+	AgentRestarted                 // The agent has restarted since it began; the outcome is unknown.
 )
 
 // ProgressReported carries the result of QueryProgress.
--- a/policy/once/model_test.go
+++ b/policy/once/model_test.go
@@ -14,27 +14,27 @@
 	agents      = 2
 )
 
-// faultBudget bounds the number of faults in one enumeration; each fault may
-// occur at any point.
+// faultBudget holds, for each kind of fault, how often it may occur in one execution
+// of the model; a fault may occur at any point.
 type faultBudget struct {
 	StoreDown, LostAnswer, DelayedWrite, Duplicate, Timeout, EntryCrash, AgentCrash, Refusal, BackendNotCalled, LateStart int
 }
 
-// scenario is the configuration of one enumeration.
+// scenario is the configuration of one enumeration of the model's states.
 type scenario struct {
 	name      string
 	bodies    []string // One for each request; all requests share the key.
 	callerKey bool
 	faults    faultBudget
 	attempts  int // Maximum number of attempts that are sent.
-	refused   int // Number of requests, from the first, that find no backend server.
+	refused   int // Number of requests, counted from the first, for which no backend server is available.
 }
 
 type requestState struct {
 	arrived, finished bool
 	machine           Entry
 	effect            reduce.Effect
-	awaiting          uint8 // Message whose reply is awaited, counted from 1; 0 for none.
+	awaiting          uint8 // Number, from 1, of the message whose reply is awaited; 0 for none.
 }
 
 type sentMessage struct {
@@ -55,7 +55,8 @@
 	write WriteRow
 }
 
-// modelState is the whole state of the model; it is comparable.
+// modelState is the whole state of the model: the row, the requests at entries, the
+// messages, the executions at agents and the faults left. It is comparable.
 type modelState struct {
 	row        Row
 	version    uint64
@@ -108,8 +109,8 @@
 	return Inactive
 }
 
-// end drops the state of a request that has ended, so that equal states compare
-// equal.
+// end discards the details of a request that has ended, so that model states that
+// differ only in them compare equal.
 func (w *modelState) end(r *requestState) { *r = requestState{arrived: true, finished: true} }
 
 // stop makes an execution inactive.
--- a/policy/once/row.go
+++ b/policy/once/row.go
@@ -3,11 +3,16 @@
 // attempts; an entry and an agent each run a state machine that reads and writes
 // the row.
 //
+// Each row has an epoch, which every cancellation of the row increments. An
+// attempt belongs to one epoch and can start only while the row is at that epoch.
+// A final cancellation also ends the request, with the guarantee that its work did
+// not run and will not run.
+//
 // Invariants:
 //   - a row becomes started only from an epoch that has not been cancelled, and
-//     the work runs only under the nonce in the row;
-//   - a started row is cancelled only after its agent has given up the nonce,
-//     which is final;
+//     only the execution whose nonce is in the row runs the work;
+//   - a started row is cancelled only after its agent has permanently given up the
+//     execution with the nonce in the row;
 //   - after a final cancellation has led to an epoch, no request that was
 //     admitted at a lower epoch starts the work.
 package once
@@ -32,15 +37,15 @@
 
 // Execution identifies one execution of the work; no two executions are equal.
 type Execution struct {
-	Agent string `json:"agent"` // Instance ID.
-	Boot  string `json:"boot"`  // Changes when the agent restarts.
-	Nonce string `json:"nonce"`
+	Agent string `json:"agent"` // Instance ID of the agent.
+	Boot  string `json:"boot"`  // Boot ID of the agent, which changes when it restarts.
+	Nonce string `json:"nonce"` // Differs for each execution.
 }
 
 // Answer is the result of an execution.
 type Answer struct {
 	Code        int // A result.Code; 0 if the backend server answered.
-	Status      int
+	Status      int // HTTP status.
 	ContentType string
 	Body        string
 	Object      string // Name of the object that holds the body; empty if Body holds it.
@@ -51,13 +56,13 @@
 type Row struct {
 	State       State
 	Epoch       uint64 // Incremented by every cancellation.
-	Ended       uint64 // Epoch that the last final cancellation led to, 0 for none.
+	Ended       uint64 // Epoch of the row after its last final cancellation, 0 if there was none.
 	Fingerprint string // Fingerprint of the request that the key belongs to.
 	Execution   Execution
 	Answer      Answer // Set in a done row only.
 }
 
-// Startable reports whether an attempt of the epoch may start from the row.
+// Startable reports whether the row permits an attempt of the epoch to start.
 func (r Row) Startable(epoch uint64) bool {
 	return r.open() && r.Epoch == epoch
 }
@@ -69,7 +74,7 @@
 // cancellation was final.
 func (r Row) finallyCancelled() bool { return r.State == Cancelled && r.Ended == r.Epoch }
 
-// heldBy reports whether the row is started and names the execution.
+// heldBy reports whether the row is in state Started with this execution.
 func (r Row) heldBy(execution Execution) bool {
 	return r.State == Started && r.Execution == execution
 }
@@ -80,12 +85,12 @@
 	return r.State != Absent && r.Fingerprint != fingerprint
 }
 
-// start returns the row as started by the execution.
+// start returns the row in state Started with this execution.
 func (r Row) start(fingerprint string, execution Execution) Row {
 	return Row{State: Started, Epoch: r.Epoch, Ended: r.Ended, Fingerprint: fingerprint, Execution: execution}
 }
 
-// cancel returns the row cancelled, at the next epoch. After a final
+// cancel returns the row in state Cancelled at the next epoch. After a final
 // cancellation, no request that was admitted before it can start the work.
 func (r Row) cancel(fingerprint string, final bool) Row {
 	next := Row{State: Cancelled, Epoch: r.Epoch + 1, Ended: r.Ended, Fingerprint: fingerprint}
@@ -95,7 +100,7 @@
 	return next
 }
 
-// finish returns the row as done, with the execution's answer.
+// finish returns the row in state Done with the execution's answer.
 func (r Row) finish(answer Answer) Row {
 	r.State = Done
 	r.Answer = answer
--- a/policy/prefix/blocks.go
+++ b/policy/prefix/blocks.go
@@ -1,5 +1,6 @@
 // Package prefix describes prompt prefixes as chained block hashes and tracks
-// which prefixes an agent's engine has in its cache.
+// which prefixes an agent's engine has in its prefix cache. A chained hash covers
+// its block and all blocks before it.
 package prefix
 
 import (
@@ -11,17 +12,19 @@
 // BlockTokens is the number of prompt tokens in one block of a prefix cache.
 const BlockTokens = 16
 
-// denseSamplePoints is the number of leading blocks that are all sample points.
+// denseSamplePoints is the number of leading blocks after each of which there is a
+// sample point; further sample points are sparser. See SamplePoints.
 const denseSamplePoints = 4
 
 // Prompt is a prompt's length and the chained hashes of its full blocks: equal
 // prefixes have equal leading hashes.
 type Prompt struct {
-	Tokens int
-	Blocks []uint64
+	Tokens int      // Length of the prompt.
+	Blocks []uint64 // Chained hash of each full block.
 }
 
-// NewPrompt splits the text into blocks.
+// NewPrompt splits the text into tokens and blocks and hashes the blocks. Each word
+// counts as one token.
 func NewPrompt(text string) Prompt {
 	var prompt Prompt
 	digest := xxhash.New()
@@ -62,7 +65,8 @@
 	return length / 3 * 4
 }
 
-// Sample returns the hashes of the blocks at their sample points.
+// Sample returns the chained hashes of the prefixes whose lengths are the sample
+// points for the number of blocks.
 func Sample(blocks []uint64) []uint64 {
 	points := SamplePoints(len(blocks))
 	sample := make([]uint64, len(points))
--- a/policy/prefix/index.go
+++ b/policy/prefix/index.go
@@ -2,30 +2,30 @@
 
 import "container/list"
 
-// Event reports that a block was added to or evicted from the engine's cache. A
-// gap in Seq means that events were lost.
+// Event reports that a block was added to or evicted from the engine's prefix
+// cache. A gap in Seq means that events were lost.
 type Event struct {
-	Seq   uint64
-	Block uint64
-	Added bool
+	Seq   uint64 // Sequence number, from 1.
+	Block uint64 // Chained hash of the block.
+	Added bool   // The block was added; false if it was evicted.
 }
 
 // Index is an agent's view of its engine's cache. Events arrive late and with gaps,
 // so the index also records the prompts that the agent passed on, and evicts the
 // least recently used blocks beyond the size that the engine reports.
 type Index struct {
-	seq    uint64
-	gaps   int
-	order  *list.List // Front is the most recently used.
+	seq    uint64     // Sequence number of the last event applied.
+	gaps   int        // Number of detected gaps in the events.
+	lru    *list.List // Front is the most recently used.
 	blocks map[uint64]*list.Element
 }
 
 // NewIndex returns an empty index.
 func NewIndex() *Index {
-	return &Index{order: list.New(), blocks: map[uint64]*list.Element{}}
+	return &Index{lru: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// Len returns the number of blocks.
+// Len returns the number of blocks in the index.
 func (x *Index) Len() int { return len(x.blocks) }
 
 // Seq returns the sequence number of the last event applied.
@@ -34,9 +34,9 @@
 // Gaps returns the number of detected gaps in the events.
 func (x *Index) Gaps() int { return x.gaps }
 
-// Clear removes every block, since the engine has restarted.
+// Clear empties the index after a restart of the engine.
 func (x *Index) Clear() {
-	x.order.Init()
+	x.lru.Init()
 	clear(x.blocks)
 	x.seq = 0
 }
@@ -69,7 +69,7 @@
 // Resize evicts the least recently used blocks beyond capacity.
 func (x *Index) Resize(capacity int) {
 	for len(x.blocks) > capacity {
-		x.remove(x.order.Back().Value.(uint64))
+		x.remove(x.lru.Back().Value.(uint64))
 	}
 }
 
@@ -92,15 +92,15 @@
 
 func (x *Index) touch(block uint64) {
 	if element, ok := x.blocks[block]; ok {
-		x.order.MoveToFront(element)
+		x.lru.MoveToFront(element)
 		return
 	}
-	x.blocks[block] = x.order.PushFront(block)
+	x.blocks[block] = x.lru.PushFront(block)
 }
 
 func (x *Index) remove(block uint64) {
 	if element, ok := x.blocks[block]; ok {
-		x.order.Remove(element)
+		x.lru.Remove(element)
 		delete(x.blocks, block)
 	}
 }
--- a/policy/prefix/prefix_test.go
+++ b/policy/prefix/prefix_test.go
@@ -52,8 +52,8 @@
 	})
 }
 
-// Once the index has received every eviction, it reports no longer prefix than the
-// engine holds, whatever the order of prompts.
+// An index that has received every event of the cache reports exactly the prefix
+// that the engine has in its cache.
 func TestIndexMatchesCacheWithoutEventLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index, cached, seq := NewIndex(), map[uint64]bool{}, uint64(0)
--- a/policy/reduce/reduce.go
+++ b/policy/reduce/reduce.go
@@ -1,7 +1,7 @@
-// Package reduce defines the types that all reducers share. A reducer takes an
-// event with its time and a random number, and returns effects as data. It reads
-// no clock, does no I/O and starts no goroutine, so a run can be replayed from
-// its inputs.
+// Package reduce defines the types that all reducers share. A reducer is a function
+// that applies an event, given with its time and a random number, to a state and
+// returns the new state and the effects as data. It reads no clock, does no I/O and
+// starts no goroutine, so an execution can be replayed from its inputs.
 package reduce
 
 import "time"
@@ -27,7 +27,7 @@
 	Event  Event
 }
 
-// Tick is a timer event.
+// Tick is the event of a periodic timer.
 type Tick struct{}
 
 func (Tick) EventName() string { return "tick" }
--- a/policy/result/result.go
+++ b/policy/result/result.go
@@ -66,13 +66,13 @@
 	MalformedOrder     Code = 4016
 )
 
-// Info describes one code for documentation and for callers.
+// Info describes one result code for documentation and for callers.
 type Info struct {
 	Name       string
 	HTTPStatus int
-	NotRun     bool // The work did not run, and this attempt will not run it.
-	Retryable  bool // A later retry can succeed.
-	Meaning    string
+	NotRun     bool   // The work did not run, and this attempt will not run it.
+	Retryable  bool   // A later retry can succeed.
+	Meaning    string // One sentence for the documentation and for callers.
 }
 
 var infos = map[Code]Info{
@@ -126,7 +126,7 @@
 	MalformedOrder:     {"malformed_order", 400, true, false, "The operator's request is not well formed; nothing was changed."},
 }
 
-// Describe returns the description of code, or that of Internal if code is not
+// Describe returns the Info of the code, or the Info of Internal if the code is not
 // defined.
 func Describe(code Code) Info {
 	info, ok := infos[code]
@@ -148,7 +148,8 @@
 // String returns the code's name.
 func (c Code) String() string { return Describe(c).Name }
 
-// Error is a failure with its code, in the form that processes send to each other.
+// Error is a failure with its result code, in the form that processes send to each
+// other.
 type Error struct {
 	Code       Code
 	Detail     string
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -12,42 +12,44 @@
 )
 
 const (
-	// TokenRatio is the number of retries that each request adds to the budget.
+	// TokenRatio is the number of retries that each request adds to the retry budget.
 	TokenRatio = 0.1
-	// MaxTokens is the greatest number of retries that the budget saves up.
+	// MaxTokens is the greatest number of retries that the retry budget saves up.
 	MaxTokens = 10.0
 
 	maxAttempts       = 3
-	maxLoadWait       = 500 * time.Millisecond // After a longer wait a refusal because of load is final.
-	minRemaining      = 20 * time.Millisecond  // An attempt needs at least this time.
+	maxLoadWait       = 500 * time.Millisecond // Requests that have waited longer are not retried after a refusal because of load.
+	minRemaining      = 20 * time.Millisecond  // No attempt is made with less time than this until the deadline.
 	defaultRetryAfter = time.Second
 	jitterRatio       = 0.5 // Greatest random addition to RetryAfter, as a share of it.
 )
 
-// Budget is a token bucket that bounds the retries of one entry instance. The zero
-// value is empty.
+// Budget is the retry budget of one entry instance: a token bucket that each new
+// request fills by a fraction of a token and from which each retry takes one token.
+// The zero value is empty.
 type Budget struct {
 	tokens     float64
 	tokenRatio float64 // Retries that each request adds.
 	maxTokens  float64 // Greatest number of retries saved up.
 }
 
-// NewBudget returns a full budget with TokenRatio and MaxTokens.
+// NewBudget returns a full retry budget with TokenRatio and MaxTokens.
 func NewBudget() Budget { return NewBudgetWith(TokenRatio, MaxTokens) }
 
-// NewBudgetWith returns a full budget to which each request adds tokenRatio, up to
-// maxTokens.
+// NewBudgetWith returns a full retry budget to which each request adds tokenRatio,
+// up to maxTokens.
 func NewBudgetWith(tokenRatio, maxTokens float64) Budget {
 	return Budget{tokens: maxTokens, tokenRatio: tokenRatio, maxTokens: maxTokens}
 }
 
-// Deposit adds the tokens of one new request.
+// Deposit returns the budget after one new request, which adds tokenRatio tokens.
 func (b Budget) Deposit() Budget {
 	b.tokens = min(b.maxTokens, b.tokens+b.tokenRatio)
 	return b
 }
 
-// Withdraw takes one retry from the budget and reports whether there was one.
+// Withdraw takes the token for one retry from the budget and reports whether one
+// was available.
 func (b Budget) Withdraw() (Budget, bool) {
 	if b.tokens < 1 {
 		return b, false
@@ -56,18 +58,19 @@
 	return b, true
 }
 
-// Attempt is a failed attempt.
+// Attempt describes a failed attempt of a request.
 type Attempt struct {
-	Number          int // 1 for the first.
-	Err             *result.Error
-	ResponseStarted bool // The caller has received a part of the answer.
-	Idempotent      bool
-	Waited          time.Duration // Since the request arrived.
-	Remaining       time.Duration // Until the caller's deadline.
+	Number          int           // Number of the attempt, from 1.
+	Err             *result.Error // Why the attempt failed.
+	ResponseStarted bool          // The caller has received a part of the answer.
+	Idempotent      bool          // The work may run more than once.
+	Waited          time.Duration // Time since the request arrived.
+	Remaining       time.Duration // Time until the caller's deadline.
 }
 
-// SkipsBudget reports whether a retry after the error takes nothing from the
-// budget: the attempt reached no backend server, so it caused no load on any.
+// SkipsBudget reports whether a retry after an error with this code takes nothing
+// from the retry budget: the attempt reached no backend server, so it caused no
+// load on any.
 func SkipsBudget(code result.Code) bool { return code == result.NoBackendServer }
 
 // Retriable reports whether the attempt may be repeated at another backend server:
@@ -90,8 +93,8 @@
 	}
 }
 
-// IsLoadRefusal reports whether the code refuses the work because of the load of
-// other requests.
+// IsLoadRefusal reports whether the code means that the work was refused because
+// of the load of other requests.
 func IsLoadRefusal(code result.Code) bool {
 	switch code {
 	case result.Overloaded, result.ColdStart, result.DeadlineTooShort, result.RateLimited, result.ConcurrencyLimited:
@@ -101,7 +104,8 @@
 	}
 }
 
-// isBackendFailure reports whether the code says that a backend server failed.
+// isBackendFailure reports whether the code means that a backend server failed
+// after it may have started the work.
 func isBackendFailure(code result.Code) bool {
 	return code == result.OutcomeUnknown || code == result.CutAnswer || code == result.BackendFailed
 }
@@ -117,7 +121,7 @@
 	if final.RetryAfter <= 0 {
 		final.RetryAfter = defaultRetryAfter
 	}
-	spread := float64(random>>11) / (1 << 53)
-	final.RetryAfter += time.Duration(jitterRatio * spread * float64(final.RetryAfter))
+	fraction := float64(random>>11) / (1 << 53)
+	final.RetryAfter += time.Duration(jitterRatio * fraction * float64(final.RetryAfter))
 	return &final
 }
--- a/policy/share/home.go
+++ b/policy/share/home.go
@@ -1,8 +1,9 @@
 // Package share enforces organisations' rate and concurrency limits across entry
-// instances. Rendezvous hashing assigns each organisation to one entry, its home,
-// which leases small shares to the entries that have requests. An entry that
-// can't reach the home falls back to a local share; the local shares of all
-// entries sum to the limit.
+// instances. Rendezvous hashing assigns each organisation to one entry, its home.
+// The home grants shares of the limits to the entries that have requests: tokens,
+// each of which admits one request, and leased slots, each of which is held by one
+// request in flight. An entry that can't reach the home falls back to a local
+// share; the local shares of all entries sum to the limit.
 //
 // Invariants, at one home:
 //   - The tokens granted over any period are at most the rate times the period,
@@ -22,8 +23,8 @@
 	// SlotTTL is how long leased slots are valid without renewal.
 	SlotTTL = 10 * time.Second
 
-	burstWindow   = time.Second // An idle organisation saves up the tokens of this time.
-	minBurst      = 10.0        // Tokens that any organisation may save up.
+	burstWindow   = time.Second // An idle organisation saves up the tokens of a period this long.
+	minBurst      = 10.0        // Tokens that any organisation may save up, however low its rate.
 	minRetryAfter = 50 * time.Millisecond
 )
 
@@ -33,52 +34,55 @@
 	Concurrency int     // Requests in flight.
 }
 
-// Ask is a lease request: it asks an organisation's home for tokens and slots.
+// Ask is a lease request: the message in which an entry requests tokens and slots
+// of an organisation from the organisation's home.
 type Ask struct {
-	Org    string
-	Entry  string
-	Want   int // Tokens requested.
-	Unused int // Unused tokens of the last grant, which are returned.
-	Slots  int // Total slots that the entry wants to hold from now on.
-	InUse  int // Slots in use by requests in flight.
+	Org    string // Name of the organisation.
+	Entry  string // ID of the entry that makes the request.
+	Want   int    // Tokens requested.
+	Unused int    // Unused tokens of the last grant, which the entry returns.
+	Slots  int    // Total slots that the entry wants to hold from now on.
+	InUse  int    // Slots of the entry that are in use by requests in flight.
 }
 
-// Grant is the home's answer to an Ask.
+// Grant is the home's answer to a lease request.
 type Grant struct {
-	Tokens     int
-	Slots      int
-	RetryAfter time.Duration // Set when no token or slot was free.
+	Tokens     int           // Tokens granted.
+	Slots      int           // Total slots that the entry holds from now on.
+	RetryAfter time.Duration // When to ask again if no token or slot was free; 0 otherwise.
 }
 
 // Home keeps the accounts of the organisations that an entry is the home of.
 type Home struct {
-	accounts     map[string]*account
-	reassignedAt time.Time
+	accounts     map[string]*account // By organisation.
+	reassignedAt time.Time           // When organisations may last have moved here from another home.
 }
 
-// NewHome returns a home without accounts. Leases of former homes may still be
-// valid at now.
+// NewHome returns a home without accounts. Leases that other homes have granted to
+// entries may still be valid at now.
 func NewHome(now time.Time) *Home { return &Home{accounts: map[string]*account{}, reassignedAt: now} }
 
-// MarkReassigned records that organisations may have moved here from another
-// home, whose leases may still be valid.
+// MarkReassigned records that organisations may have moved to this home from
+// another one, whose leases may still be valid.
 func (h *Home) MarkReassigned(now time.Time) { h.reassignedAt = now }
 
 // account holds the tokens and leases of one organisation.
 type account struct {
-	restrictedUntil time.Time // Until then leases of a former home may still be valid.
+	restrictedUntil time.Time // Until then leases of the previous home may still be valid, so fewer tokens and slots are granted.
 	refilledAt      time.Time
-	rate            float64
-	tokens          float64
-	leases          map[string]lease
+	rate            float64          // Requests per second that the organisation is limited to.
+	tokens          float64          // Tokens available to all entries.
+	leases          map[string]lease // By entry.
 }
 
+// lease holds the slots that one entry may use until expiresAt.
 type lease struct {
 	slots     int
 	expiresAt time.Time
 }
 
-// Ask grants a share to an entry; entries is the number of entry instances.
+// Ask answers an entry's lease request with a share of the organisation's limits;
+// entries is the number of entry instances.
 func (h *Home) Ask(now time.Time, limits Limits, entries int, ask Ask) Grant {
 	a := h.accounts[ask.Org]
 	if a == nil {
@@ -98,8 +102,9 @@
 	return grant
 }
 
-// DropIdle deletes the accounts that a new account would equal: without a request
-// for longer than SlotTTL, and with the whole burst saved up.
+// DropIdle deletes the accounts that are in the same state as a new account: those
+// without a lease request for longer than SlotTTL and with the whole burst saved
+// up.
 func (h *Home) DropIdle(now time.Time) {
 	for org, a := range h.accounts {
 		idle := now.Sub(a.refilledAt)
@@ -109,7 +114,8 @@
 	}
 }
 
-// Burst returns the tokens that an organisation may save up.
+// Burst returns the number of tokens that an organisation with this rate may save
+// up.
 func Burst(rate float64) float64 { return max(minBurst, rate*burstWindow.Seconds()) }
 
 func (a *account) refill(now time.Time, rate float64, unused int) {
@@ -133,7 +139,8 @@
 	return 0, wait
 }
 
-// lease sets the number of slots that the entry holds and returns it.
+// lease decides how many slots the entry holds from now on, records its lease and
+// returns the number.
 func (a *account) lease(now time.Time, limit, entries int, ask Ask) int {
 	if limit <= 0 {
 		return ask.Slots
@@ -155,14 +162,16 @@
 	return slots
 }
 
-// LocalRate returns an entry's part of the rate while the home is unreachable.
+// LocalRate returns the requests per second that one entry may admit while the
+// organisation's home is unreachable: the rate divided among the entries.
 func LocalRate(limits Limits, entries int) float64 {
 	return limits.Rate / float64(max(1, entries))
 }
 
-// LocalSlots returns an entry's part of the slots while the home is
-// unreachable. rank is the entry's position among all entries in the rendezvous
-// order of the organisation; the parts of all ranks sum to the limit.
+// LocalSlots returns the number of slots that one entry may use while the
+// organisation's home is unreachable. rank is the entry's position among all
+// entries in the rendezvous order of the organisation; the slots of all ranks sum
+// to the concurrency limit.
 func LocalSlots(limits Limits, entries, rank int) int {
 	if limits.Concurrency <= 0 {
 		return math.MaxInt
--- a/policy/share/local.go
+++ b/policy/share/local.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	batchWindow      = 200 * time.Millisecond // One lease request covers the entry's demand of this time.
+	batchWindow      = 200 * time.Millisecond // One lease request asks for the tokens of a period this long.
 	demandWeight     = 0.2                    // Weight of a new sample in the moving average of the demand.
-	renewInterval    = 4 * time.Second
-	maxBatch         = 1000
-	maxLeaseRequests = 4 // Per request; the tokens of a grant may go to other requests.
+	renewInterval    = 4 * time.Second        // Time between two renewals of the slots in use.
+	maxBatch         = 1000                   // Upper bound of the tokens in one lease request and of one sample of the demand.
+	maxLeaseRequests = 4                      // Lease requests that one request waits for; the tokens of a grant may go to other requests.
 )
 
-// Local is an entry's share of one organisation's limits.
+// Local is the share of one organisation's limits that an entry holds, and the
+// entry's demand.
 type Local struct {
-	tokens          int
-	slots           int
-	leasedSlots     int // Slots that the home has leased to this entry.
-	inUse           int
-	expiresAt       time.Time // When tokens and slots expire.
-	renewAt         time.Time // When to renew the slots in use.
-	deniedUntil     time.Time // The home has nothing to grant until then.
-	deniedCode      result.Code
-	demand          float64 // Requests per second that arrive at this entry.
+	tokens          int         // Unused tokens of the last grant.
+	slots           int         // Slots that requests may hold in all, until expiresAt.
+	leasedSlots     int         // Slots that the home has leased to this entry.
+	inUse           int         // Slots held by requests in flight.
+	expiresAt       time.Time   // When tokens and slots expire.
+	renewAt         time.Time   // When to renew the slots in use.
+	deniedUntil     time.Time   // Until then requests are refused, because the home had nothing to grant.
+	deniedCode      result.Code // Code of these refusals.
+	demand          float64     // Requests per second that arrive at this entry.
 	lastRequest     time.Time
 	localTokens     float64 // Tokens of the local share, used while the home is unreachable.
 	localRefilledAt time.Time
@@ -34,15 +35,15 @@
 // Decision says what to do with a request.
 type Decision int
 
-// Decisions.
+// The values of Decision.
 const (
-	Admitted Decision = iota // The request holds a slot until Release.
-	Refused
-	NeedsLease // Send an Ask to the home, then try again.
+	Admitted   Decision = iota // The request holds a slot until Release.
+	Refused                    // The request is refused because of a limit.
+	NeedsLease                 // Send a lease request to the home, then call TryAdmit again.
 )
 
-// TryAdmit tries to admit one request. leaseRequests is the number of answers of
-// the home that the request has already waited for.
+// TryAdmit decides about one request. leaseRequests is the number of lease requests
+// whose answers the request has already waited for.
 func (l *Local) TryAdmit(now time.Time, limits Limits, leaseRequests int) (Decision, *result.Error) {
 	if leaseRequests == 0 {
 		l.observeDemand(now)
@@ -64,7 +65,7 @@
 	return Refused, &result.Error{Code: result.RateLimited, RetryAfter: minRetryAfter}
 }
 
-// observeDemand updates the moving average of the demand.
+// observeDemand updates the moving average of the request rate with a new request.
 func (l *Local) observeDemand(now time.Time) {
 	if elapsed := now.Sub(l.lastRequest).Seconds(); elapsed > 0 && !l.lastRequest.IsZero() {
 		l.demand += demandWeight * (min(1/elapsed, maxBatch) - l.demand)
@@ -72,8 +73,8 @@
 	l.lastRequest = now
 }
 
-// Ask returns the lease request for the waiting requests and those expected
-// soon. At most one lease request may be in flight.
+// Ask builds the lease request for the waiting requests and those expected within
+// batchWindow. At most one lease request of an organisation may be in flight.
 func (l *Local) Ask(now time.Time, org, entry string, waiting int) Ask {
 	demand := int(math.Ceil(l.demand * batchWindow.Seconds()))
 	want := min(maxBatch, max(1, waiting, demand))
@@ -123,13 +124,14 @@
 // Release returns the slot of an admitted request.
 func (l *Local) Release() { l.inUse-- }
 
-// NeedsRenewal reports whether slots in use must be renewed at the home or unused
-// ones returned.
+// NeedsRenewal reports whether the entry should send a RenewalRequest, either to
+// renew the slots in use or to return unused ones.
 func (l *Local) NeedsRenewal(now time.Time) bool {
 	return l.leasedSlots > l.inUse || l.inUse > 0 && !now.Before(l.renewAt)
 }
 
-// RenewalRequest returns the lease request that keeps only the slots in use.
+// RenewalRequest builds the lease request that renews the slots in use and returns
+// the others.
 func (l *Local) RenewalRequest(org, entry string) Ask {
 	l.slots = min(l.slots, l.inUse)
 	return Ask{Org: org, Entry: entry, Slots: l.inUse, InUse: l.inUse}
@@ -141,7 +143,7 @@
 	l.renewAt = now.Add(renewInterval)
 }
 
-// Idle reports whether the share can be dropped.
+// Idle reports whether the share is unused, so that it can be deleted.
 func (l *Local) Idle(now time.Time) bool {
 	return l.inUse == 0 && l.leasedSlots == 0 && now.Sub(l.lastRequest) > SlotTTL
 }
--- a/policy/share/share_test.go
+++ b/policy/share/share_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// A new home limits each entry to its part of the slots while leases of the former
-// home may still be valid.
-func TestNewHomeRestrictsSlotsWhileOldLeasesMayLast(t *testing.T) {
+// A new home limits each entry to an equal part of the organisation's slots while
+// leases of the previous home may still be valid.
+func TestNewHomeRestrictsSlotsWhileOldLeasesAreValid(t *testing.T) {
 	limits, home := Limits{Concurrency: 10}, NewHome(epoch)
 	for entry := range 5 {
 		if grant := home.Ask(epoch, limits, 5, Ask{Org: "org", Entry: fmt.Sprint(entry), Slots: 6}); grant.Slots > 2 {
@@ -137,8 +137,8 @@
 	}
 }
 
-// An organisation that is far below a large limit is not refused when its home
-// changes.
+// Requests of an organisation that is far below a large limit are not refused when
+// its home changes to another entry.
 func TestNewHomeServesLargeOrganisationAtOnce(t *testing.T) {
 	limits, home, now := Limits{Rate: 10_000, Concurrency: 10_000}, NewHome(epoch), epoch
 	for request := range 100 {
--- a/policy/view/view.go
+++ b/policy/view/view.go
@@ -1,5 +1,5 @@
-// Package view reduces what a process knows about the configuration: the
-// snapshot in force, the newest revision known to exist, and the latest time at
+// Package view is the reducer for what a process knows about the configuration:
+// the snapshot in force, the newest revision known to exist, and the latest time at
 // which the snapshot in force was known to be the newest accepted one.
 //
 // Invariant: the revision in force never decreases.
@@ -16,15 +16,16 @@
 	// EntryPollAfter is the age of State.CurrentAt at which an entry reads the
 	// table service.
 	EntryPollAfter = 1500 * time.Millisecond
-	// AgentPollAfter is the same for an agent. It is longer because an agent
-	// normally learns from entries first.
+	// AgentPollAfter is the age of State.CurrentAt at which an agent reads the table
+	// service. It is longer than EntryPollAfter because an agent normally learns of
+	// changes from entries first.
 	AgentPollAfter = 3 * time.Second
 
-	pollJitter          = 500 * time.Millisecond
-	behindRetryDelay    = 200 * time.Millisecond
-	maxBehindRetryDelay = 3 * time.Second
-	maxRetryDoublings   = 4
-	outageRetryDelay    = 2500 * time.Millisecond
+	pollJitter          = 500 * time.Millisecond  // Greatest random delay after a successful fetch before the next one.
+	behindRetryDelay    = 200 * time.Millisecond  // Base of the exponential backoff while a newer revision is known or there is no snapshot.
+	maxBehindRetryDelay = 3 * time.Second         // Longest backoff, before jitter.
+	maxRetryDoublings   = 4                       // Failed fetches after which the backoff no longer doubles.
+	outageRetryDelay    = 2500 * time.Millisecond // Retry delay while no newer revision is known, before jitter.
 )
 
 // State is what a process knows about the configuration.
@@ -41,7 +42,8 @@
 	Failures  int // Consecutive failed fetches.
 }
 
-// RevisionSeen reports the revision that a peer has in force.
+// RevisionSeen is the event that a peer has reported the revision that it has in
+// force.
 type RevisionSeen struct{ Revision uint64 }
 
 func (RevisionSeen) EventName() string { return "view.heard" }
@@ -61,7 +63,7 @@
 
 func (StoreRead) EventName() string { return "view.store_read" }
 
-// FetchDone ends a Fetch.
+// FetchDone reports that a fetch requested by the Fetch effect has ended.
 type FetchDone struct{ Failed bool }
 
 func (FetchDone) EventName() string { return "view.fetch_done" }
@@ -74,9 +76,9 @@
 	DataCentre string
 	Revision   uint64 // Revision in force at the peer, 0 for none.
 	BeganAt    time.Time
-	Current    bool          // Whether the peer knows when its revision was the newest.
-	Age        time.Duration // Time since then, when the peer answered.
-	Started    bool          // The peer's evidence.State.Started.
+	Current    bool          // The peer knows that its revision was the newest at a time, which Age gives.
+	Age        time.Duration // How long before the peer's answer that time was.
+	Started    bool          // evidence.State.Started of the peer: it has passed its start-up check.
 }
 
 func (ExchangeAnswered) EventName() string { return "view.met" }
@@ -89,7 +91,7 @@
 
 func (Fetch) EffectName() string { return "view.fetch" }
 
-// Step reduces one input.
+// Step applies one input to the state and returns the resulting effects.
 func Step(state State, input reduce.Input) (State, []reduce.Effect) {
 	switch event := input.Event.(type) {
 	case RevisionSeen:
@@ -145,15 +147,16 @@
 	return s.InForce.Revision
 }
 
-// Behind reports whether a revision newer than the one in force is known.
+// Behind reports whether the process knows of a revision newer than the one in
+// force.
 func (s State) Behind() bool { return s.RevisionSeen > s.Revision() }
 
 // Age returns the time since the snapshot in force was known to be the newest.
 func (s State) Age(now time.Time) time.Duration { return now.Sub(s.CurrentAt) }
 
-// finishFetch schedules the next fetch: with exponential backoff while the
-// process is behind or has no snapshot, and at a fixed delay otherwise, each
-// with jitter.
+// finishFetch schedules the next fetch. After a failure it waits with exponential
+// backoff while a newer revision is known or there is no snapshot, and for
+// outageRetryDelay otherwise. Every delay has jitter.
 func finishFetch(state State, event FetchDone, input reduce.Input) State {
 	state.Fetching = false
 	if !event.Failed {
--- a/policy/view/view_test.go
+++ b/policy/view/view_test.go
@@ -20,9 +20,10 @@
 	os.Exit(m.Run())
 }
 
-// TestStepMachine feeds events in any order, duplicated and delayed. It compares
-// the state with the history of accepted revisions and their times of acceptance.
-func TestStepMachine(t *testing.T) {
+// TestStepInvariants applies events in any order, duplicated and delayed, and
+// compares the state with the history of accepted revisions and their times of
+// acceptance.
+func TestStepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000, 0)
 		acceptedAt := []time.Time{now} // Indexed by revision, from 0.
@@ -64,7 +65,7 @@
 // cause, possibly delayed, and the revision that it installs.
 func drawEvent(t *rapid.T, now time.Time, acceptedAt []time.Time, outstanding bool) (reduce.Event, uint64) {
 	revision := uint64(rapid.IntRange(0, len(acceptedAt)-1).Draw(t, "revision"))
-	// A time at which the revision was the newest.
+	// at is a time at which the revision was the newest.
 	from, until := acceptedAt[revision], now
 	if int(revision)+1 < len(acceptedAt) {
 		until = acceptedAt[revision+1]
--- a/policy/wholesystem/network_test.go
+++ b/policy/wholesystem/network_test.go
@@ -22,7 +22,8 @@
 	return w.cutLinks[[2]string{min(from, to), max(from, to)}]
 }
 
-// deliver passes message i to its receiver unless the link is cut.
+// deliver passes the in-flight message with index i to its receiver unless the link
+// is cut.
 func (w *world) deliver(i int) {
 	if w.isLinkCut(w.inFlight[i]) {
 		return
@@ -35,7 +36,7 @@
 	w.receive(w.processes[m.to], m)
 }
 
-// answerAsTable handles a request at the table and sends the reply.
+// answerAsTable handles a request at the table service and sends the reply.
 func (w *world) answerAsTable(m message) {
 	reply := message{kind: readReply, from: tableAddress, to: m.from, boot: m.boot, beganAt: m.beganAt, fetch: m.fetch, failed: !w.store.up}
 	if m.kind == submitRequest {
@@ -108,8 +109,9 @@
 	}
 }
 
-// finishTableRead applies the table's head, which also acknowledges changes whose
-// answers were lost.
+// finishTableRead applies the newest revision that the process has read from the
+// table service. The read also acknowledges changes of the process whose replies
+// were lost.
 func (w *world) finishTableRead(p *process, m message) {
 	if !m.failed {
 		w.step(p, view.Fetched{Snapshot: m.snapshot})
@@ -123,7 +125,8 @@
 	w.finishTableFetch(p, m.fetch, m.failed)
 }
 
-// finishTableFetch ends the fetch; if the table failed, peers are asked as well.
+// finishTableFetch ends the fetch; if the table service failed, peers are asked for
+// their configurations as well.
 func (w *world) finishTableFetch(p *process, fetch int, failed bool) {
 	if failed && p.fetching && fetch == p.lastFetchID {
 		w.askPeers(p)
@@ -138,7 +141,8 @@
 	}
 }
 
-// acknowledgeChange tells the operator that the change was accepted.
+// acknowledgeChange tells the operator that the change with this revision was
+// accepted.
 func (w *world) acknowledgeChange(p *process, revision uint64) {
 	w.counts.accepted++
 	w.store.acknowledge(revision, w.now)
@@ -173,7 +177,8 @@
 	}
 }
 
-// fetch asks the table and, if peersFirst is set, some peers at the same time.
+// fetch asks the table service for the newest configuration and, if peersFirst is
+// set, some peers at the same time.
 func (w *world) fetch(p *process, peersFirst bool) {
 	p.lastFetchID++
 	p.fetching, p.fetchBeganAt = true, w.now
@@ -191,8 +196,8 @@
 	}
 }
 
-// exchange asks one peer in each of the data centres, or one peer anywhere if none
-// is given.
+// exchange asks one peer in each of the named data centres for its revision, or one
+// peer anywhere if no data centre is named.
 func (w *world) exchange(p *process, names []string) {
 	if len(names) == 0 {
 		names = []string{""}
--- a/policy/wholesystem/returned_test.go
+++ b/policy/wholesystem/returned_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// Data centre b is returned, but the other data centres don't learn of it because
-// the answer is lost and the links are cut. Right after that, data centre a is
-// taken out through b and the table goes down. Processes that lack the return don't
-// require a contact in b as evidence, so an agent in a can start work although its
-// data centre has been taken out.
+// Data centre b is returned to service, but the other data centres don't learn of
+// it because the reply is lost and the links are cut. Right after that, an entry in
+// b takes out data centre a, and the table service goes down. Processes that don't
+// know of the return of b don't require a contact in b as evidence, so an agent in
+// a can start work although its data centre has been taken out.
 func TestTakeOutThroughADataCentreJustReturned(t *testing.T) {
 	if !*knownRedFlag {
 		t.Skip("listed in KNOWN-RED.txt; run it with -wholesystem.known-red")
--- a/policy/wholesystem/server_test.go
+++ b/policy/wholesystem/server_test.go
@@ -14,8 +14,8 @@
 	coldLimit = 2
 	warmAfter = 4 // Completed work items until a cold backend server is warm.
 
-	warmFirstOutput = 40 * time.Millisecond  // Time until the first output.
-	coldFirstOutput = 600 * time.Millisecond // Time until the first output in cold start.
+	warmFirstOutput = 40 * time.Millisecond  // Time until the first output of a warm backend server.
+	coldFirstOutput = 600 * time.Millisecond // Time until the first output of a backend server in cold start.
 	maxReports      = 64                     // Load reports kept.
 )
 
@@ -23,14 +23,14 @@
 type workItem struct {
 	ticket                  uint64
 	boot                    int // Boot number of the agent that started it.
-	coldPeriod              int // Value of server.coldPeriods at its start.
+	coldPeriod              int // Value of server.coldPeriods when the request was started.
 	cold, outputStarted     bool
 	firstOutputAt, finishAt time.Time
 }
 
-// server simulates a backend server. It counts like the stand-in engine: the work
-// started while cold, since the last cold period began, may not exceed the cold
-// limit.
+// server simulates a backend server. Like the stand-in engine, it is overloaded
+// when more than the cold limit of requests run that were started in the current
+// cold period.
 type server struct {
 	cold        bool
 	coldPeriods int
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// advance moves the work on to now and returns the events for the agent of that
-// boot.
+// advance simulates the work until now and returns the resulting events for the
+// agent's boot with this number.
 func (s *server) advance(boot int, now time.Time) []reduce.Event {
 	var events []reduce.Event
 	for i := range s.work {
@@ -98,7 +98,8 @@
 	return events
 }
 
-// load returns the newest load report that is at least lag old, or the oldest one.
+// load returns the newest load report that is at least lag old, or the oldest
+// report if none is.
 func (s *server) load(now time.Time, lag time.Duration) admission.Reported {
 	visible := s.reports[0]
 	for _, report := range s.reports {
--- a/policy/wholesystem/store_test.go
+++ b/policy/wholesystem/store_test.go
@@ -14,7 +14,7 @@
 	acknowledgedAt time.Time // When the operator was told.
 }
 
-// store is the table service; its head is the last of the revisions.
+// store simulates the table service, which holds every accepted revision.
 type store struct {
 	up        bool
 	revisions []acceptedRevision
@@ -31,8 +31,8 @@
 	takeOut         bool
 }
 
-// submit is the table's compare-and-set. It returns the revision written, or 0 for
-// a conflict or for a change through a data centre that is taken out.
+// submit applies the change by compare-and-set. It returns the revision written, or
+// 0 if another change was accepted first or the entry's data centre is taken out.
 func (s *store) submit(c change) uint64 {
 	head := s.head()
 	if head.Revision != c.baseRevision || head.DataCentres[c.entryDataCentre].TakenOut {
--- a/policy/wholesystem/wholesystem_test.go
+++ b/policy/wholesystem/wholesystem_test.go
@@ -1,5 +1,6 @@
 // Package wholesystem tests the control states of entries and agents together
-// under injected faults, against one oracle; see docs/design/whole-system-fuzz.md.
+// under injected faults. An oracle checks the invariants after every step; see
+// docs/design/whole-system-fuzz.md.
 package wholesystem
 
 import (
@@ -28,10 +29,10 @@
 	os.Exit(m.Run())
 }
 
-const maxActions = 400 // Per run; rapid draws small numbers more often.
+const maxActions = 400 // Most actions in one execution of the system; rapid draws small numbers more often.
 
-// actions lists the actions that rapid draws from; a repeated name is drawn more
-// often.
+// actions lists the names of the actions that rapid chooses from; a name that is
+// listed several times is chosen more often.
 var actions = []string{
 	"pass", "pass", "pass", "pass", "flow", "flow", "flow", "long", "long",
 	"ask", "ask", "ask", "ask", "deliver", "deliver", "drop", "duplicate", "lose answer",
@@ -54,13 +55,13 @@
 					t.Logf("reproduce with: go test ./policy/wholesystem -run '^TestWholeSystem$' -wholesystem.seed=%d -wholesystem.checks=%d -wholesystem.known-red=%t", seed, *checksFlag, *knownRedFlag)
 				}
 			})
-			rapid.Check(t, func(t *rapid.T) { run(t, &total) })
+			rapid.Check(t, func(t *rapid.T) { runSimulation(t, &total) })
 		})
 	}
 	t.Logf("%+v", total)
 }
 
-func run(t *rapid.T, total *counts) {
+func runSimulation(t *rapid.T, total *counts) {
 	total.runs++
 	lag := time.Duration(rapid.IntRange(0, 5).Draw(t, "lag")) * 100 * time.Millisecond
 	w := newWorld(rapid.IntRange(2, 3).Draw(t, "entries"), rapid.IntRange(3, 4).Draw(t, "agents"), rapid.Uint64().Draw(t, "random"), lag, total)
@@ -136,7 +137,7 @@
 	}
 }
 
-// loseSubmitReply drops the answer to a change after its write took effect.
+// loseSubmitReply drops the reply to a change after the change was accepted.
 func (w *world) loseSubmitReply() {
 	for i, m := range w.inFlight {
 		if m.kind == submitRequest && !w.isLinkCut(m) {
--- a/policy/wholesystem/world_test.go
+++ b/policy/wholesystem/world_test.go
@@ -21,7 +21,8 @@
 
 var dataCentres = []string{"a", "b", "c"}
 
-// process is an entry or an agent, with the state that its effect executors keep.
+// process simulates an entry or an agent: its control state, and the state of the
+// code that executes its effects.
 type process struct {
 	index           int
 	self            control.Self
@@ -31,7 +32,7 @@
 	bootedAt        time.Time
 	paused          bool
 	deferred        []message // Messages received while paused.
-	highestRevision uint64    // Highest revision that it has ever had in force.
+	highestRevision uint64    // Highest revision that the process has had in force in any boot.
 
 	lastFetchID    int // Number of the latest fetch.
 	fetching       bool
@@ -39,7 +40,7 @@
 	unacknowledged []uint64 // Revisions written by its changes for which the answer has not arrived.
 }
 
-// counts records how often the runs reached each event.
+// counts records how often each kind of event occurred in all executions.
 type counts struct{ runs, actions, steps, started, refused, accepted, coldPeriods, restarts int }
 
 // world is the whole simulated system. Every choice is drawn by rapid or comes from
@@ -50,7 +51,7 @@
 	store     store
 	processes []*process
 	inFlight  []message
-	cutLinks  map[[2]string]bool // Pairs of data centres; "" stands for the table.
+	cutLinks  map[[2]string]bool // Cut links, as pairs of data centres; "" stands for the table service.
 	reportLag time.Duration      // Delay of load reports.
 	ticks     int
 	tickets   uint64
@@ -108,8 +109,9 @@
 	}
 }
 
-// checkRevision is the oracle's first check: the revision in force never decreases
-// at a process and, with knownRedFlag, not across its restarts either.
+// checkRevision is the first check of the oracle: the revision in force never
+// decreases at a process and, with knownRedFlag, not across restarts of the process
+// either.
 func (w *world) checkRevision(p *process, before uint64) {
 	revision := p.state.View.Revision()
 	if revision < before {
@@ -121,9 +123,9 @@
 	p.highestRevision = max(p.highestRevision, revision)
 }
 
-// start submits admitted work to the backend server. It holds the oracle's other
-// checks: no new work at a leaving agent, none in a data centre that was taken out
-// longer than takeOutBound ago, and no overload of a cold backend server.
+// start submits admitted work to the backend server and makes the other checks of
+// the oracle: no new work at a leaving agent, none in a data centre that was taken
+// out longer than takeOutBound ago, and no overload of a cold backend server.
 func (w *world) start(p *process, ticket uint64) {
 	w.counts.started++
 	if p.state.Leaving {
@@ -151,8 +153,8 @@
 	w.handle(p, m)
 }
 
-// advance moves the time on by ticks and, if deliverAll is set, delivers messages after
-// each tick.
+// advance advances the simulated time by ticks and, if deliverAll is set, delivers
+// the messages in flight after each tick.
 func (w *world) advance(ticks int, deliverAll bool) {
 	for range ticks {
 		w.now = w.now.Add(tickEvery)
@@ -204,7 +206,8 @@
 	}
 }
 
-// restart discards the process's state; work at its backend server continues.
+// restart discards the process's state; the requests at its backend server
+// continue.
 func (w *world) restart(p *process) {
 	w.counts.restarts++
 	p.boot++
