--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -1,12 +1,11 @@
 // Package admission decides which requests an agent sends to its backend server
 // and when. Only the agent admits requests.
 //
-// A backend server in cold start, that is, for some time after it was started, is
-// slow and can handle only few concurrent requests. The agent may learn of a cold
-// start late, so it looks for signs of one, such as a first piece of an answer
-// (the first part of the response that arrives) that is late. Some backend servers
-// also report their load; a warm report is one that says that the backend server
-// is not in cold start.
+// A backend server in cold start, for example after a restart, is slow and can
+// handle only few concurrent requests; otherwise it is warm. The agent may learn of
+// a cold start late, so it looks for signs of one, such as a late first piece (the
+// first part of an answer that arrives). Some backend servers also report their
+// load and whether they are in cold start.
 //
 // Invariants:
 //   - Work is started only while all work at the backend server, including work
@@ -57,7 +56,7 @@
 	running       map[uint64]*work
 	history       history
 
-	lastFirstPieceAt time.Time // When an answer last began to arrive: the time of the latest first piece.
+	lastFirstPieceAt time.Time // When the first piece of any answer last arrived.
 	index            *prefix.Index
 }
 
@@ -175,9 +174,9 @@
 	return nil
 }
 
-// ask queues the request. If the wait would be too long, it refuses the queued
-// request with the greatest finish time in the fair queue, which belongs to the
-// organisation furthest beyond its fair share and may be the new request.
+// ask queues the request. If the wait would be too long, it refuses at once the
+// queued request with the greatest finish time in the fair queue, which belongs to
+// the organisation furthest beyond its fair share and may be the new request.
 func (s *State) ask(event SlotRequested, now time.Time) []reduce.Effect {
 	if s.limit.down {
 		return []reduce.Effect{Refuse{Ticket: event.Ticket, Err: s.refusal()}}
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// A load report does not include requests that were in transit to the engine when
-// the engine made it. They must not be mistaken for requests that the report
-// includes.
+// A load report may omit requests that were in transit to the engine when the engine
+// made it. The agent must then not count them among the reported requests, or it
+// would underestimate the requests from before its start.
 func TestWorkInTransitDoesNotHideEarlierWork(t *testing.T) {
 	d := newDriver(Settings{Full: 16, Cold: 4, ReportsLoad: true})
 	d.now = d.now.Add(time.Second)
--- a/policy/admission/report.go
+++ b/policy/admission/report.go
@@ -29,7 +29,7 @@
 func (Reported) EventName() string { return "admission.reported" }
 
 // Returned reports that the backend server is in service again after it was taken
-// out. It may have restarted in the meantime.
+// out. What happened to it in the meantime, for example a restart, is unknown.
 type Returned struct{}
 
 func (Returned) EventName() string { return "admission.returned" }
--- a/policy/answer/answer_test.go
+++ b/policy/answer/answer_test.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestLostPartPreventsEnd checks that an answer with a missing part never ends.
-func TestLostPartPreventsEnd(t *testing.T) {
+// TestLostPart checks that an answer with a missing part never ends.
+func TestLostPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts, _ := drawParts(t)
 		lost := rapid.IntRange(0, len(parts)-1).Draw(t, "lost")
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestInvalidPartsAreRejected(t *testing.T) {
+func TestRefusedParts(t *testing.T) {
 	Convey("Given an answer with four tokens delivered", t, func() {
 		var assembler Assembler[string]
 		_, err := assembler.Accept("a", Part[string]{ID: "a", Tokens: 4})
--- a/policy/control/control.go
+++ b/policy/control/control.go
@@ -17,7 +17,7 @@
 	ID            string
 	Role          string
 	DataCentre    string
-	BackendServer string // Set for agents only.
+	BackendServer string // Name of the agent's backend server; empty for entries.
 }
 
 // State is the whole control state of a process.
--- a/policy/control/gate_test.go
+++ b/policy/control/gate_test.go
@@ -13,7 +13,7 @@
 
 // Work that was queued while new work was permitted is refused as soon as new work
 // is no longer permitted, even if a slot becomes free at the same time.
-func TestQueuedWorkIsRefusedWhenNewWorkStops(t *testing.T) {
+func TestQueuedWorkIsRefusedOnceTheGateCloses(t *testing.T) {
 	const running, queued = 1, 3 // The cold limit is 2.
 	cases := map[string]struct {
 		close func(step func(reduce.Event) []reduce.Effect, pass func(time.Duration)) []reduce.Effect
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -189,8 +189,8 @@
 // Accepted records that a server has begun to answer a request.
 func (d *Dispatcher) Accepted() { d.gate.accepted() }
 
-// tryDispatch chooses a server for the ticket and takes a slot there. It returns false
-// if the ticket can't be sent now.
+// tryDispatch chooses a server for the ticket and takes a slot there. It returns
+// false if the ticket can't be sent now.
 func (d *Dispatcher) tryDispatch(ticket Ticket, random float64, now time.Time) (Decision, bool) {
 	if !d.gate.allows(d.reportedGroupState(now), now) || d.gate.closed && ticket.FoundClosed {
 		return Decision{}, false
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -236,7 +236,7 @@
 	})
 }
 
-func TestClosedGroupIsProbed(t *testing.T) {
+func TestClosedGroup(t *testing.T) {
 	Convey("Given a group that refuses a request despite free slots", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(4, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
--- a/policy/dispatch/gate.go
+++ b/policy/dispatch/gate.go
@@ -4,8 +4,8 @@
 
 const (
 	// closedProbeInterval is the time between two probe requests to a group that
-	// takes no work. A group's ranks connect with each other within some hundred
-	// milliseconds.
+	// takes no work. A group forms, that is, its ranks connect with each other and
+	// the group opens, within some hundred milliseconds.
 	closedProbeInterval = 100 * time.Millisecond
 	// closedRetryAfter is the Retry-After for callers refused because the group is
 	// closed. A rank that was cut off from the network is back after some seconds,
@@ -23,9 +23,9 @@
 )
 
 // gate is a circuit breaker for a group that refuses all requests. While a rank is
-// missing or the ranks have not all connected, every rank refuses, and each
-// refusal costs the caller one of its attempts. One request at a time probes
-// whether the group takes work again.
+// missing or the group forms, every rank refuses, and each refusal costs the caller
+// one of its attempts. One request at a time probes whether the group takes work
+// again.
 type gate struct {
 	closed    bool
 	nextProbe time.Time
--- a/policy/dispatch/server.go
+++ b/policy/dispatch/server.go
@@ -34,7 +34,7 @@
 	reportAt      time.Time // When the last load report arrived.
 	closed        bool      // The server's group takes no work.
 	slowdown      float64   // Time of a pass relative to a normal server, which has 1.
-	busyUntil     time.Time // Until then the server gets no requests, because it refused one.
+	busyUntil     time.Time // Until then the server gets no requests, after it refused one or was replaced.
 	busySince     time.Time // Since when this entry has had requests in flight at the server.
 	lastEventAt   time.Time // When the server last sent an event.
 	silent        bool      // FindSilent has returned the server, and it has sent no event since.
@@ -98,8 +98,8 @@
 	return 2*normal > len(d.servers)
 }
 
-// reportedGroupState returns whether the group takes work according to the majority
-// of the servers with a recent load report.
+// reportedGroupState returns whether the group is open, that is, takes work,
+// according to the majority of the servers with a recent load report.
 func (d *Dispatcher) reportedGroupState(now time.Time) reportedState {
 	open, closed := 0, 0
 	for _, server := range d.servers {
--- a/policy/dispatch/silence.go
+++ b/policy/dispatch/silence.go
@@ -38,10 +38,10 @@
 
 // FindSilent returns the servers that have requests of this entry and send
 // neither events nor reports while others of their group send events, and excludes
-// them for a while. All servers of a group execute each pass together, so the machine of a
-// silent server has stalled or the network path from it is cut. Streams that can
-// resume elsewhere should be moved. A server that still sends reports is not
-// silent: its prompts are waiting to be read.
+// them for a while. All servers of a group execute each pass together, so the
+// machine of a silent server has stalled or the network path from it is cut.
+// Streams that can resume elsewhere should be moved. A server that still sends
+// reports is not silent: its prompts are waiting to be read.
 //
 // A silence that began while the whole group was stalled is counted from the
 // moment at which the group resumed. When a silent server is tried again, it gets
--- a/policy/dispatch/silence_test.go
+++ b/policy/dispatch/silence_test.go
@@ -35,7 +35,7 @@
 	return silent, now
 }
 
-func TestSilentServerIsReportedAndExcluded(t *testing.T) {
+func TestOneSilentServer(t *testing.T) {
 	Convey("Given a group in which every server sends events", t, func() {
 		d := streamingDispatcher(3)
 		silent, now := sendEvents(d, start, 2*time.Second, "s0", "s1", "s2")
--- a/policy/evidence/evidence.go
+++ b/policy/evidence/evidence.go
@@ -30,8 +30,8 @@
 
 	peerQueryInterval = time.Second
 	peerQueryJitter   = 250 * time.Millisecond
-	// askEveryDataCentreAge is the age of the newest known read of the table service from
-	// which one peer in every data centre is asked instead of one peer anywhere.
+	// askEveryDataCentreAge is the age of the newest known read of the table service
+	// from which one peer in every data centre is asked instead of one peer anywhere.
 	askEveryDataCentreAge = 2200 * time.Millisecond
 	retryAfter            = time.Second
 )
--- a/policy/jsonfile/problem.go
+++ b/policy/jsonfile/problem.go
@@ -11,8 +11,8 @@
 // Problem is one error in a file, with its position and a hint how to correct it.
 type Problem struct {
 	File    string `json:"file"`
-	Line    int    `json:"line"`   // From 1; 0 if the problem has no position.
-	Column  int    `json:"column"` // From 1, in characters.
+	Line    int    `json:"line"`   // Line number from 1; 0 if the problem has no position.
+	Column  int    `json:"column"` // Column number from 1, in characters.
 	Message string `json:"what"`   // What is wrong.
 	Hint    string `json:"want"`   // How to correct it.
 }
--- a/policy/once/messages.go
+++ b/policy/once/messages.go
@@ -54,14 +54,14 @@
 type RowRead struct {
 	Row     Row
 	Version uint64
-	Late    bool // For agents: the deadline has passed.
+	Late    bool // The request's deadline has passed; set for agents only.
 }
 
 // ReadFailed reports that the row could not be read.
 type ReadFailed struct{}
 
 // WriteSucceeded reports that the row was written.
-type WriteSucceeded struct{ Late bool } // Late is for agents: the deadline has passed.
+type WriteSucceeded struct{ Late bool } // Late says that the request's deadline has passed; set for agents only.
 
 // WriteConflict reports that the row had another version.
 type WriteConflict struct{}
--- a/policy/once/row.go
+++ b/policy/once/row.go
@@ -59,7 +59,7 @@
 	Ended       uint64 // Epoch of the row after its last final cancellation, 0 if there was none.
 	Fingerprint string // Fingerprint of the request that the key belongs to.
 	Execution   Execution
-	Answer      Answer // Set in a done row only.
+	Answer      Answer // The answer if State is Done.
 }
 
 // Startable reports whether the row permits an attempt of the epoch to start.
--- a/policy/share/home.go
+++ b/policy/share/home.go
@@ -54,7 +54,7 @@
 
 // Home keeps the accounts of the organisations that an entry is the home of.
 type Home struct {
-	accounts     map[string]*account // By organisation.
+	accounts     map[string]*account // The account of each organisation.
 	reassignedAt time.Time           // When organisations may last have moved here from another home.
 }
 
@@ -72,7 +72,7 @@
 	refilledAt      time.Time
 	rate            float64          // Requests per second that the organisation is limited to.
 	tokens          float64          // Tokens available to all entries.
-	leases          map[string]lease // By entry.
+	leases          map[string]lease // The lease of each entry.
 }
 
 // lease holds the slots that one entry may use until expiresAt.
--- a/policy/view/view_test.go
+++ b/policy/view/view_test.go
@@ -20,10 +20,10 @@
 	os.Exit(m.Run())
 }
 
-// TestStepInvariants applies events in any order, duplicated and delayed, and
+// TestStepMachine applies events in any order, duplicated and delayed, and
 // compares the state with the history of accepted revisions and their times of
 // acceptance.
-func TestStepInvariants(t *testing.T) {
+func TestStepMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000, 0)
 		acceptedAt := []time.Time{now} // Indexed by revision, from 0.
--- a/policy/wholesystem/wholesystem_test.go
+++ b/policy/wholesystem/wholesystem_test.go
@@ -19,7 +19,7 @@
 	seedFlag   = flag.Uint64("wholesystem.seed", 0, "run this seed alone")
 	seedsFlag  = flag.Uint64("wholesystem.seeds", 5, "run the seeds from 1 to this one")
 	checksFlag = flag.Int("wholesystem.checks", 20, "runs of each seed")
-	// knownRedFlag enables the check that is listed in KNOWN-RED.txt.
+	// knownRedFlag enables the checks that fail and are listed in KNOWN-RED.txt.
 	knownRedFlag = flag.Bool("wholesystem.known-red", false, "check too that a restarted process installs no lower revision than it had")
 )
 
