--- a/policy/admission/report.go
+++ b/policy/admission/report.go
@@ -57,7 +57,7 @@
 	l.hasReport = true
 	l.lastReportAt = event.At
 	s.freeEnded(event.At)
-	l.externalRequests = max(0, event.Running+event.Waiting-s.history.least(event.At))
+	l.externalRequests = max(0, event.Running+event.Waiting-s.history.minRunning(event.At))
 	if event.BootID != l.bootID {
 		s.recordBootID(event.BootID, event.At)
 	}
@@ -116,11 +116,11 @@
 	}
 }
 
-// least returns the least number of running requests within maxTransit before
+// minRunning returns the least number of running requests within maxTransit before
 // when. Requests that were in transit to the backend server at that time may be
 // missing from its report.
-func (h *history) least(when time.Time) int {
-	before, least := 0, -1
+func (h *history) minRunning(when time.Time) int {
+	before, minRunning := 0, -1
 	for _, c := range h.changes {
 		if c.at.After(when) {
 			break
@@ -129,13 +129,13 @@
 			before = c.running
 			continue
 		}
-		if least < 0 {
-			least = before
+		if minRunning < 0 {
+			minRunning = before
 		}
-		least = min(least, c.running)
+		minRunning = min(minRunning, c.running)
 	}
-	if least < 0 {
+	if minRunning < 0 {
 		return before
 	}
-	return least
+	return minRunning
 }
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -107,16 +107,16 @@
 		passAtLimit := func(servers int) time.Duration {
 			d := NewDispatcher(WarmUpLimit{Entries: 1})
 			d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
-			base := d.pace.base()
+			baseSeconds := d.pace.baseSeconds()
 			requests := servers * 5
 			slope := 4 * d.pace.evenSlope(servers) // So that the pause goal limits, not the slots.
 			now := start
 			for range 100 {
 				now = now.Add(10 * time.Millisecond)
 				d.setInFlight(requests, now)
-				d.ObserveGap("s0", time.Duration((base+slope*float64(requests))*float64(time.Second)), now)
+				d.ObserveGap("s0", time.Duration((baseSeconds+slope*float64(requests))*float64(time.Second)), now)
 			}
-			pass := base + slope*float64(d.pace.limit(servers))
+			pass := baseSeconds + slope*float64(d.pace.limit(servers))
 			return time.Duration(pass * float64(time.Second))
 		}
 		So(passAtLimit(12), ShouldAlmostEqual, 102*time.Millisecond, 2*time.Millisecond)
--- a/policy/dispatch/limiter.go
+++ b/policy/dispatch/limiter.go
@@ -46,7 +46,7 @@
 type ConcurrencyLimiter struct {
 	engine       *topology.Engine // Nil for a plain service.
 	pauseGoal    time.Duration    // Longest allowed pause between two events of a stream.
-	slowest      float64          // Slowdown of the group's slowest server, 1 for a normal one; 0 while unknown.
+	maxSlowdown  float64          // Slowdown of the group's slowest server, 1 for a normal one; 0 while unknown.
 	slope        float64          // Seconds that one request in flight in the group adds to a pass.
 	observedAt   time.Time
 	smoothedPass time.Duration // Smoothed duration of a pass.
@@ -56,10 +56,10 @@
 	l.engine, l.pauseGoal = engine, pauseGoal
 }
 
-// base returns the duration in seconds of a pass without work at the slowest
+// baseSeconds returns the duration in seconds of a pass without work at the slowest
 // server.
-func (l *ConcurrencyLimiter) base() float64 {
-	return float64(l.engine.Stride) * l.engine.StepMS / 1000 * max(1, l.slowest)
+func (l *ConcurrencyLimiter) baseSeconds() float64 {
+	return float64(l.engine.Stride) * l.engine.StepMS / 1000 * max(1, l.maxSlowdown)
 }
 
 // evenSlope returns the slope of a group with perfectly balanced experts.
@@ -73,7 +73,7 @@
 	if l.engine == nil || inFlight <= 0 || gap <= 0 {
 		return
 	}
-	slope := max(0, gap.Seconds()-l.base()) / float64(inFlight)
+	slope := max(0, gap.Seconds()-l.baseSeconds()) / float64(inFlight)
 	weight := 1.0
 	if !l.observedAt.IsZero() {
 		// Every stream in a pass reports its gap, so the weight that the time constant
@@ -102,7 +102,7 @@
 	if servers >= largeGroupServers {
 		share = largeGroupPauseGoalShare
 	}
-	availableSeconds := share*l.pauseGoal.Seconds() - l.base()
+	availableSeconds := share*l.pauseGoal.Seconds() - l.baseSeconds()
 	limit := availableSeconds / slope
 	limit = max(limit, minRequestsPerServer*float64(servers))
 	return int(min(limit, engineFillShare*float64(servers*l.engine.Slots)))
@@ -110,7 +110,7 @@
 
 // passDuration returns the current smoothed duration of a pass.
 func (l *ConcurrencyLimiter) passDuration() time.Duration {
-	return max(l.smoothedPass, time.Duration(l.base()*float64(time.Second)))
+	return max(l.smoothedPass, time.Duration(l.baseSeconds()*float64(time.Second)))
 }
 
 // passesDuration returns the current duration of count passes.
--- a/policy/dispatch/server.go
+++ b/policy/dispatch/server.go
@@ -67,19 +67,19 @@
 	}
 	server.otherRequests = max(0, report.Queued+report.Active-server.ownRequests)
 	server.closed, server.slowdown, server.reportAt = !report.Open, max(1, report.Pace), now
-	d.pace.slowest = d.slowest(now)
+	d.pace.maxSlowdown = d.maxSlowdown(now)
 }
 
-// slowest returns the slowdown of the slowest server that has requests, 1 if none
-// is slow.
-func (d *Dispatcher) slowest(now time.Time) float64 {
-	slowest := 1.0
+// maxSlowdown returns the slowdown of the slowest server that has requests, 1 if
+// none is slow.
+func (d *Dispatcher) maxSlowdown(now time.Time) float64 {
+	maxSlowdown := 1.0
 	for _, server := range d.servers {
 		if server.fresh(now) && server.ownRequests+server.otherRequests > 0 {
-			slowest = max(slowest, server.slowdown)
+			maxSlowdown = max(maxSlowdown, server.slowdown)
 		}
 	}
-	return slowest
+	return maxSlowdown
 }
 
 // ShouldMigrateStreams reports whether resumable streams should continue at
--- a/policy/once/entry.go
+++ b/policy/once/entry.go
@@ -82,7 +82,8 @@
 	return e.endUnknown() // ReadFailed, WriteSkipped, Expired.
 }
 
-// nextIntent returns the intent for when no attempt is in flight.
+// nextIntent returns what the entry does next if no attempt is in flight: another
+// attempt, unless maxAttempts were made.
 func (e Entry) nextIntent() intent {
 	if e.attempts < maxAttempts {
 		return retry
--- a/policy/share/home.go
+++ b/policy/share/home.go
@@ -52,7 +52,7 @@
 	RetryAfter time.Duration // When to ask again if no token or slot was free; 0 otherwise.
 }
 
-// Home keeps the accounts of the organisations that an entry is the home of.
+// Home holds the accounts of the organisations whose home this entry is.
 type Home struct {
 	accounts     map[string]*account // The account of each organisation.
 	reassignedAt time.Time           // When organisations may last have moved here from another home.
