--- a/policy/choose/choose.go
+++ b/policy/choose/choose.go
@@ -14,24 +14,25 @@
 	otherRegionRTT    = 80 * time.Millisecond
 )
 
-// fullBatchPenalty is the delay added to the offer of an agent at its limit.
+// fullBatchPenalty is the delay added to the expected delay of an offer whose
+// agent is at its concurrency limit.
 const fullBatchPenalty = 400 * time.Millisecond
 
 // tieMargin is the difference in expected delay up to which two offers count as
 // equal, so that load spreads between them.
 const tieMargin = 2 * time.Millisecond
 
-// defaultRetryAfter is the Retry-After if no offer has one.
+// defaultRetryAfter is the Retry-After of refusals that carry none.
 const defaultRetryAfter = time.Second
 
 // Offer is an agent's answer to a probe, seen from the entry instance.
 type Offer struct {
-	Refuses    result.Code // OK, or why the agent takes no new work.
-	RetryAfter time.Duration
-	FirstToken time.Duration // Expected at the agent: queueing, cold start and reading the uncached prompt tokens.
-	RTT        time.Duration // Round-trip time to the agent.
-	Running    int
-	Headroom   int // Requests below the agent's limit.
+	Refuses          result.Code // OK, or why the agent takes no new work.
+	RetryAfter       time.Duration
+	TimeToFirstToken time.Duration // Expected at the agent: queueing, cold start and reading the uncached prompt tokens.
+	RTT              time.Duration // Round-trip time to the agent.
+	Running          int           // Requests in flight at the backend server.
+	Headroom         int           // Requests that the agent can take before it reaches its limit.
 }
 
 // expectedDelay returns the expected time to first token plus a penalty for
@@ -40,10 +41,11 @@
 func (o Offer) expectedDelay() time.Duration {
 	limit := max(1, o.Running+o.Headroom)
 	used := float64(o.Running) / float64(limit)
-	return o.FirstToken + o.RTT + time.Duration(used*used*float64(fullBatchPenalty))
+	return o.TimeToFirstToken + o.RTT + time.Duration(used*used*float64(fullBatchPenalty))
 }
 
-// RTT returns the expected round-trip time between two data centres.
+// RTT returns the expected network round-trip time between the data centres from
+// and to.
 func RTT(snapshot *config.Snapshot, from, to string) time.Duration {
 	switch {
 	case from == to:
@@ -72,14 +74,15 @@
 	if fastest < 0 {
 		return -1, earliestRefusal(offers)
 	}
-	if expectedDelay := offers[fastest].FirstToken + offers[fastest].RTT; expectedDelay > remaining {
+	if expectedDelay := offers[fastest].TimeToFirstToken + offers[fastest].RTT; expectedDelay > remaining {
 		return -1, &result.Error{Code: result.DeadlineTooShort, RetryAfter: expectedDelay}
 	}
 	return pickLeastLoaded(offers, offers[fastest].expectedDelay()+tieMargin, random), nil
 }
 
 // pickLeastLoaded returns the index of the offer with the most headroom among those
-// with an expected delay of at most maxDelay. The search starts at a random offer.
+// with an expected delay of at most maxDelay. The search starts at a random offer,
+// which breaks ties.
 func pickLeastLoaded(offers []Offer, maxDelay time.Duration, random uint64) int {
 	chosen, headroom := -1, 0
 	start := int(random % uint64(len(offers)))
--- a/policy/control/gate_test.go
+++ b/policy/control/gate_test.go
@@ -11,8 +11,8 @@
 	"persimmonwind.dev/policy/view"
 )
 
-// Work that was queued while new work was permitted is refused as soon as it no
-// longer is, even if a slot becomes free at the same time.
+// Work that was queued while new work was permitted is refused as soon as new work
+// is no longer permitted, even if a slot becomes free at the same time.
 func TestQueuedWorkIsRefusedOnceTheGateCloses(t *testing.T) {
 	const running, queued = 1, 3 // The cold limit is 2.
 	cases := map[string]struct {
@@ -43,7 +43,7 @@
 			step(view.StoreRead{Revision: 1, BeganAt: now})
 			now = now.Add(evidence.MaxStoreAge - time.Second)
 			for ticket := uint64(running); ticket <= queued; ticket++ {
-				step(admission.Asked{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)})
+				step(admission.SlotRequested{Ticket: ticket, Org: "o", Deadline: now.Add(time.Minute)})
 			}
 			effects := c.close(step, func(d time.Duration) { now = now.Add(d) })
 			effects = append(effects, step(admission.Released{Ticket: running, Completed: true})...)
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -107,16 +107,16 @@
 		passAtLimit := func(servers int) time.Duration {
 			d := NewDispatcher(WarmUpLimit{Entries: 1})
 			d.Configure(candidates(servers, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
-			base := d.pace.base()
+			baseSeconds := d.pace.baseSeconds()
 			requests := servers * 5
 			slope := 4 * d.pace.evenSlope(servers) // So that the pause goal limits, not the slots.
 			now := start
 			for range 100 {
 				now = now.Add(10 * time.Millisecond)
 				d.setInFlight(requests, now)
-				d.ObserveGap("s0", time.Duration((base+slope*float64(requests))*float64(time.Second)), now)
+				d.ObserveGap("s0", time.Duration((baseSeconds+slope*float64(requests))*float64(time.Second)), now)
 			}
-			pass := base + slope*float64(d.pace.limit(servers))
+			pass := baseSeconds + slope*float64(d.pace.limit(servers))
 			return time.Duration(pass * float64(time.Second))
 		}
 		So(passAtLimit(12), ShouldAlmostEqual, 102*time.Millisecond, 2*time.Millisecond)
@@ -130,7 +130,7 @@
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
 		unseen := d.Submit(ticket(1, start), 0, start)
 		So(unseen.Verdict, ShouldEqual, Go)
-		So(unseen.PredictedFirstEvent, ShouldAlmostEqual, 84*time.Millisecond, time.Millisecond) // Passes without work.
+		So(unseen.PredictedFirstEvent, ShouldAlmostEqual, 84*time.Millisecond, time.Millisecond) // 2.9 passes of 29 ms without work.
 		now := start
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
@@ -140,7 +140,7 @@
 	})
 }
 
-func TestEvenLoad(t *testing.T) {
+func TestRequestsAreSpreadEvenly(t *testing.T) {
 	Convey("Requests are spread evenly, counting those of other entries", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(3, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
@@ -298,7 +298,7 @@
 	})
 }
 
-func TestSlowRank(t *testing.T) {
+func TestSlowRankGetsWorkLast(t *testing.T) {
 	Convey("Given a group with one rank three times as slow as normal", t, func() {
 		d := NewDispatcher(WarmUpLimit{Entries: 1})
 		d.Configure(candidates(12, 12), topology.Service{Engine: engine()}, 120*time.Millisecond)
@@ -338,9 +338,9 @@
 // setInFlight sets the reported load so that the group has total requests.
 func (d *Dispatcher) setInFlight(total int, now time.Time) {
 	for i, s := range d.servers {
-		s.others, s.reportAt = total/len(d.servers), now
+		s.otherRequests, s.reportAt = total/len(d.servers), now
 		if i < total%len(d.servers) {
-			s.others++
+			s.otherRequests++
 		}
 	}
 }
@@ -348,7 +348,7 @@
 func TestColdServerIsNotOverloaded(t *testing.T) {
 	Convey("All entries together stay below the overload limit of a cold server", t, func() {
 		const entries = 4
-		warmUp := WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: entries}
+		warmUp := WarmUpLimit{OverloadFactor: 1.5, ExtraPerSecond: 5, Entries: entries}
 		service := topology.Service{WarmUpPerSecond: 36}
 		total := 0
 		for range entries {
@@ -370,7 +370,7 @@
 	Convey("Eighteen entries stay below the overload limit of one of 63 servers that turns cold unannounced", t, func() {
 		total := 0
 		for range 18 {
-			d := NewDispatcher(WarmUpLimit{OverloadFactor: 1.5, Allowance: 5, Entries: 8})
+			d := NewDispatcher(WarmUpLimit{OverloadFactor: 1.5, ExtraPerSecond: 5, Entries: 8})
 			d.Configure(candidates(63, 1000), topology.Service{WarmUpPerSecond: 26}, 0)
 			d.Configure(candidates(1, 1000), topology.Service{WarmUpPerSecond: 26}, 0) // All others have left.
 			for i := range 1000 {
--- a/policy/jsonfile/problem.go
+++ b/policy/jsonfile/problem.go
@@ -11,8 +11,8 @@
 // Problem is one error in a file, with its position and a hint how to correct it.
 type Problem struct {
 	File    string `json:"file"`
-	Line    int    `json:"line"`   // From 1; 0 if the problem has no position.
-	Column  int    `json:"column"` // From 1, in characters.
+	Line    int    `json:"line"`   // Line number from 1; 0 if the problem has no position.
+	Column  int    `json:"column"` // Column number from 1, in characters.
 	Message string `json:"what"`   // What is wrong.
 	Hint    string `json:"want"`   // How to correct it.
 }
@@ -20,14 +20,14 @@
 // String returns the problem as one line that starts with file:line:column, which
 // editors recognise.
 func (p Problem) String() string {
-	place := p.File
+	position := p.File
 	if p.Line > 0 {
-		place = fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
+		position = fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 	}
 	if p.Hint == "" {
-		return place + ": " + p.Message
+		return position + ": " + p.Message
 	}
-	return place + ": " + p.Message + "; " + p.Hint
+	return position + ": " + p.Message + "; " + p.Hint
 }
 
 // Problems is a list of problems. It is an error if it is not empty.
