--- a/ctl/experiment/choice/policies.go
+++ b/ctl/experiment/choice/policies.go
@@ -140,7 +140,7 @@
 		}
 	}
 	cost := len(candidates) * probeBytes(len(work.Prompt.Blocks))
-	index, err := choose.Best(offers, work.Timeout, p.random.Uint64())
+	index, err := choose.Best(offers, work.Deadline, p.random.Uint64())
 	if err != nil && err.Code != result.OK {
 		return decision{controlBytes: cost}, false
 	}
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -51,7 +51,7 @@
 
 func engineConfig(s scenario) model.EngineConfig {
 	config := model.EngineConfig{
-		FullLimit: 32, ColdLimit: 4, WarmUpRequests: 8, PrefillTime: prefillTime, StepTime: stepTime, ColdPrefillFactor: 4,
+		Full: 32, Cold: 4, WarmUpRequests: 8, PrefillTime: prefillTime, StepTime: stepTime, ColdPrefillFactor: 4,
 		CacheBlocks: 8192, ReportLag: 500 * time.Millisecond, EventLag: 200 * time.Millisecond,
 	}
 	if s.unreliableEvents {
@@ -150,14 +150,14 @@
 		}
 		r.fleet.clock.After(chosen.delay+roundTripTime/2, func() {
 			r.fleet.servers[chosen.server].Submit(work, model.Callbacks{
-				OnRefused: func(*result.Error) { retry() },
-				OnFirstToken: func(cached int) {
+				Refused: func(*result.Error) { retry() },
+				Begun: func(cached int) {
 					if counted {
 						r.recordFirstToken(arrived, work, cached)
 					}
 				},
-				OnDone:   func() {},
-				OnBroken: countRefusal,
+				Done:   func() {},
+				Broken: countRefusal,
 			})
 		})
 	}
--- a/ctl/experiment/choice/workload.go
+++ b/ctl/experiment/choice/workload.go
@@ -76,9 +76,9 @@
 	blocks := w.drawPrompt(org)
 	tokens := len(blocks)*prefix.BlockTokens + tailTokens
 	return model.Work{
-		Org: orgName(org), Weight: 1, Timeout: requestTimeout,
+		Org: orgName(org), Weight: 1, Deadline: requestTimeout,
 		Prompt: prefix.Prompt{Tokens: tokens, Blocks: blocks},
-		AnswerTokens: 1 + int(w.random.ExpFloat64()*(meanAnswerTokens-1)),
+		Tokens: 1 + int(w.random.ExpFloat64()*(meanAnswerTokens-1)),
 	}
 }
 
--- a/ctl/experiment/coldstart/run.go
+++ b/ctl/experiment/coldstart/run.go
@@ -82,7 +82,7 @@
 
 func engineConfig(sc scenario) model.EngineConfig {
 	return model.EngineConfig{
-		FullLimit: 32, ColdLimit: 4, WarmUpRequests: 12, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
+		Full: 32, Cold: 4, WarmUpRequests: 12, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
 		ColdPrefillFactor: sc.coldPrefillFactor, CacheBlocks: 4096, ReportLag: sc.reportLag,
 	}
 }
@@ -120,10 +120,10 @@
 		stats.requests++
 		server := servers[random.IntN(len(servers))]
 		server.Submit(drawRequest(random), model.Callbacks{
-			OnRefused: func(*result.Error) { stats.refused++ },
-			OnFirstToken:   func(int) {},
-			OnDone:    func() { stats.completed++ },
-			OnBroken:  func() { stats.broken++ },
+			Refused: func(*result.Error) { stats.refused++ },
+			Begun:   func(int) {},
+			Done:    func() { stats.completed++ },
+			Broken:  func() { stats.broken++ },
 		})
 		clock.After(time.Duration(random.ExpFloat64()/requestsPerSecond*float64(time.Second)), arrive)
 	}
@@ -136,7 +136,7 @@
 		blocks[index] = random.Uint64()
 	}
 	return model.Work{
-		Org: "org", Weight: 1, Timeout: requestTimeout, AnswerTokens: 10 + int(random.ExpFloat64()*meanAnswerTokens),
+		Org: "org", Weight: 1, Deadline: requestTimeout, Tokens: 10 + int(random.ExpFloat64()*meanAnswerTokens),
 		Prompt: prefix.Prompt{Tokens: promptBlocks * prefix.BlockTokens, Blocks: blocks},
 	}
 }
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -10,9 +10,9 @@
 
 // EngineConfig holds the parameters of one simulated engine.
 type EngineConfig struct {
-	FullLimit              int           // Concurrent requests when warm.
-	ColdLimit              int           // Concurrent requests, started in cold start, that the engine can handle.
-	WarmUpRequests         int           // Completed requests until the engine is warm.
+	Full              int           // Concurrent requests when warm.
+	Cold              int           // Concurrent requests, started in cold start, that the engine can handle.
+	WarmUpRequests    int           // Completed requests until the engine is warm.
 	PrefillTime       time.Duration // Per uncached prompt token.
 	StepTime          time.Duration // Per decode step, which yields one token.
 	ColdPrefillFactor float64       // Factor on the time of a prefill in cold start.
@@ -89,10 +89,10 @@
 		e.clock.After(0, g.notify.broken)
 		return
 	}
-	if e.cold && len(e.generations) >= e.ColdLimit {
+	if e.cold && len(e.generations) >= e.Cold {
 		e.coldStartsOverLimit++
 	}
-	if e.cold && e.coldRunning >= e.ColdLimit {
+	if e.cold && e.coldRunning >= e.Cold {
 		e.overloads++
 		e.generations[g.ticket] = g
 		e.reboot()
--- a/ctl/experiment/model/oracle.go
+++ b/ctl/experiment/model/oracle.go
@@ -12,7 +12,7 @@
 
 func (s *Server) submitToOracle(p pending) {
 	if len(s.oracleQueue) >= maxOracleQueue {
-		p.callbacks.OnRefused(&result.Error{Code: result.Overloaded})
+		p.callbacks.Refused(&result.Error{Code: result.Overloaded})
 		return
 	}
 	s.oracleQueue = append(s.oracleQueue, p)
@@ -29,7 +29,7 @@
 
 func (s *Server) oracleHasCapacity() bool {
 	if s.engine.cold {
-		return s.engine.coldRunning < s.engine.ColdLimit
+		return s.engine.coldRunning < s.engine.Cold
 	}
-	return len(s.engine.generations) < s.engine.FullLimit
+	return len(s.engine.generations) < s.engine.Full
 }
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -18,17 +18,17 @@
 	Weight   float64
 	Priority int
 	Prompt   prefix.Prompt
-	AnswerTokens   int           // Of the answer.
-	Timeout time.Duration // From the submission.
+	Tokens   int           // Of the answer.
+	Deadline time.Duration // From the submission.
 }
 
 // Callbacks receives the result of one attempt. Exactly one of Refused, Done and
 // Broken is called. Begun is called at the first token, before Done.
 type Callbacks struct {
-	OnRefused func(err *result.Error)
-	OnFirstToken   func(cachedTokens int)
-	OnDone    func()
-	OnBroken  func()
+	Refused func(err *result.Error)
+	Begun   func(cachedTokens int)
+	Done    func()
+	Broken  func()
 }
 
 // Server is one backend server with its agent.
@@ -64,7 +64,7 @@
 
 func (s *Server) configure() {
 	s.agent = admission.State{}.Configure(admission.Settings{
-		Full: s.engine.FullLimit, Cold: s.engine.ColdLimit, ReportsLoad: true,
+		Full: s.engine.Full, Cold: s.engine.Cold, ReportsLoad: true,
 	})
 }
 
@@ -90,7 +90,7 @@
 	s.pending[p.ticket] = p
 	s.step(admission.Asked{
 		Ticket: p.ticket, Org: work.Org, Weight: work.Weight, Priority: work.Priority,
-		Deadline: s.clock.Time().Add(work.Timeout), Prompt: work.Prompt,
+		Deadline: s.clock.Time().Add(work.Deadline), Prompt: work.Prompt,
 	})
 }
 
@@ -104,7 +104,7 @@
 		case admission.Refuse:
 			p := s.pending[effect.Ticket]
 			delete(s.pending, effect.Ticket)
-			p.callbacks.OnRefused(effect.Err)
+			p.callbacks.Refused(effect.Err)
 		case admission.Admit:
 			p := s.pending[effect.Ticket]
 			delete(s.pending, effect.Ticket)
@@ -123,19 +123,19 @@
 		}
 	}
 	s.engine.start(&generation{
-		ticket: p.ticket, prompt: p.work.Prompt, answerTokens: p.work.AnswerTokens,
+		ticket: p.ticket, prompt: p.work.Prompt, answerTokens: p.work.Tokens,
 		notify: engineCallbacks{
 			firstToken: func(cached int) {
-				p.callbacks.OnFirstToken(cached)
+				p.callbacks.Begun(cached)
 				sendToAgent(admission.Begun{Ticket: p.ticket})
 			},
 			done: func() {
-				p.callbacks.OnDone()
+				p.callbacks.Done()
 				sendToAgent(admission.Released{Ticket: p.ticket, Completed: true})
 				s.startOracleQueue()
 			},
 			broken: func() {
-				p.callbacks.OnBroken()
+				p.callbacks.Broken()
 				sendToAgent(admission.Released{Ticket: p.ticket, Broken: true})
 				s.startOracleQueue()
 			},
@@ -208,7 +208,7 @@
 	s.pending = map[uint64]pending{}
 	s.configure()
 	for _, p := range waiting {
-		p.callbacks.OnRefused(&result.Error{Code: result.NoBackendServer})
+		p.callbacks.Refused(&result.Error{Code: result.NoBackendServer})
 	}
 }
 
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -111,7 +111,7 @@
 
 func engineConfig() model.EngineConfig {
 	return model.EngineConfig{
-		FullLimit: 32, ColdLimit: 4, WarmUpRequests: 8, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
+		Full: 32, Cold: 4, WarmUpRequests: 8, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
 		ColdPrefillFactor: 4, CacheBlocks: 4096, ReportLag: 500 * time.Millisecond,
 	}
 }
@@ -139,7 +139,7 @@
 		blocks[index] = random.Uint64()
 	}
 	return model.Work{
-		Org: "org", Weight: 1, Timeout: requestTimeout, AnswerTokens: 10 + int(random.ExpFloat64()*meanAnswerTokens),
+		Org: "org", Weight: 1, Deadline: requestTimeout, Tokens: 10 + int(random.ExpFloat64()*meanAnswerTokens),
 		Prompt: prefix.Prompt{Tokens: promptBlocks * prefix.BlockTokens, Blocks: blocks},
 	}
 }
@@ -167,14 +167,14 @@
 	responseStarted := false
 	r.clock.After(roundTripTime, func() {
 		r.servers[server].Submit(q.work, model.Callbacks{
-			OnRefused: func(err *result.Error) { q.handleFailure(number, server, err, false) },
-			OnFirstToken:   func(int) { responseStarted = true },
-			OnDone: func() {
+			Refused: func(err *result.Error) { q.handleFailure(number, server, err, false) },
+			Begun:   func(int) { responseStarted = true },
+			Done: func() {
 				if r.clock.Now() >= stopAt+settleTime {
 					r.stats.completed++
 				}
 			},
-			OnBroken: func() { q.handleFailure(number, server, &result.Error{Code: result.CutAnswer}, responseStarted) },
+			Broken: func() { q.handleFailure(number, server, &result.Error{Code: result.CutAnswer}, responseStarted) },
 		})
 	})
 }
@@ -182,7 +182,7 @@
 func (q *request) handleFailure(number, server int, err *result.Error, responseStarted bool) {
 	attempt := retry.Attempt{
 		Number: number, Err: err, ResponseStarted: responseStarted, Idempotent: true, Waited: q.runner.clock.Now() - q.arrived,
-		Remaining: q.work.Timeout - (q.runner.clock.Now() - q.arrived),
+		Remaining: q.work.Deadline - (q.runner.clock.Now() - q.arrived),
 	}
 	var retryAllowed bool
 	if *q.budget, retryAllowed = q.runner.policy.shouldRetry(*q.budget, attempt); !retryAllowed {
