--- a/ctl/experiment/choice/choice.go
+++ b/ctl/experiment/choice/choice.go
@@ -18,11 +18,11 @@
 }
 
 var sizes = []size{
-	{name: "dozen", servers: 12, entries: 3, orgs: 40, rate: 17, length: 180e9},
-	{name: "one model of the target", servers: 172, entries: 330, orgs: 1400, rate: 245, length: 120e9},
+	{name: "dozen", servers: 12, entries: 3, orgs: 40, rate: 17, duration: 180e9},
+	{name: "one model of the target", servers: 172, entries: 330, orgs: 1400, rate: 245, duration: 120e9},
 }
 
-var quickSizes = []size{{name: "dozen", servers: 12, entries: 3, orgs: 40, rate: 17, length: 90e9}}
+var quickSizes = []size{{name: "dozen", servers: 12, entries: 3, orgs: 40, rate: 17, duration: 90e9}}
 
 var scenarios = []scenario{
 	{name: "drift"},
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -22,12 +22,12 @@
 
 // size is the size of the simulated system.
 type size struct {
-	name    string
-	servers int
-	entries int
-	orgs    int
-	rate    float64 // Requests per second.
-	length  time.Duration
+	name     string
+	servers  int
+	entries  int
+	orgs     int
+	rate     float64 // Requests per second.
+	duration time.Duration
 }
 
 // scenario says which disturbances a run has.
@@ -82,9 +82,9 @@
 	r := &runner{fleet: f, policy: build(f), workload: newWorkload(seed, sz.orgs)}
 	r.runStats.meanLoad = make([]float64, sz.servers)
 	r.schedule(sz, sc)
-	clock.Run(sz.length)
+	clock.Run(sz.duration)
 	for index := range r.runStats.meanLoad {
-		r.runStats.meanLoad[index] /= (sz.length - warmUp).Seconds() / sampleInterval.Seconds()
+		r.runStats.meanLoad[index] /= (sz.duration - warmUp).Seconds() / sampleInterval.Seconds()
 	}
 	return r.runStats
 }
@@ -109,11 +109,11 @@
 		}
 	})
 	if sc.slowServer {
-		clock.After(sz.length/2, func() { r.fleet.servers[0].SetSlowdown(slowServerFactor) })
+		clock.After(sz.duration/2, func() { r.fleet.servers[0].SetSlowdown(slowServerFactor) })
 	}
 	if sc.surge {
-		clock.After(sz.length/3, func() { r.workload.surgingOrg = sz.orgs / 2 })
-		clock.After(2*sz.length/3, func() { r.workload.surgingOrg = -1 })
+		clock.After(sz.duration/3, func() { r.workload.surgingOrg = sz.orgs / 2 })
+		clock.After(2*sz.duration/3, func() { r.workload.surgingOrg = -1 })
 	}
 }
 
--- a/ctl/experiment/coldstart/run.go
+++ b/ctl/experiment/coldstart/run.go
@@ -22,7 +22,7 @@
 // scenario says which faults are injected into the servers of a run.
 type scenario struct {
 	name              string
-	coldTurns         bool // Engines turn cold unannounced, and continue their requests.
+	engineTurnsCold   bool // Engines turn cold unannounced, and continue their requests.
 	engineRestarts    bool // Engines restart, which breaks off their answers.
 	agentRestarts     bool // Agents restart, some of them together with a cold turn.
 	reportLag         time.Duration
@@ -30,10 +30,10 @@
 }
 
 var scenarios = []scenario{
-	{name: "unannounced cold turns", coldTurns: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
+	{name: "unannounced cold turns", engineTurnsCold: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
 	{name: "engine restarts", engineRestarts: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
-	{name: "agent restarts and cold turns", coldTurns: true, agentRestarts: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
-	{name: "all, reports 2 s late", coldTurns: true, engineRestarts: true, agentRestarts: true, reportLag: 2 * time.Second, coldPrefillFactor: 6},
+	{name: "agent restarts and cold turns", engineTurnsCold: true, agentRestarts: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
+	{name: "all, reports 2 s late", engineTurnsCold: true, engineRestarts: true, agentRestarts: true, reportLag: 2 * time.Second, coldPrefillFactor: 6},
 }
 
 // runStats holds the results of a run.
@@ -91,7 +91,7 @@
 // An agent restart may coincide with a cold turn.
 func scheduleFaults(clock *model.Clock, random *rand.Rand, server *model.Server, sc scenario) {
 	var faults []func()
-	if sc.coldTurns {
+	if sc.engineTurnsCold {
 		faults = append(faults, server.TurnCold)
 	}
 	if sc.engineRestarts {
--- a/ctl/experiment/datacentre/datacentre.go
+++ b/ctl/experiment/datacentre/datacentre.go
@@ -26,16 +26,16 @@
 	entryAddress = "127.0.0.1:18480"
 	adminAddress = "127.0.0.1:18481"
 
-	fullLimit       = 8 // Concurrent generations of each of the three engines.
-	coldLimit       = 2
-	rate            = 85.0 // Requests per second; two engines can serve 100.
-	beforeDuration  = 8 * time.Second
-	leaveDuration   = 12 * time.Second
-	returnDuration  = 15 * time.Second
-	changeDelay     = 2 * time.Second // From the start of a phase until its change.
-	maxTakeOutDelay = 5 * time.Second
-	waitTimeout     = 9 * time.Second
-	readyTimeout    = 10 * time.Second
+	engineFullLimit   = 8 // Concurrent generations of each of the three engines.
+	engineColdLimit   = 2
+	requestsPerSecond = 85.0 // Requests per second; two engines can serve 100.
+	beforeDuration    = 8 * time.Second
+	leaveDuration     = 12 * time.Second
+	returnDuration    = 15 * time.Second
+	changeDelay       = 2 * time.Second // From the start of a phase until its change.
+	maxTakeOutDelay   = 5 * time.Second
+	waitTimeout       = 9 * time.Second
+	readyTimeout      = 10 * time.Second
 
 	leavingEngine     = "engine-3"
 	leavingDataCentre = "dc-3"
@@ -55,8 +55,8 @@
 			"started 5 s after the take-out", "falls", "in force everywhere"},
 	}
 	for seed := range uint64(max(options.Seeds, 1)) {
-		for _, configuredCold := range []int{coldLimit, fullLimit} {
-			rows, err := measure(ctx, options.Seed+seed, configuredCold)
+		for _, configuredColdLimit := range []int{engineColdLimit, engineFullLimit} {
+			rows, err := measure(ctx, options.Seed+seed, configuredColdLimit)
 			if err != nil {
 				return experiment.Report{}, err
 			}
@@ -66,7 +66,7 @@
 	return experiment.Report{
 		Title: "Take-out and return of a data centre", Tables: []experiment.Table{table},
 		Notes: []string{
-			fmt.Sprintf("Three engines with %d slots, %d in cold start; %.0f requests per second; the whole system runs in one process; callers don't retry.", fullLimit, coldLimit, rate),
+			fmt.Sprintf("Three engines with %d slots, %d in cold start; %.0f requests per second; the whole system runs in one process; callers don't retry.", engineFullLimit, engineColdLimit, requestsPerSecond),
 			"The baseline is configured with the same limit for a cold engine as for a warm one, so the returned engine gets full load at once.",
 		},
 	}, nil
@@ -81,9 +81,9 @@
 	rows   [][]string
 }
 
-func measure(ctx context.Context, seed uint64, configuredCold int) ([][]string, error) {
+func measure(ctx context.Context, seed uint64, configuredColdLimit int) ([][]string, error) {
 	ctx, stop := context.WithCancel(ctx)
-	dir, err := writeConfig(configuredCold)
+	dir, err := writeConfig(configuredColdLimit)
 	if err != nil {
 		stop()
 		return nil, err
@@ -92,7 +92,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	system, err := dev.New(dev.Options{
-		Listen: entryAddress, Admin: adminAddress, ConfigDir: dir, Log: logrus.NewEntry(logger), EngineColdLimit: coldLimit,
+		Listen: entryAddress, Admin: adminAddress, ConfigDir: dir, Log: logrus.NewEntry(logger), EngineColdLimit: engineColdLimit,
 	})
 	if err != nil {
 		stop()
@@ -108,7 +108,7 @@
 		<-stopped
 	}()
 	r := &testRun{system: system, admin: adminclient.New([]string{"http://" + adminAddress}, dev.OperatorToken), seed: seed, name: "ramped"}
-	if configuredCold > coldLimit {
+	if configuredColdLimit > engineColdLimit {
 		r.name = "at once"
 	}
 	err = r.run(ctx)
@@ -117,7 +117,7 @@
 
 // writeConfig writes the development configuration, with smaller engine limits,
 // to a temporary directory.
-func writeConfig(configuredCold int) (string, error) {
+func writeConfig(configuredColdLimit int) (string, error) {
 	files, err := dev.ReadFiles("")
 	if err != nil {
 		return "", err
@@ -126,7 +126,7 @@
 	if err != nil {
 		return "", err
 	}
-	limits := fmt.Sprintf(`"full_limit": %d, "cold_limit": %d`, fullLimit, configuredCold)
+	limits := fmt.Sprintf(`"full_limit": %d, "cold_limit": %d`, engineFullLimit, configuredColdLimit)
 	for name, text := range files {
 		if name == config.FileBackendServers {
 			text = []byte(strings.ReplaceAll(string(text), `"full_limit": 64, "cold_limit": 4`, limits))
@@ -174,9 +174,9 @@
 
 // setTakenOut takes out or returns the data centre. Its result is the time until
 // the change was in force everywhere.
-func (r *testRun) setTakenOut(ctx context.Context, out bool) (string, error) {
+func (r *testRun) setTakenOut(ctx context.Context, takenOut bool) (string, error) {
 	began := time.Now()
-	accepted, err := r.admin.SetTakenOut(ctx, adminapi.PathDataCentres, leavingDataCentre, out, adminapi.TargetRequest{})
+	accepted, err := r.admin.SetTakenOut(ctx, adminapi.PathDataCentres, leavingDataCentre, takenOut, adminapi.TargetRequest{})
 	if err != nil {
 		return "", err
 	}
@@ -195,15 +195,15 @@
 		err   error
 		after int
 	}
-	changed := make(chan outcome, 1)
+	outcomes := make(chan outcome, 1)
 	go func() {
 		time.Sleep(changeDelay)
 		took, err := change(ctx)
 		time.Sleep(maxTakeOutDelay)
-		changed <- outcome{took, err, engine.Started()}
+		outcomes <- outcome{took, err, engine.Started()}
 	}()
 	result, err := load.Run(ctx, r.loadOptions(duration), nil)
-	changeOutcome := <-changed
+	changeOutcome := <-outcomes
 	if err := errors.Join(err, changeOutcome.err); err != nil {
 		return err
 	}
@@ -225,7 +225,7 @@
 	options := load.DefaultOptions()
 	options.Entries = []string{"http://" + entryAddress}
 	options.Seed = r.seed
-	options.Arrivals.Rate = rate
+	options.Arrivals.Rate = requestsPerSecond
 	options.Duration, options.WarmUp = duration, 0
 	options.Workload.MinTokens, options.Workload.MaxTokens = 32, 128
 	options.Workload.Calls = nil
--- a/ctl/experiment/evidence/evidence.go
+++ b/ctl/experiment/evidence/evidence.go
@@ -19,10 +19,10 @@
 	restartDelay = time.Second
 	// maxTakeOutDelay is the time after a take-out from which the data centre must
 	// start no new work.
-	maxTakeOutDelay = 5 * time.Second
-	observeTime     = 10 * time.Second
-	workers         = 4
-	pauseTime       = 8 * time.Second
+	maxTakeOutDelay       = 5 * time.Second
+	observeTime           = 10 * time.Second
+	maxConcurrentPolicies = 4
+	pauseTime             = 8 * time.Second
 )
 
 // Experiment compares the rules for evidence that a configuration is current.
@@ -58,11 +58,11 @@
 	}
 	policies := policyVariants()
 	unsafeTable.Rows, refusedTable.Rows = make([][]string, len(policies)), make([][]string, len(policies))
-	slots := make(chan struct{}, workers)
-	var group sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentPolicies)
+	var wg sync.WaitGroup
 	for index, policy := range policies {
 		slots <- struct{}{}
-		group.Go(func() {
+		wg.Go(func() {
 			defer func() { <-slots }()
 			if ctx.Err() == nil {
 				unsafeTable.Rows[index] = countUnsafeRuns(policy, options.Seed, seeds).cells(policy)
@@ -70,11 +70,11 @@
 			}
 		})
 	}
-	group.Wait()
+	wg.Wait()
 	if err := ctx.Err(); err != nil {
 		return report, err
 	}
-	report.Tables = append(report.Tables, unsafeTable, refusedTable, propagation(options))
+	report.Tables = append(report.Tables, unsafeTable, refusedTable, propagationTable(options))
 	report.Notes = append(report.Notes,
 		fmt.Sprintf("%d data centres with %d entries and %d agent each; 64 subsets of cut links; %d seeds from %d.", dataCentres, entries, agents, seeds, options.Seed),
 		"\"entry lives\" counts all runs except those of the columns to its right.",
@@ -90,17 +90,17 @@
 	link := 0
 	for a := range dataCentres {
 		for b := a + 1; b < dataCentres; b++ {
-			n.cut[a][b] = subset>>link&1 == 1
-			n.cut[b][a] = n.cut[a][b]
+			n.linkCut[a][b] = subset>>link&1 == 1
+			n.linkCut[b][a] = n.linkCut[a][b]
 			link++
 		}
 	}
 	for dataCentre := range dataCentres {
-		n.storeCut[dataCentre] = subset>>(link+dataCentre)&1 == 1
+		n.storeLinkCut[dataCentre] = subset>>(link+dataCentre)&1 == 1
 	}
 }
 
-const allLinkSubsets = 1 << 6
+const linkSubsetCount = 1 << 6
 
 // processFault says which processes restart after the change, or that the agents
 // of the taken-out data centre are paused during it.
@@ -119,25 +119,25 @@
 // takeOutCase describes one run: the first data centre is taken out through an
 // entry in the same or another data centre.
 type takeOutCase struct {
-	cutLinks        int
-	accepting       int           // Data centre of the entry that accepts the change.
-	delay           time.Duration // From the cuts to the change.
-	restart         processFault
-	entryDies       bool // The entry crashes right after the commit.
-	thirdAlreadyOut bool // The third data centre was taken out before the run.
-	linksHeal       bool // The links between data centres are restored after the restart.
+	cutLinks            int
+	accepting           int           // Data centre of the entry that accepts the change.
+	changeDelay         time.Duration // From the cuts to the change.
+	restart             processFault
+	entryCrashes        bool // The entry crashes right after the commit.
+	thirdTakenOutBefore bool // The third data centre was taken out before the run.
+	restoresLinks       bool // The links between data centres are restored after the restart.
 }
 
 // unsafeCounts counts all runs and, by their circumstances, those in which the
 // taken-out data centre would start new work after maxTakeOutDelay.
 type unsafeCounts struct {
-	runs, entryLives, powerCut, entryDies, entryTakenOut int
+	total, liveEntryRuns, powerCutRuns, entryCrashes, takenOutEntryRuns int
 }
 
 func (c unsafeCounts) cells(policy evidence.Policy) []string {
 	return []string{
-		policy.ContactRule.String(), policy.StartupCheck.String(), fmt.Sprint(c.runs),
-		fmt.Sprint(c.entryLives), fmt.Sprint(c.powerCut), fmt.Sprint(c.entryDies), fmt.Sprint(c.entryTakenOut),
+		policy.ContactRule.String(), policy.StartupCheck.String(), fmt.Sprint(c.total),
+		fmt.Sprint(c.liveEntryRuns), fmt.Sprint(c.powerCutRuns), fmt.Sprint(c.entryCrashes), fmt.Sprint(c.takenOutEntryRuns),
 	}
 }
 
@@ -145,19 +145,19 @@
 	var counts unsafeCounts
 	for index := range uint64(seeds) {
 		for _, c := range takeOutCases() {
-			counts.runs++
+			counts.total++
 			if !c.violatesBound(rand.New(rand.NewPCG(seed+index, uint64(c.cutLinks))), policy) {
 				continue
 			}
 			switch {
-			case c.thirdAlreadyOut && c.accepting == dataCentres-1:
-				counts.entryTakenOut++
-			case c.entryDies:
-				counts.entryDies++
+			case c.thirdTakenOutBefore && c.accepting == dataCentres-1:
+				counts.takenOutEntryRuns++
+			case c.entryCrashes:
+				counts.entryCrashes++
 			case c.restart == restartAccepting || c.restart == restartAll:
-				counts.powerCut++
+				counts.powerCutRuns++
 			default:
-				counts.entryLives++
+				counts.liveEntryRuns++
 			}
 		}
 	}
@@ -166,14 +166,14 @@
 
 func takeOutCases() []takeOutCase {
 	var all []takeOutCase
-	for cutLinks := range allLinkSubsets {
+	for cutLinks := range linkSubsetCount {
 		for accepting := range dataCentres {
-			for _, delay := range []time.Duration{0, maxTakeOutDelay * 2} {
+			for _, changeDelay := range []time.Duration{0, maxTakeOutDelay * 2} {
 				for restart := range processFaultCount {
-					for _, entryDies := range []bool{false, true} {
+					for _, entryCrashes := range []bool{false, true} {
 						for variation := range 4 {
-							thirdAlreadyOut, linksHeal := variation&1 == 1, variation&2 == 2
-							all = append(all, takeOutCase{cutLinks, accepting, delay, restart, entryDies, thirdAlreadyOut, linksHeal})
+							thirdTakenOutBefore, restoresLinks := variation&1 == 1, variation&2 == 2
+							all = append(all, takeOutCase{cutLinks, accepting, changeDelay, restart, entryCrashes, thirdTakenOutBefore, restoresLinks})
 						}
 					}
 				}
@@ -189,19 +189,19 @@
 func (c takeOutCase) violatesBound(random *rand.Rand, policy evidence.Policy) bool {
 	n := newNetwork(random, policy, dataCentres, entries, agents)
 	var before []int
-	if c.thirdAlreadyOut {
+	if c.thirdTakenOutBefore {
 		before = []int{dataCentres - 1}
 	}
 	n.store = snapshot(1, dataCentres, before...)
 	n.advance(settleTime, nil)
 	n.applyCuts(c.cutLinks)
-	n.advance(c.delay, nil)
+	n.advance(c.changeDelay, nil)
 	c.setPaused(n, true)
-	n.commit(n.entries[c.accepting][0], snapshot(2, dataCentres, append(before, 0)...), c.entryDies)
+	n.commit(n.entries[c.accepting][0], snapshot(2, dataCentres, append(before, 0)...), c.entryCrashes)
 	n.advance(restartDelay, nil)
 	c.restartProcesses(n)
-	if c.linksHeal {
-		n.applyCuts(c.cutLinks &^ (dataCentreLinkSubsets - 1))
+	if c.restoresLinks {
+		n.applyCuts(c.cutLinks &^ (dataCentreLinkSubsetCount - 1))
 	}
 	n.advance(maxTakeOutDelay-restartDelay, nil)
 	found := false
--- a/ctl/experiment/evidence/evidence_test.go
+++ b/ctl/experiment/evidence/evidence_test.go
@@ -30,7 +30,7 @@
 // entry lives until it has offered the change to others, and its data centre is not
 // taken out, in which case the store would refuse the change.
 func hasGuarantee(c takeOutCase) bool {
-	return !c.entryDies && (!c.thirdAlreadyOut || c.accepting != dataCentres-1)
+	return !c.entryCrashes && (!c.thirdTakenOutBefore || c.accepting != dataCentres-1)
 }
 
 func TestTakenOutDataCentreGetsNoNewWork(t *testing.T) {
@@ -38,7 +38,7 @@
 		So(unsafeRuns(evidence.DefaultPolicy, sampleStep, hasGuarantee), ShouldEqual, 0)
 	})
 	powerCut := func(c takeOutCase) bool {
-		return hasGuarantee(c) && c.restart == restartAccepting && c.linksHeal && !c.thirdAlreadyOut
+		return hasGuarantee(c) && c.restart == restartAccepting && c.restoresLinks && !c.thirdTakenOutBefore
 	}
 	Convey("A power cut of the accepting data centre is safe", t, func() {
 		So(unsafeRuns(evidence.DefaultPolicy, 5, powerCut), ShouldEqual, 0)
@@ -49,7 +49,7 @@
 	})
 	Convey("Contact with only one other data centre is not enough", t, func() {
 		noFaults := func(c takeOutCase) bool {
-			return hasGuarantee(c) && c.restart == noFault && !c.linksHeal && !c.thirdAlreadyOut
+			return hasGuarantee(c) && c.restart == noFault && !c.restoresLinks && !c.thirdTakenOutBefore
 		}
 		So(unsafeRuns(evidence.DefaultPolicy, 5, noFaults), ShouldEqual, 0)
 		So(unsafeRuns(evidence.Policy{ContactRule: evidence.OtherDataCentre, StartupCheck: evidence.StoreStartupCheck}, 5, noFaults), ShouldBeGreaterThan, 0)
--- a/ctl/experiment/evidence/network.go
+++ b/ctl/experiment/evidence/network.go
@@ -30,7 +30,7 @@
 	dataCentre int
 	agent      bool
 	paused     bool
-	dead       bool
+	crashed    bool
 	view       view.State
 	evidence   evidence.State
 	inbox      []reduce.Event
@@ -39,25 +39,25 @@
 // network connects the processes of several data centres with each other and with
 // one store.
 type network struct {
-	random     *rand.Rand
-	policy     evidence.Policy
-	now        time.Time
-	processes  []*process
-	entries    [][]*process // By data centre.
-	store      *config.Snapshot
-	storeCut   []bool   // By data centre.
-	cut        [][]bool // By pair of data centres.
-	storeReads int
-	exchanges  int
+	random       *rand.Rand
+	policy       evidence.Policy
+	now          time.Time
+	processes    []*process
+	entries      [][]*process // By data centre.
+	store        *config.Snapshot
+	storeLinkCut []bool   // By data centre.
+	linkCut      [][]bool // By pair of data centres.
+	storeReads   int
+	exchanges    int
 }
 
 func newNetwork(random *rand.Rand, policy evidence.Policy, dataCentres, entries, agents int) *network {
 	n := &network{
 		random: random, policy: policy, now: time.Unix(1_000_000, 0),
-		entries: make([][]*process, dataCentres), storeCut: make([]bool, dataCentres),
+		entries: make([][]*process, dataCentres), storeLinkCut: make([]bool, dataCentres),
 	}
 	for dataCentre := range dataCentres {
-		n.cut = append(n.cut, make([]bool, dataCentres))
+		n.linkCut = append(n.linkCut, make([]bool, dataCentres))
 		for index := range entries + agents {
 			p := &process{id: fmt.Sprintf("%d-%d", dataCentre, index), dataCentre: dataCentre, agent: index >= entries}
 			n.restart(p)
@@ -103,7 +103,7 @@
 
 // reaches reports whether a request from one process is answered by the other.
 func (n *network) reaches(from, to *process) bool {
-	return !to.dead && !to.paused && !n.cut[from.dataCentre][to.dataCentre]
+	return !to.crashed && !to.paused && !n.linkCut[from.dataCentre][to.dataCentre]
 }
 
 // advance runs the network for the duration and calls check after each tick.
@@ -111,7 +111,7 @@
 	for end := n.now.Add(duration); n.now.Before(end); {
 		n.now = n.now.Add(tickInterval)
 		for _, p := range n.processes {
-			if !p.dead && !p.paused {
+			if !p.crashed && !p.paused {
 				n.step(p, reduce.Tick{})
 			}
 		}
@@ -148,7 +148,7 @@
 }
 
 func (n *network) fetchFromStore(p *process) bool {
-	if n.storeCut[p.dataCentre] {
+	if n.storeLinkCut[p.dataCentre] {
 		return false
 	}
 	n.storeReads++
@@ -228,10 +228,10 @@
 
 // commit stores the snapshot through the entry. The entry then offers it to every
 // process that it reaches, unless it crashes right after the commit.
-func (n *network) commit(entry *process, committed *config.Snapshot, entryDies bool) {
+func (n *network) commit(entry *process, committed *config.Snapshot, entryCrashes bool) {
 	n.store = committed
-	if entryDies {
-		entry.dead = true
+	if entryCrashes {
+		entry.crashed = true
 		return
 	}
 	n.step(entry, view.Fetched{Snapshot: committed})
@@ -244,7 +244,7 @@
 
 // permitsNewWork reports whether the process would start new work now.
 func (n *network) permitsNewWork(p *process) bool {
-	if p.dead || p.paused || p.view.InForce == nil || p.view.InForce.DataCentres[dataCentreName(p.dataCentre)].TakenOut {
+	if p.crashed || p.paused || p.view.InForce == nil || p.view.InForce.DataCentres[dataCentreName(p.dataCentre)].TakenOut {
 		return false
 	}
 	return p.evidence.CheckNewWork(p.view, dataCentreName(p.dataCentre), n.now) == nil
--- a/ctl/experiment/evidence/outage.go
+++ b/ctl/experiment/evidence/outage.go
@@ -14,9 +14,9 @@
 const (
 	// outageSettleTime is the time after which the evidence from before the outage
 	// has expired.
-	outageSettleTime      = 6 * time.Second
-	dataCentreLinkSubsets = 1 << 3
-	allStoreLinksCut      = 7 << 3 // The subset with every link to the store cut.
+	outageSettleTime          = 6 * time.Second
+	dataCentreLinkSubsetCount = 1 << 3
+	allStoreLinksCut          = 7 << 3 // The subset with every link to the store cut.
 )
 
 // outageRow returns the table row with the refused shares during a store outage.
@@ -25,7 +25,7 @@
 	for _, restart := range []processFault{noFault, restartTakenOutAgents, restartTakenOut, restartAll} {
 		row = append(row, percent(refusedShare(policy, seed, seeds, restart, 1)))
 	}
-	return append(row, percent(refusedShare(policy, seed, seeds, noFault, dataCentreLinkSubsets)))
+	return append(row, percent(refusedShare(policy, seed, seeds, noFault, dataCentreLinkSubsetCount)))
 }
 
 func percent(share float64) string { return fmt.Sprintf("%.1f %%", 100*share) }
@@ -62,10 +62,10 @@
 // propagationSize is one size of the system.
 type propagationSize struct{ dataCentres, entries, agents int } // Entries and agents per data centre.
 
-// propagation measures, at three sizes of the system, the rates of store reads and
+// propagationTable measures, at three sizes of the system, the rates of store reads and
 // exchanges, and the time until a change whose offers were all lost is in force
 // everywhere.
-func propagation(options experiment.Options) experiment.Table {
+func propagationTable(options experiment.Options) experiment.Table {
 	table := experiment.Table{
 		Title:   "Load and propagation time by size, with all offers lost",
 		Columns: []string{"entries", "agents", "store reads/s", "most reads/s", "exchanges/s per entry", "in force everywhere, store up", "in force everywhere, store down"},
@@ -108,8 +108,8 @@
 // returns the time until it is in force everywhere, at most about a minute. While
 // the store is down, it spreads through peers only.
 func (n *network) propagate(accepted *config.Snapshot, storeDown bool) time.Duration {
-	for dataCentre := range n.storeCut {
-		n.storeCut[dataCentre] = storeDown
+	for dataCentre := range n.storeLinkCut {
+		n.storeLinkCut[dataCentre] = storeDown
 	}
 	n.store = accepted
 	n.step(n.entries[0][0], view.Fetched{Snapshot: accepted})
--- a/ctl/experiment/expertmaps/expertmaps.go
+++ b/ctl/experiment/expertmaps/expertmaps.go
@@ -75,11 +75,11 @@
 // compareScenarios runs the scenarios concurrently.
 func compareScenarios(shape planner.Shape, seed uint64) [][]policyResult {
 	all := make([][]policyResult, len(scenarios))
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, scenario := range scenarios {
-		group.Go(func() { all[i] = comparePolicies(scenario, shape, seed) })
+		wg.Go(func() { all[i] = comparePolicies(scenario, shape, seed) })
 	}
-	group.Wait()
+	wg.Wait()
 	return all
 }
 
--- a/ctl/experiment/expertmaps/policies.go
+++ b/ctl/experiment/expertmaps/policies.go
@@ -25,8 +25,8 @@
 
 // recompute computes a new placement from the last observation of every layer.
 type recompute struct {
-	relabel bool
-	last    [][]float64
+	relabel      bool
+	lastObserved [][]float64
 }
 
 func (r *recompute) name() string {
@@ -37,16 +37,16 @@
 }
 
 func (r *recompute) next(input planningInput) planner.Placement {
-	if r.last == nil {
-		r.last = make([][]float64, input.shape.Layers)
+	if r.lastObserved == nil {
+		r.lastObserved = make([][]float64, input.shape.Layers)
 	}
 	next := input.current.Clone()
 	for layer, observed := range input.observed {
 		if observed != nil {
-			r.last[layer] = observed
+			r.lastObserved[layer] = observed
 		}
-		if r.last[layer] != nil {
-			next[layer] = planner.Recompute(input.shape, [][]float64{r.last[layer]}, nil)[0]
+		if r.lastObserved[layer] != nil {
+			next[layer] = planner.Recompute(input.shape, [][]float64{r.lastObserved[layer]}, nil)[0]
 		}
 	}
 	if r.relabel {
--- a/ctl/experiment/expertmaps/report.go
+++ b/ctl/experiment/expertmaps/report.go
@@ -18,15 +18,15 @@
 }
 
 func addRows(table *experiment.Table, scenario string, seed uint64, results []policyResult) {
-	for _, o := range results {
-		moved := sum(o.moves)
-		loadingFraction := moved * expertBytes / storeBytesPerSecond / (dayHours * secondsPerMinute * secondsPerMinute)
+	for _, r := range results {
+		movedExperts := sum(r.moves)
+		loadingFraction := movedExperts * expertBytes / storeBytesPerSecond / (dayHours * secondsPerMinute * secondsPerMinute)
 		table.Rows = append(table.Rows, []string{
-			scenario, fmt.Sprint(seed), o.policy,
-			fmt.Sprintf("%.4f", mean(o.skew)), fmt.Sprintf("%.4f", percentile(o.skew, 0.99)),
-			fmt.Sprintf("%.4f", mean(o.sampledSkew)), fmt.Sprintf("%.4f", percentile(o.sampledSkew, 0.99)),
-			fmt.Sprintf("%.0f", moved), fmt.Sprint(o.switches), fmt.Sprintf("%.2f", 100*loadingFraction),
-			fmt.Sprintf("%.4f", o.meanStepSeconds*1e3), fmt.Sprintf("%.0f", o.planTime.Seconds()*1e3),
+			scenario, fmt.Sprint(seed), r.policy,
+			fmt.Sprintf("%.4f", mean(r.skew)), fmt.Sprintf("%.4f", percentile(r.skew, 0.99)),
+			fmt.Sprintf("%.4f", mean(r.sampledSkew)), fmt.Sprintf("%.4f", percentile(r.sampledSkew, 0.99)),
+			fmt.Sprintf("%.0f", movedExperts), fmt.Sprint(r.switches), fmt.Sprintf("%.2f", 100*loadingFraction),
+			fmt.Sprintf("%.4f", r.meanStepSeconds*1e3), fmt.Sprintf("%.0f", r.planTime.Seconds()*1e3),
 		})
 	}
 }
@@ -41,17 +41,17 @@
 		Name: "expert-maps-moves-" + name, Title: "Weights moved, " + scenario + ", 5 slots per rank",
 		XLabel: "time (h)", YLabel: "experts moved so far (1)",
 	}
-	for _, o := range results {
-		hours, total := make([]float64, len(o.skew)), make([]float64, len(o.skew))
-		var moved float64
+	for _, r := range results {
+		hours, cumulativeMoves := make([]float64, len(r.skew)), make([]float64, len(r.skew))
+		var movedExperts float64
 		for i := range hours {
 			hours[i] = float64(i) * intervalMinutes / secondsPerMinute
-			moved += o.moves[i]
-			total[i] = moved
+			movedExperts += r.moves[i]
+			cumulativeMoves[i] = movedExperts
 		}
-		skew.Series = append(skew.Series, experiment.Series{Name: o.policy, X: hours, Y: o.skew})
-		if o.policy != (oracle{}).name() {
-			moves.Series = append(moves.Series, experiment.Series{Name: o.policy, X: hours, Y: total})
+		skew.Series = append(skew.Series, experiment.Series{Name: r.policy, X: hours, Y: r.skew})
+		if r.policy != (oracle{}).name() {
+			moves.Series = append(moves.Series, experiment.Series{Name: r.policy, X: hours, Y: cumulativeMoves})
 		}
 	}
 	return []experiment.Plot{skew, moves}
--- a/ctl/experiment/model/cache.go
+++ b/ctl/experiment/model/cache.go
@@ -15,7 +15,7 @@
 	lru          *list.List
 	blocks       map[uint64]*list.Element
 	events       []prefix.Event
-	seq          uint64
+	lastSeq      uint64
 }
 
 func newCache(capacity, lossInterval int) *cache {
@@ -25,8 +25,8 @@
 func (c *cache) len() int { return len(c.blocks) }
 
 func (c *cache) record(block uint64, added bool) {
-	c.seq++
-	c.events = append(c.events, prefix.Event{Seq: c.seq, Block: block, Added: added})
+	c.lastSeq++
+	c.events = append(c.events, prefix.Event{Seq: c.lastSeq, Block: block, Added: added})
 }
 
 func (c *cache) clear() {
@@ -39,7 +39,7 @@
 func (c *cache) reset() {
 	c.lru.Init()
 	clear(c.blocks)
-	c.events, c.seq = nil, 0
+	c.events, c.lastSeq = nil, 0
 }
 
 func (c *cache) evict() {
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -28,13 +28,13 @@
 	clock               *Clock
 	slowdown            float64
 	bootCount           int
-	dead                bool
+	stopped             bool
 	cold                bool
 	coldRunning         int // Running requests that were started in the current cold start.
 	completed           int
 	generations         map[uint64]*generation
 	prefillBusyUntil    time.Duration
-	overloads           int
+	overloadCrashes     int
 	coldStartsOverLimit int // Starts in cold start with Cold or more requests running, whenever those were started.
 	cache               *cache
 	reports             []admission.Reported
@@ -85,7 +85,7 @@
 // start starts a generation. An engine in cold start crashes and reboots when it
 // already runs Cold requests that were started in that cold start.
 func (e *engine) start(g *generation) {
-	if e.dead {
+	if e.stopped {
 		e.clock.After(0, g.notify.broken)
 		return
 	}
@@ -93,7 +93,7 @@
 		e.coldStartsOverLimit++
 	}
 	if e.cold && e.coldRunning >= e.Cold {
-		e.overloads++
+		e.overloadCrashes++
 		e.generations[g.ticket] = g
 		e.reboot()
 		return
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -33,16 +33,16 @@
 
 // Server is one backend server with its agent.
 type Server struct {
-	Name         string
-	clock        *Clock
-	engine       *engine
-	agent        admission.State
-	agentStarted time.Time
-	lastTicket   uint64
-	pending      map[uint64]pending
-	offers       map[uint64]admission.Offer
-	oracle       bool // Admit by the engine's true limit instead of the policy.
-	oracleQueue  []pending
+	Name           string
+	clock          *Clock
+	engine         *engine
+	admissionState admission.State
+	agentStarted   time.Time
+	lastTicket     uint64
+	pending        map[uint64]pending
+	offers         map[uint64]admission.Offer
+	oracle         bool // Admit by the engine's true limit instead of the policy.
+	oracleQueue    []pending
 }
 
 type pending struct {
@@ -63,7 +63,7 @@
 }
 
 func (s *Server) configure() {
-	s.agent = admission.State{}.Configure(admission.Settings{
+	s.admissionState = admission.State{}.Configure(admission.Settings{
 		Full: s.engine.Full, Cold: s.engine.Cold, ReportsLoad: true,
 	})
 }
@@ -96,7 +96,7 @@
 
 func (s *Server) step(event reduce.Event) {
 	var effects []reduce.Effect
-	s.agent, effects = admission.Step(s.agent, reduce.Input{Now: s.clock.Time(), Event: event})
+	s.admissionState, effects = admission.Step(s.admissionState, reduce.Input{Now: s.clock.Time(), Event: event})
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case admission.Offer:
@@ -149,7 +149,7 @@
 		s.startOracleQueue()
 		return
 	}
-	if s.engine.dead {
+	if s.engine.stopped {
 		s.step(admission.Unreachable{})
 		return
 	}
@@ -172,10 +172,10 @@
 func (s *Server) Running() int { return len(s.engine.generations) }
 
 // Queued returns the number of requests waiting at the agent.
-func (s *Server) Queued() int { return s.agent.Queued + len(s.oracleQueue) }
+func (s *Server) Queued() int { return s.admissionState.Queued + len(s.oracleQueue) }
 
 // Overloads returns how often the engine crashed from overload in cold start.
-func (s *Server) Overloads() int { return s.engine.overloads }
+func (s *Server) Overloads() int { return s.engine.overloadCrashes }
 
 // ColdStartsOverLimit returns how many requests were started in cold start while
 // at least as many as the cold limit were running, including those started before
@@ -196,7 +196,7 @@
 // Stop shuts down the engine permanently.
 func (s *Server) Stop() {
 	s.engine.reboot()
-	s.engine.dead = true
+	s.engine.stopped = true
 }
 
 // RestartAgent replaces the agent by one without state. The engine continues its
--- a/ctl/experiment/retries/retries_test.go
+++ b/ctl/experiment/retries/retries_test.go
@@ -24,8 +24,8 @@
 		if share := float64(stopped.completed) / float64(baseline.completed); share < minGoodputShare {
 			t.Errorf("seed %d: goodput is %.2f of that of the remaining half alone", seed, share)
 		}
-		if stopped.withoutRetryAfter > 0 {
-			t.Errorf("seed %d: %d refusals have no RetryAfter", seed, stopped.withoutRetryAfter)
+		if stopped.refusalsWithoutRetryAfter > 0 {
+			t.Errorf("seed %d: %d refusals have no RetryAfter", seed, stopped.refusalsWithoutRetryAfter)
 		}
 	}
 }
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -57,7 +57,7 @@
 // runStats holds the results of a run, for the requests that arrive after the stop.
 type runStats struct {
 	requests, attempts, refused, broken int
-	withoutRetryAfter                   int // Refusals without a RetryAfter.
+	refusalsWithoutRetryAfter           int // Refusals without a RetryAfter.
 	completed                           int // Requests completed more than settleTime after the stop, whenever they arrived.
 	slowestRefusal                      time.Duration
 }
@@ -67,7 +67,7 @@
 	s.attempts += other.attempts
 	s.refused += other.refused
 	s.broken += other.broken
-	s.withoutRetryAfter += other.withoutRetryAfter
+	s.refusalsWithoutRetryAfter += other.refusalsWithoutRetryAfter
 	s.completed += other.completed
 	s.slowestRefusal = max(s.slowestRefusal, other.slowestRefusal)
 }
@@ -123,8 +123,8 @@
 	arrive = func() {
 		budget = budget.Deposit()
 		q := &request{runner: r, budget: &budget, arrived: r.clock.Now(), work: drawRequest(arrivals), excluded: map[int]bool{}}
-		q.counted = q.arrived >= stopAt && q.arrived < runLength-requestTimeout
-		if q.counted {
+		q.measured = q.arrived >= stopAt && q.arrived < runLength-requestTimeout
+		if q.measured {
 			r.stats.requests++
 		}
 		q.attempt(1)
@@ -149,7 +149,7 @@
 	runner   *runner
 	budget   *retry.Budget
 	arrived  time.Duration
-	counted  bool
+	measured bool
 	work     model.Work
 	excluded map[int]bool
 }
@@ -161,7 +161,7 @@
 		q.recordFailure(refusal)
 		return
 	}
-	if q.counted {
+	if q.measured {
 		r.stats.attempts++
 	}
 	responseStarted := false
@@ -194,7 +194,7 @@
 }
 
 func (q *request) recordFailure(err *result.Error) {
-	if !q.counted {
+	if !q.measured {
 		return
 	}
 	stats := &q.runner.stats
@@ -204,7 +204,7 @@
 	}
 	stats.refused++
 	if retry.FinalError(err, q.runner.random.Uint64()).RetryAfter <= 0 {
-		stats.withoutRetryAfter++
+		stats.refusalsWithoutRetryAfter++
 	}
 	stats.slowestRefusal = max(stats.slowestRefusal, q.runner.clock.Now()-q.arrived)
 }
--- a/ctl/experiment/shares/run.go
+++ b/ctl/experiment/shares/run.go
@@ -31,18 +31,18 @@
 
 // org is one organisation's demand, limits and counts.
 type org struct {
-	name            string
-	rate            float64 // Offered requests per second.
-	limits          share.Limits
-	overRate        bool // Offers more than its rate limit.
-	overConcurrency bool // Offers more than its concurrency limit.
-	home            int
-	requests        int
-	admitted        int
-	inUse           int
-	slotSeconds     float64 // Integral of inUse over time.
-	lastChange      time.Duration
-	peakInUse       int
+	name               string
+	rate               float64 // Offered requests per second.
+	limits             share.Limits
+	exceedsRate        bool // Offers more than its rate limit.
+	exceedsConcurrency bool // Offers more than its concurrency limit.
+	home               int
+	requests           int
+	admitted           int
+	slotsInUse         int
+	slotSeconds        float64 // Integral of inUse over time.
+	lastChange         time.Duration
+	peakSlotsInUse     int
 }
 
 // runStats holds the results of a run.
@@ -91,14 +91,14 @@
 
 func (r *runner) addOrg(index int, rate float64) {
 	o := &org{name: fmt.Sprintf("org-%d", index), rate: rate}
-	o.overRate, o.overConcurrency = index%5 == 0, index%5 == 1
+	o.exceedsRate, o.exceedsConcurrency = index%5 == 0, index%5 == 1
 	factor := underloadFactor
-	if o.overRate {
+	if o.exceedsRate {
 		factor = overloadFactor
 	}
 	o.limits = share.Limits{Rate: rate / factor}
 	slots := rate * meanHoldTime.Seconds()
-	if o.overConcurrency {
+	if o.exceedsConcurrency {
 		o.limits.Concurrency = max(1, int(slots/overloadFactor))
 	} else {
 		o.limits.Concurrency = 5 + int(4*slots)
@@ -168,11 +168,11 @@
 func (r *runner) changeInUse(o *org, change int) {
 	now := r.clock.Now()
 	if now > warmUp {
-		o.slotSeconds += float64(o.inUse) * (now - max(warmUp, o.lastChange)).Seconds()
+		o.slotSeconds += float64(o.slotsInUse) * (now - max(warmUp, o.lastChange)).Seconds()
 	}
 	o.lastChange = now
-	o.inUse += change
-	o.peakInUse = max(o.peakInUse, o.inUse)
+	o.slotsInUse += change
+	o.peakSlotsInUse = max(o.peakSlotsInUse, o.slotsInUse)
 }
 
 // admit admits or refuses a request as an entry does: from its lease, else with a
--- a/ctl/experiment/shares/shares.go
+++ b/ctl/experiment/shares/shares.go
@@ -34,34 +34,34 @@
 // summary sums up a run. Rates and slots are divided by the organisation's limit. A
 // busy organisation has a limit of at least minBusyLimit.
 type summary struct {
-	busyMin, busyMax float64 // Lowest and highest admitted rate of a busy organisation that offers more than its limit.
-	allOverRate      float64 // Admitted rate of all organisations together that offer more than their limit.
-	allUnderLimits   float64 // Admitted divided by offered requests, of the organisations within their limits.
-	slots            float64 // Mean slots in use, of busy organisations that offer more than their concurrency limit.
-	maxSlotsInUse    float64 // Highest number of slots in use.
-	leaseRequests    float64 // Per request.
-	beyondBurst      int     // Organisations that got more than their limit, the tolerance and one burst.
+	minBusyRate, maxBusyRate float64 // Lowest and highest admitted rate of a busy organisation that offers more than its limit.
+	overLimitRate            float64 // Admitted rate of all organisations together that offer more than their limit.
+	underLimitAdmitted       float64 // Admitted divided by offered requests, of the organisations within their limits.
+	slots                    float64 // Mean slots in use, of busy organisations that offer more than their concurrency limit.
+	maxSlotsInUse            float64 // Highest number of slots in use.
+	leaseRequests            float64 // Per request.
+	orgsBeyondBurst          int     // Organisations that got more than their limit, the tolerance and one burst.
 }
 
 func (s runStats) summary() summary {
 	seconds := (runLength - warmUp).Seconds()
-	result := summary{busyMin: math.Inf(1)}
+	result := summary{minBusyRate: math.Inf(1)}
 	var overAdmitted, overLimits, underAdmitted, underRequests, meanInUse, slots, requests float64
 	for _, o := range s.orgs {
 		requests += float64(o.requests)
 		ratio := float64(o.admitted) / (o.limits.Rate * seconds)
 		if float64(o.admitted) > (1+tolerance)*o.limits.Rate*seconds+sharepolicy.Burst(o.limits.Rate) {
-			result.beyondBurst++
+			result.orgsBeyondBurst++
 		}
 		switch {
-		case o.overRate:
+		case o.exceedsRate:
 			overAdmitted += float64(o.admitted)
 			overLimits += o.limits.Rate * seconds
 			if o.limits.Rate >= minBusyLimit {
-				result.busyMin, result.busyMax = min(result.busyMin, ratio), max(result.busyMax, ratio)
+				result.minBusyRate, result.maxBusyRate = min(result.minBusyRate, ratio), max(result.maxBusyRate, ratio)
 			}
-		case o.overConcurrency:
-			result.maxSlotsInUse = max(result.maxSlotsInUse, float64(o.peakInUse)/float64(o.limits.Concurrency))
+		case o.exceedsConcurrency:
+			result.maxSlotsInUse = max(result.maxSlotsInUse, float64(o.peakSlotsInUse)/float64(o.limits.Concurrency))
 			if float64(o.limits.Concurrency) >= minBusyLimit {
 				meanInUse += o.slotSeconds / seconds
 				slots += float64(o.limits.Concurrency)
@@ -71,7 +71,7 @@
 			underRequests += float64(o.requests)
 		}
 	}
-	result.allOverRate, result.allUnderLimits = overAdmitted/overLimits, underAdmitted/max(1, underRequests)
+	result.overLimitRate, result.underLimitAdmitted = overAdmitted/overLimits, underAdmitted/max(1, underRequests)
 	result.slots = meanInUse / max(1, slots)
 	result.leaseRequests = float64(s.leaseRequests) / requests * seconds / runLength.Seconds()
 	return result
@@ -96,8 +96,8 @@
 			result := run(options.Seed, sz, loseHome).summary()
 			percent := func(value float64) string { return fmt.Sprintf("%.1f", 100*value) }
 			table.Rows = append(table.Rows, []string{
-				fmt.Sprint(sz.entries), fmt.Sprint(sz.orgs), fmt.Sprint(loseHome), percent(result.busyMin), percent(result.busyMax),
-				percent(result.allOverRate), percent(result.allUnderLimits), percent(result.slots), percent(result.maxSlotsInUse), fmt.Sprintf("%.2f", result.leaseRequests), fmt.Sprint(result.beyondBurst),
+				fmt.Sprint(sz.entries), fmt.Sprint(sz.orgs), fmt.Sprint(loseHome), percent(result.minBusyRate), percent(result.maxBusyRate),
+				percent(result.overLimitRate), percent(result.underLimitAdmitted), percent(result.slots), percent(result.maxSlotsInUse), fmt.Sprintf("%.2f", result.leaseRequests), fmt.Sprint(result.orgsBeyondBurst),
 			})
 		}
 	}
--- a/ctl/experiment/shares/shares_test.go
+++ b/ctl/experiment/shares/shares_test.go
@@ -12,11 +12,11 @@
 	for _, sz := range sizes[:2] {
 		result := run(1, sz, false).summary()
 		t.Logf("%+v: %+v", sz, result)
-		if result.busyMin < 1-tolerance || result.busyMax > 1+tolerance {
-			t.Errorf("%d entries: busy organisations got %.2f to %.2f of their limits", sz.entries, result.busyMin, result.busyMax)
+		if result.minBusyRate < 1-tolerance || result.maxBusyRate > 1+tolerance {
+			t.Errorf("%d entries: busy organisations got %.2f to %.2f of their limits", sz.entries, result.minBusyRate, result.maxBusyRate)
 		}
-		if result.beyondBurst > 0 {
-			t.Errorf("%d entries: %d organisations got more than their limit and one burst", sz.entries, result.beyondBurst)
+		if result.orgsBeyondBurst > 0 {
+			t.Errorf("%d entries: %d organisations got more than their limit and one burst", sz.entries, result.orgsBeyondBurst)
 		}
 		if result.maxSlotsInUse > 1 {
 			t.Errorf("%d entries: up to %.2f of the limit of slots in use", sz.entries, result.maxSlotsInUse)
