--- a/ctl/experiment/choice/bytes.go
+++ b/ctl/experiment/choice/bytes.go
@@ -30,7 +30,8 @@
 	return wire.Stamp{From: "entry-ba-0123", Role: "entry", DataCentre: "banska-bystrica-1", Revision: 130_000}
 }
 
-var probeSizes sync.Map // Bytes by number of blocks.
+// probeSizes caches the results of probeBytes by number of blocks.
+var probeSizes sync.Map
 
 // probeBytes returns the size of a probe for a prompt of that many blocks,
 // including its reply.
--- a/ctl/experiment/choice/policies.go
+++ b/ctl/experiment/choice/policies.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	roundTripTime  = time.Millisecond // Between an entry and an agent.
-	reportInterval = time.Second      // Interval of the load reports to every entry.
+	roundTripTime  = time.Millisecond // Network round trip between an entry and an agent.
+	reportInterval = time.Second      // Interval at which an agent sends its load report to every entry.
 )
 
 // decision is the choice of a server for one attempt.
@@ -34,7 +34,7 @@
 	names   []string
 	random  *rand.Rand
 	entries int
-	rate    float64 // Requests per second at all entries together.
+	rate    float64 // Total requests per second at all entries.
 }
 
 func (f *fleet) untried(excluded map[int]bool) []int {
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -41,12 +41,12 @@
 // runStats holds the results of a run.
 type runStats struct {
 	firstTokenMS []float64 // Time to first token.
-	promptTokens int       // Of answered requests.
-	cachedTokens int
+	promptTokens int       // Prompt tokens of all requests that got a first token.
+	cachedTokens int       // Those of promptTokens that were in the engine's prefix cache.
 	requests     int
 	refused      int
-	controlBytes int
-	meanLoad     []float64 // Mean number of running and queued requests, by server.
+	controlBytes int       // Bytes of probes and load reports.
+	meanLoad     []float64 // Mean number of running and queued requests of each server.
 }
 
 func engineConfig(s scenario) model.EngineConfig {
--- a/ctl/experiment/choice/workload.go
+++ b/ctl/experiment/choice/workload.go
@@ -16,10 +16,10 @@
 	maxTurns         = 6
 	continueFraction = 0.6 // Fraction of requests that continue a conversation.
 	meanAnswerTokens = 370
-	zipfExponent     = 1.0 // Of the organisations' popularity.
+	zipfExponent     = 1.0 // Exponent of the Zipf distribution of requests over the organisations.
 	driftInterval    = 20 * time.Second
-	driftStride      = 7   // One in this many ranks is swapped with a random one at each drift.
-	surgeFactor      = 0.4 // Additional requests during a surge, relative to the normal total rate.
+	driftStride      = 7   // At each drift, one in this many popularity ranks is swapped with a random one.
+	surgeFactor      = 0.4 // Additional request rate during a surge, relative to the normal total rate.
 	requestTimeout   = 30 * time.Second
 )
 
@@ -28,10 +28,10 @@
 // conversations that grow by turns.
 type workload struct {
 	random            *rand.Rand
-	cumulativeWeights []float64 // Of the popularity, by rank.
-	orgByRank         []int     // Organisations by popularity rank.
-	conversations     map[int][][]uint64
-	surgingOrg        int // Organisation whose request rate surges; -1 for none.
+	cumulativeWeights []float64          // Cumulative Zipf weights, by popularity rank.
+	orgByRank         []int              // The organisation at each popularity rank.
+	conversations     map[int][][]uint64 // The prompt blocks of each open conversation, by organisation.
+	surgingOrg        int                // Organisation whose request rate surges; -1 for none.
 }
 
 func newWorkload(seed uint64, orgs int) *workload {
@@ -45,8 +45,8 @@
 	return w
 }
 
-// drift swaps the organisations at every driftStride-th popularity rank with random
-// others.
+// drift changes the popularity of organisations: it swaps the organisation at every
+// driftStride-th popularity rank with a random other one.
 func (w *workload) drift() {
 	for rank := 0; rank < len(w.orgByRank); rank += driftStride {
 		other := w.random.IntN(len(w.orgByRank))
--- a/ctl/experiment/coldstart/coldstart.go
+++ b/ctl/experiment/coldstart/coldstart.go
@@ -1,5 +1,7 @@
 // Package coldstart measures the agent's admission limit under unannounced cold
-// starts, restarts and late reports, against an oracle that knows the true limit.
+// starts, restarts and late reports, compared with an oracle that knows the true
+// limit. In cold start an engine can handle only a few concurrent requests and
+// crashes when it is given more.
 package coldstart
 
 import (
--- a/ctl/experiment/coldstart/run.go
+++ b/ctl/experiment/coldstart/run.go
@@ -22,11 +22,11 @@
 // scenario says which faults are injected into the servers of a run.
 type scenario struct {
 	name              string
-	engineTurnsCold   bool // Engines turn cold unannounced, and continue their requests.
-	engineRestarts    bool // Engines restart, which breaks off their answers.
-	agentRestarts     bool // Agents restart, some of them together with a cold turn.
-	reportLag         time.Duration
-	coldPrefillFactor float64
+	engineTurnsCold   bool          // Engines fall back into cold start unannounced, and continue their requests.
+	engineRestarts    bool          // Engines restart, which breaks off their answers.
+	agentRestarts     bool          // Agents restart, sometimes at the moment at which the engine turns cold.
+	reportLag         time.Duration // Delay of the engines' load reports.
+	coldPrefillFactor float64       // Factor by which cold start prolongs a prefill.
 }
 
 var scenarios = []scenario{
@@ -40,7 +40,7 @@
 type runStats struct {
 	requests, completed, refused, broken int
 	overloads                            int
-	startsOverLimit                      int
+	startsOverLimit                      int // Sum of the servers' ColdStartsOverLimit.
 }
 
 func (s *runStats) add(other runStats) {
@@ -88,7 +88,7 @@
 }
 
 // scheduleFaults injects random faults into one server, some tens of seconds apart.
-// An agent restart may coincide with a cold turn.
+// An agent may restart at the moment at which its engine turns cold.
 func scheduleFaults(clock *model.Clock, random *rand.Rand, server *model.Server, sc scenario) {
 	var faults []func()
 	if sc.engineTurnsCold {
@@ -114,7 +114,7 @@
 // startEntry simulates one entry with Poisson arrivals. Each request goes to a random
 // server and is not retried when refused.
 func startEntry(clock *model.Clock, random *rand.Rand, servers []*model.Server, stats *runStats) {
-	const requestsPerSecond = 9.0 // Of one entry.
+	const requestsPerSecond = 9.0 // Request rate of one entry.
 	var arrive func()
 	arrive = func() {
 		stats.requests++
--- a/ctl/experiment/datacentre/datacentre.go
+++ b/ctl/experiment/datacentre/datacentre.go
@@ -26,13 +26,13 @@
 	entryAddress = "127.0.0.1:18480"
 	adminAddress = "127.0.0.1:18481"
 
-	engineFullLimit   = 8 // Concurrent generations of each of the three engines.
-	engineColdLimit   = 2
+	engineFullLimit   = 8    // Number of concurrent generations that each of the three engines can run when warm.
+	engineColdLimit   = 2    // Number of concurrent generations that an engine can run in cold start.
 	requestsPerSecond = 85.0 // Requests per second; two engines can serve 100.
 	beforeDuration    = 8 * time.Second
 	leaveDuration     = 12 * time.Second
 	returnDuration    = 15 * time.Second
-	changeDelay       = 2 * time.Second // From the start of a phase until its change.
+	changeDelay       = 2 * time.Second // Time from the start of a phase until its take-out or return.
 	maxTakeOutDelay   = 5 * time.Second
 	waitTimeout       = 9 * time.Second
 	readyTimeout      = 10 * time.Second
@@ -72,7 +72,7 @@
 	}, nil
 }
 
-// testRun is one running system with its load generator.
+// testRun is a system under load while a data centre is taken out and returned.
 type testRun struct {
 	system *dev.System
 	admin  *adminclient.Client
@@ -172,8 +172,8 @@
 	return len(status.Processes) > 1
 }
 
-// setTakenOut takes out or returns the data centre. Its result is the time until
-// the change was in force everywhere.
+// setTakenOut takes out or returns the data centre. It returns, as text, the time
+// until the change was in force in every process.
 func (r *testRun) setTakenOut(ctx context.Context, takenOut bool) (string, error) {
 	began := time.Now()
 	accepted, err := r.admin.SetTakenOut(ctx, adminapi.PathDataCentres, leavingDataCentre, takenOut, adminapi.TargetRequest{})
@@ -186,14 +186,15 @@
 	return fmt.Sprintf("%.0f ms", float64(time.Since(began).Microseconds())/1000), nil
 }
 
-// runPhase sends load for the duration and makes the change meanwhile.
+// runPhase sends load for the duration, calls change meanwhile, and adds a row with
+// the figures of the phase.
 func (r *testRun) runPhase(ctx context.Context, name string, duration time.Duration, change func(context.Context) (string, error)) error {
 	engine := r.system.Engines[leavingEngine]
 	overloads := r.overloads()
 	type outcome struct {
-		took  string
+		took  string // Time until the change was in force everywhere.
 		err   error
-		after int
+		after int // Generations that the leaving engine has started up to maxTakeOutDelay after the change.
 	}
 	outcomes := make(chan outcome, 1)
 	go func() {
--- a/ctl/experiment/evidence/evidence.go
+++ b/ctl/experiment/evidence/evidence.go
@@ -13,16 +13,16 @@
 
 const (
 	dataCentres  = 3
-	entries      = 2 // In each data centre.
-	agents       = 1 // In each data centre.
+	entries      = 2 // Entries in each data centre.
+	agents       = 1 // Agents in each data centre.
 	settleTime   = 3 * time.Second
-	restartDelay = time.Second
+	restartDelay = time.Second // Time from the change, or from the start of a store outage, to the restarts.
 	// maxTakeOutDelay is the time after a take-out from which the data centre must
 	// start no new work.
 	maxTakeOutDelay       = 5 * time.Second
-	observeTime           = 10 * time.Second
+	observeTime           = 10 * time.Second // Time for which the agents are observed at the end of a run.
 	maxConcurrentPolicies = 4
-	pauseTime             = 8 * time.Second
+	pauseTime             = 8 * time.Second // Time from the change until paused agents continue.
 )
 
 // Experiment compares the rules for evidence that a configuration is current.
@@ -100,36 +100,44 @@
 	}
 }
 
+// linkSubsetCount is the number of subsets of the six links: three between data
+// centres and three to the store.
 const linkSubsetCount = 1 << 6
 
-// processFault says which processes restart after the change, or that the agents
-// of the taken-out data centre are paused during it.
+// processFault is a fault of some processes in a run: a restart after the change,
+// or a pause during the change.
 type processFault int
 
 const (
-	noFault processFault = iota
-	restartTakenOutAgents
-	restartTakenOut
-	restartAccepting
-	restartAll
-	pauseTakenOutAgents
-	processFaultCount
+	noFault               processFault = iota
+	restartTakenOutAgents              // Restart the agents of the taken-out data centre.
+	restartTakenOut                    // Restart all processes of the taken-out data centre.
+	restartAccepting                   // Restart all processes of the accepting entry's data centre.
+	restartAll                         // Restart all processes of all data centres.
+	pauseTakenOutAgents                // Pause the agents of the taken-out data centre.
+	processFaultCount                  // Number of values, including noFault.
 )
 
-// takeOutCase describes one run: the first data centre is taken out through an
-// entry in the same or another data centre.
+// takeOutCase describes one simulated run: some links are cut, and then the first
+// data centre is taken out through an entry in the same or another data centre.
 type takeOutCase struct {
-	cutLinks            int
+	cutLinks            int           // Subset of the six links that are cut, as a bit set; see applyCuts.
 	accepting           int           // Data centre of the entry that accepts the change.
-	changeDelay         time.Duration // From the cuts to the change.
-	restart             processFault
-	entryCrashes        bool // The entry crashes right after the commit.
-	thirdTakenOutBefore bool // The third data centre was taken out before the run.
-	restoresLinks       bool // The links between data centres are restored after the restart.
+	changeDelay         time.Duration // Time between the cutting of the links and the take-out.
+	restart             processFault  // Fault of processes after or during the take-out.
+	entryCrashes        bool          // The entry crashes right after the commit.
+	thirdTakenOutBefore bool          // The third data centre was taken out before the run.
+	restoresLinks       bool          // The links between data centres are restored after the restart.
 }
 
-// unsafeCounts counts all runs and, by their circumstances, those in which the
-// taken-out data centre would start new work after maxTakeOutDelay.
+// unsafeCounts counts simulated runs. All fields except total count unsafe runs, in
+// which the taken-out data centre would start new work after maxTakeOutDelay. Each
+// unsafe run is counted once, under the last of these fields that applies to it:
+//   - liveEntryRuns: none of the other fields applies;
+//   - powerCutRuns: all processes in the accepting entry's data centre, or in all
+//     data centres, restart;
+//   - entryCrashes: the accepting entry crashes right after the commit;
+//   - takenOutEntryRuns: the accepting entry's data centre was already taken out.
 type unsafeCounts struct {
 	total, liveEntryRuns, powerCutRuns, entryCrashes, takenOutEntryRuns int
 }
--- a/ctl/experiment/evidence/network.go
+++ b/ctl/experiment/evidence/network.go
@@ -43,10 +43,10 @@
 	policy       evidence.Policy
 	now          time.Time
 	processes    []*process
-	entries      [][]*process // By data centre.
-	store        *config.Snapshot
-	storeLinkCut []bool   // By data centre.
-	linkCut      [][]bool // By pair of data centres.
+	entries      [][]*process     // The entries of each data centre.
+	store        *config.Snapshot // The accepted configuration.
+	storeLinkCut []bool           // Whether the link to the store is cut, by data centre.
+	linkCut      [][]bool         // Whether the link between two data centres is cut, by their indices.
 	storeReads   int
 	exchanges    int
 }
--- a/ctl/experiment/evidence/outage.go
+++ b/ctl/experiment/evidence/outage.go
@@ -14,7 +14,9 @@
 const (
 	// outageSettleTime is the time after which the evidence from before the outage
 	// has expired.
-	outageSettleTime          = 6 * time.Second
+	outageSettleTime = 6 * time.Second
+	// dataCentreLinkSubsetCount is the number of subsets of the three links between
+	// data centres. They are the lowest three bits of a subset of links.
 	dataCentreLinkSubsetCount = 1 << 3
 	allStoreLinksCut          = 7 << 3 // The subset with every link to the store cut.
 )
@@ -59,8 +61,9 @@
 	return float64(refused) / float64(all)
 }
 
-// propagationSize is one size of the system.
-type propagationSize struct{ dataCentres, entries, agents int } // Entries and agents per data centre.
+// propagationSize is a size of the system: the number of data centres, and the
+// numbers of entries and agents in each of them.
+type propagationSize struct{ dataCentres, entries, agents int }
 
 // propagationTable measures, at three sizes of the system, the rates of store reads and
 // exchanges, and the time until a change whose offers were all lost is in force
--- a/ctl/experiment/experiment.go
+++ b/ctl/experiment/experiment.go
@@ -11,7 +11,7 @@
 	Quick bool   // Use smaller sizes, for a quick check.
 }
 
-// Experiment is one named comparison.
+// Experiment is a named experiment and the function that runs it.
 type Experiment struct {
 	Name    string
 	Summary string
--- a/ctl/experiment/expertmaps/expertmaps.go
+++ b/ctl/experiment/expertmaps/expertmaps.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	stepSeconds         = 0.027 // A step without skew.
+	stepSeconds         = 0.027 // Duration of a step without skew.
 	expertFraction      = 0.6   // Fraction of a step's time that the experts take.
 	tokensPerStep       = 8192 * 8
-	expertBytes         = 44e6
+	expertBytes         = 44e6 // Size of the weights of one expert.
 	storeBytesPerSecond = 2e9
 	expertsPerSecond    = 45   // storeBytesPerSecond divided by expertBytes, rounded down.
 	loadSlowdown        = 0.02 // Relative slowdown of steps while weights load.
@@ -37,13 +37,14 @@
 	Run:     run,
 }
 
-// policyResult holds the results of one policy in one scenario.
+// policyResult holds the results of one policy in one scenario. Skew is the time of
+// the slowest rank in each layer divided by the time under an even distribution.
 type policyResult struct {
 	policy          string
-	skew            []float64 // By interval, under the expected load.
-	sampledSkew     []float64 // By sampled step, with sampling noise.
-	moves           []float64 // Experts moved, by interval.
-	switches        int
+	skew            []float64     // Skew under the expected load, by interval.
+	sampledSkew     []float64     // Skew with sampling noise, by sampled step.
+	moves           []float64     // Number of experts loaded onto ranks that did not hold them, by interval.
+	switches        int           // Number of intervals in which the map was changed.
 	meanStepSeconds float64       // Including moves and switches; the total time of all steps until comparePolicies divides it.
 	planTime        time.Duration // Longest time of one planning call.
 }
@@ -92,7 +93,8 @@
 	}
 }
 
-// comparePolicies runs every policy on the same popularity.
+// comparePolicies runs every policy with the same popularity model and the same
+// sampling noise.
 func comparePolicies(scenario string, shape planner.Shape, seed uint64) []policyResult {
 	policies := []policy{keepCurrent{}, &recompute{}, &recompute{relabel: true}, &incremental{}, oracle{}}
 	intervals := int(dayHours * secondsPerMinute / intervalMinutes)
--- a/ctl/experiment/expertmaps/policies.go
+++ b/ctl/experiment/expertmaps/policies.go
@@ -8,7 +8,7 @@
 	costs    planner.Costs
 	observed [][]float64 // Load in the last interval; nil for layers that were not observed.
 	truth    [][]float64 // Expected load of the next interval, for the oracle only.
-	slowness []float64
+	slowness []float64   // Time of each rank for one unit of load.
 	current  planner.Placement
 }
 
@@ -25,7 +25,7 @@
 
 // recompute computes a new placement from the last observation of every layer.
 type recompute struct {
-	relabel      bool
+	relabel      bool // Reorder the new placement so that fewer experts move.
 	lastObserved [][]float64
 }
 
--- a/ctl/experiment/expertmaps/popularity.go
+++ b/ctl/experiment/expertmaps/popularity.go
@@ -11,9 +11,9 @@
 	logPopularityStdDev  = 0.8  // Standard deviation of an expert's log popularity.
 	observationNoise     = 0.02 // Relative noise of the observation of one interval.
 	driftAmplitude       = 0.5  // Amplitude of the drift of log popularity.
-	periodHours          = 1.0
+	periodHours          = 1.0  // Period of the drift in the periodic scenario.
 	shiftedFraction      = 0.3  // Fraction of the experts that a sudden shift changes.
-	highObservationNoise = 0.1  // Like observationNoise, in the noise scenario.
+	highObservationNoise = 0.1  // Relative noise of the observation of one interval, in the noise scenario.
 	unobservedFraction   = 0.05 // Probability that an interval's observation lacks a layer.
 	stragglerSlowness    = 1.3  // Time of the straggling rank for one unit of load; 1 for the others.
 	dayHours             = 24.0
@@ -34,9 +34,9 @@
 type popularityModel struct {
 	scenario string
 	shape    planner.Shape
-	base     [][]float64 // Log popularity.
-	shifted  [][]float64 // Log popularity after the shift.
-	phase    [][]float64
+	base     [][]float64 // Log popularity of each expert without drift, by layer.
+	shifted  [][]float64 // Log popularity of each expert after the sudden shift, by layer.
+	phase    [][]float64 // Phase of each expert's drift, by layer.
 	random   *rand.Rand
 }
 
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -10,13 +10,13 @@
 
 // EngineConfig holds the parameters of one simulated engine.
 type EngineConfig struct {
-	Full              int           // Concurrent requests when warm.
-	Cold              int           // Concurrent requests, started in cold start, that the engine can handle.
+	Full              int           // Number of concurrent requests that the warm engine can handle.
+	Cold              int           // Number of concurrent requests, started in cold start, that the cold engine can handle.
 	WarmUpRequests    int           // Completed requests until the engine is warm.
-	PrefillTime       time.Duration // Per uncached prompt token.
-	StepTime          time.Duration // Per decode step, which yields one token.
-	ColdPrefillFactor float64       // Factor on the time of a prefill in cold start.
-	CacheBlocks       int
+	PrefillTime       time.Duration // Prefill time per uncached prompt token.
+	StepTime          time.Duration // Time of one decode step, which yields one token.
+	ColdPrefillFactor float64       // Factor by which cold start prolongs a prefill.
+	CacheBlocks       int           // Capacity of the prefix cache in blocks.
 	ReportLag         time.Duration // Delay of load reports.
 	EventLag          time.Duration // Delay of cache events.
 	EventLossInterval int           // One in this many batches of cache events is lost; 0 loses none.
@@ -35,16 +35,17 @@
 	generations         map[uint64]*generation
 	prefillBusyUntil    time.Duration
 	overloadCrashes     int
-	coldStartsOverLimit int // Starts in cold start with Cold or more requests running, whenever those were started.
+	coldStartsOverLimit int // Requests started in cold start while Cold or more were running, including those started before the cold start.
 	cache               *cache
 	reports             []admission.Reported
 }
 
+// generation is one request that runs at the engine.
 type generation struct {
-	ticket       uint64
+	ticket       uint64 // ID of the request between the agent and the engine.
 	prompt       prefix.Prompt
 	answerTokens int
-	cold         bool // Started in cold start.
+	cold         bool // The request was started in the current cold start.
 	ended        bool
 	notify       engineCallbacks
 }
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -18,17 +18,17 @@
 	Weight   float64
 	Priority int
 	Prompt   prefix.Prompt
-	Tokens   int           // Of the answer.
-	Deadline time.Duration // From the submission.
+	Tokens   int           // Number of tokens of the answer.
+	Deadline time.Duration // Time from the submission to the deadline of the request.
 }
 
 // Callbacks receives the result of one attempt. Exactly one of Refused, Done and
 // Broken is called. Begun is called at the first token, before Done.
 type Callbacks struct {
-	Refused func(err *result.Error)
-	Begun   func(cachedTokens int)
-	Done    func()
-	Broken  func()
+	Refused func(err *result.Error) // The agent refused the work.
+	Begun   func(cachedTokens int)  // The first token arrived; cachedTokens of the prompt were in the prefix cache.
+	Done    func()                  // The answer is complete.
+	Broken  func()                  // The engine stopped or crashed before the answer was complete.
 }
 
 // Server is one backend server with its agent.
@@ -38,13 +38,14 @@
 	engine         *engine
 	admissionState admission.State
 	agentStarted   time.Time
-	lastTicket     uint64
-	pending        map[uint64]pending
-	offers         map[uint64]admission.Offer
-	oracle         bool // Admit by the engine's true limit instead of the policy.
+	lastTicket     uint64                     // The last ticket issued; a ticket identifies a probe or request at the agent.
+	pending        map[uint64]pending         // Requests that the agent has neither admitted nor refused, by ticket.
+	offers         map[uint64]admission.Offer // Replies to probes, by ticket.
+	oracle         bool                       // Admit by the engine's true limit instead of the policy.
 	oracleQueue    []pending
 }
 
+// pending is work submitted to a server that has not started.
 type pending struct {
 	work      Work
 	callbacks Callbacks
@@ -68,7 +69,9 @@
 	})
 }
 
-// Probe returns the agent's offer.
+// Probe asks the agent how soon it could start a request with the prompt. The offer
+// is the agent's reply, with its headroom, its queue and its expected time to first
+// token.
 func (s *Server) Probe(prompt prefix.Prompt) admission.Offer {
 	s.lastTicket++
 	s.step(admission.Probed{
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -15,9 +15,9 @@
 const (
 	servers           = 24
 	entries           = 6
-	requestsPerSecond = 16.0 // Of one entry; the fleet can serve about 105 in total.
-	stopAt            = 60 * time.Second
-	settleTime        = 5 * time.Second // From the stop until goodput is counted.
+	requestsPerSecond = 16.0             // Requests per second at each entry; the servers can handle about 105 in total.
+	stopAt            = 60 * time.Second // Time at which half of the servers stop.
+	settleTime        = 5 * time.Second  // Time from the stop until goodput is counted.
 	runLength         = 120 * time.Second
 	roundTripTime     = time.Millisecond
 	requestTimeout    = 10 * time.Second
@@ -58,7 +58,7 @@
 type runStats struct {
 	requests, attempts, refused, broken int
 	refusalsWithoutRetryAfter           int // Refusals without a RetryAfter.
-	completed                           int // Requests completed more than settleTime after the stop, whenever they arrived.
+	completed                           int // Requests completed more than settleTime after the stop, including those that arrived before it.
 	slowestRefusal                      time.Duration
 }
 
@@ -84,8 +84,8 @@
 	stats   runStats
 }
 
-// run offers requests to the servers. Half of them stop at stopAt or, with
-// halfFleet, don't exist.
+// run sends requests to the servers. Half of the servers stop at stopAt. With
+// halfFleet, that half does not exist from the start, which is the baseline.
 func run(seed uint64, p policy, halfFleet bool) runStats {
 	r := &runner{clock: &model.Clock{}, random: rand.New(rand.NewPCG(seed, 21)), policy: p}
 	for index := range servers {
@@ -144,14 +144,14 @@
 	}
 }
 
-// request is a request of one caller.
+// request is one request of a caller with the state of its attempts.
 type request struct {
 	runner   *runner
 	budget   *retry.Budget
 	arrived  time.Duration
-	measured bool
+	measured bool // Whether the request is included in the statistics.
 	work     model.Work
-	excluded map[int]bool
+	excluded map[int]bool // Servers that have failed an attempt of this request.
 }
 
 func (q *request) attempt(number int) {
--- a/ctl/experiment/shares/run.go
+++ b/ctl/experiment/shares/run.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	zipfExponent    = 1.0
+	zipfExponent    = 1.0              // Exponent of the Zipf distribution of load over the organisations.
 	meanHoldTime    = 5 * time.Second  // Mean time for which a request holds its slot.
 	warmUp          = 20 * time.Second // Requests before this time are not counted.
 	runLength       = 80 * time.Second
 	renewInterval   = 500 * time.Millisecond
-	homeLossAt      = 40 * time.Second
-	detectionDelay  = 3 * time.Second // From the loss until the instance list no longer has the lost entry.
-	overloadFactor  = 2.0             // Offered load divided by the limit, of an organisation that exceeds it.
-	underloadFactor = 0.8             // Offered load divided by the limit, of the others.
+	homeLossAt      = 40 * time.Second // Time at which the home entry of the busiest organisation is lost.
+	detectionDelay  = 3 * time.Second  // Time from the loss of an entry until it is removed from the instance list.
+	overloadFactor  = 2.0              // Offered load divided by the limit, for an organisation that exceeds its limit.
+	underloadFactor = 0.8              // Offered load divided by the limit, for an organisation within its limit.
 )
 
 // size is the size of the simulated system.
@@ -29,14 +29,14 @@
 	rate          float64 // Requests per second offered by all organisations together.
 }
 
-// org is one organisation's demand, limits and counts.
+// org is the load, the limits and the counters of one organisation.
 type org struct {
 	name               string
 	rate               float64 // Offered requests per second.
 	limits             share.Limits
 	exceedsRate        bool // Offers more than its rate limit.
 	exceedsConcurrency bool // Offers more than its concurrency limit.
-	home               int
+	home               int  // Index of the home entry, which leases the organisation's limits to the other entries.
 	requests           int
 	admitted           int
 	slotsInUse         int
@@ -51,13 +51,14 @@
 	leaseRequests int
 }
 
+// runner simulates one run.
 type runner struct {
 	clock     *model.Clock
 	random    *rand.Rand
 	names     []string
-	homes     []*share.Home
-	locals    map[[2]int]*share.Local // By entry and organisation.
-	lostEntry int                     // The entry that is lost; -1 for none.
+	homes     []*share.Home           // The accounts that each entry keeps for the organisations whose home it is.
+	locals    map[[2]int]*share.Local // The leases of each entry, by indices of entry and organisation.
+	lostEntry int                     // Index of the entry that has been lost; -1 for none.
 	stats     runStats
 }
 
@@ -117,7 +118,8 @@
 	return choose.Rendezvous(names, choose.RendezvousKey(o.name), 1)[0]
 }
 
-// reassignHomes assigns the lost entry's organisations to new homes.
+// reassignHomes chooses a new home entry for each organisation whose home entry is
+// lost.
 func (r *runner) reassignHomes() {
 	for _, home := range r.homes {
 		home.MarkReassigned(r.clock.Time())
@@ -175,8 +177,9 @@
 	o.peakSlotsInUse = max(o.peakSlotsInUse, o.slotsInUse)
 }
 
-// admit admits or refuses a request as an entry does: from its lease, else with a
-// new lease from the home, or by the local share if the home is lost.
+// admit reports whether the entry admits a request of the organisation. Like a real
+// entry, it uses its lease, else asks the organisation's home entry for a new one.
+// If the home entry is lost, it admits up to its own part of the limits.
 func (r *runner) admit(entry int, o *org, local *share.Local) bool {
 	now := r.clock.Time()
 	decision, _ := local.TryAdmit(now, o.limits, 0)
@@ -195,7 +198,8 @@
 	return decision == share.Admitted
 }
 
-// renew renews the leases of the slots in use at their homes.
+// renew asks the home entry of each organisation to renew the leases of the
+// concurrency slots that the other entries' requests occupy.
 func (r *runner) renew() {
 	now := r.clock.Time()
 	for key, local := range r.locals {
--- a/ctl/experiment/shares/shares.go
+++ b/ctl/experiment/shares/shares.go
@@ -1,5 +1,7 @@
 // Package shares simulates how well organisations' limits hold across entry
-// instances, with the real policy of policy/share.
+// instances, with the real policy of policy/share. Each organisation has one home
+// entry, chosen by rendezvous hashing. It leases rate tokens and concurrency slots
+// to the other entries, so that together they stay within the limits.
 package shares
 
 import (
@@ -31,15 +33,15 @@
 // of a single organisation is large enough to be compared with its limit.
 const minBusyLimit = 5.0
 
-// summary sums up a run. Rates and slots are divided by the organisation's limit. A
-// busy organisation has a limit of at least minBusyLimit.
+// summary holds the figures of one run. Rates and slots are relative to the
+// organisation's limit. A busy organisation has a limit of at least minBusyLimit.
 type summary struct {
 	minBusyRate, maxBusyRate float64 // Lowest and highest admitted rate of a busy organisation that offers more than its limit.
 	overLimitRate            float64 // Admitted rate of all organisations together that offer more than their limit.
 	underLimitAdmitted       float64 // Admitted divided by offered requests, of the organisations within their limits.
 	slots                    float64 // Mean slots in use, of busy organisations that offer more than their concurrency limit.
 	maxSlotsInUse            float64 // Highest number of slots in use.
-	leaseRequests            float64 // Per request.
+	leaseRequests            float64 // Lease requests to home entries, divided by the requests of callers.
 	orgsBeyondBurst          int     // Organisations that got more than their limit, the tolerance and one burst.
 }
 
@@ -77,7 +79,8 @@
 	return result
 }
 
-// Run simulates all sizes, each with and without the loss of a home.
+// Run simulates all sizes, each with and without the loss of the home entry of the
+// busiest organisation.
 func Run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
 	report := experiment.Report{Title: "Organisations' limits across entries"}
 	table := experiment.Table{Columns: []string{
