--- a/ctl/adminclient/adminclient.go
+++ b/ctl/adminclient/adminclient.go
@@ -29,7 +29,7 @@
 const (
 	requestTimeout = 20 * time.Second
 	retryInterval  = 300 * time.Millisecond
-	maxAttempts    = 3 // Per entry.
+	maxAttempts    = 3 // Maximum number of attempts of a request at each entry.
 	maxAnswerBytes = 64 << 20
 )
 
@@ -58,7 +58,7 @@
 	return &Client{Servers: servers, Token: token, HTTP: &http.Client{Timeout: requestTimeout}}
 }
 
-// request describes one API request.
+// request is one request to the administration API.
 type request struct {
 	method   string
 	path     string
@@ -97,16 +97,17 @@
 	return revision
 }
 
-// Compare validates the files together with the accepted ones and returns the
-// changes they would make.
+// Compare validates the files as a change to the accepted configuration, without
+// applying them, and returns the fields that they would change.
 func (c *Client) Compare(ctx context.Context, files config.Files) (adminapi.Comparison, error) {
 	var answer adminapi.Comparison
 	err := c.call(ctx, request{method: http.MethodPost, path: adminapi.PathDiff, body: adminapi.Files{Files: files}}, &answer)
 	return answer, err
 }
 
-// Apply submits files that are based on the base revision. An empty change ID is
-// replaced by a new one.
+// Apply submits files as a change to the base revision. The entry refuses them if
+// another change was accepted after that revision. If the change has no ID, Apply
+// generates one.
 func (c *Client) Apply(ctx context.Context, base uint64, change adminapi.ApplyRequest) (adminapi.Accepted, error) {
 	ensureID(&change.ID)
 	var answer adminapi.Accepted
@@ -114,7 +115,8 @@
 	return answer, err
 }
 
-// Rollback submits the files of an earlier revision as a new revision.
+// Rollback submits the files of an earlier revision as a change to the base
+// revision. It is accepted as a new revision.
 func (c *Client) Rollback(ctx context.Context, base uint64, change adminapi.RollbackRequest) (adminapi.Accepted, error) {
 	ensureID(&change.ID)
 	var answer adminapi.Accepted
@@ -122,12 +124,12 @@
 	return answer, err
 }
 
-// SetTakenOut takes out or returns the target; kindPath is
-// adminapi.PathDataCentres or adminapi.PathBackendServers.
-func (c *Client) SetTakenOut(ctx context.Context, kindPath, name string, out bool, change adminapi.TargetRequest) (adminapi.Accepted, error) {
+// SetTakenOut takes a data centre or backend server out of service, or returns it.
+// kindPath is adminapi.PathDataCentres or adminapi.PathBackendServers.
+func (c *Client) SetTakenOut(ctx context.Context, kindPath, name string, takenOut bool, change adminapi.TargetRequest) (adminapi.Accepted, error) {
 	ensureID(&change.ID)
 	suffix := adminapi.SuffixReturn
-	if out {
+	if takenOut {
 		suffix = adminapi.SuffixTakeOut
 	}
 	var answer adminapi.Accepted
@@ -174,8 +176,8 @@
 	return answer, err
 }
 
-// Decision returns the last decision of the planner about the expert map of a
-// group.
+// Decision returns the planner's latest decision about the expert map of a group:
+// whether it was changed, and why.
 func (c *Client) Decision(ctx context.Context, name string) (group.Decision, error) {
 	var answer group.Decision
 	err := c.call(ctx, request{method: http.MethodGet, path: adminapi.PathGroups + url.PathEscape(name)}, &answer)
@@ -194,7 +196,7 @@
 }
 
 // send sends the request to each entry in turn until one answers with a success
-// or a permanent error. It makes up to maxAttempts passes over the entries.
+// or a permanent error. It tries all entries up to maxAttempts times.
 func (c *Client) send(ctx context.Context, r request) (answer []byte, tag string, err error) {
 	var body []byte
 	if r.body != nil {
--- a/ctl/chart/chart.go
+++ b/ctl/chart/chart.go
@@ -19,7 +19,8 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// Sizes that keep a plot on a large screen readable from across a room.
+// Sizes of a plot and of its texts and lines. They are large so that a plot on a
+// large screen is readable from across a room.
 const (
 	width      = 16 * vg.Inch
 	height     = 9 * vg.Inch
@@ -35,9 +36,9 @@
 // Theme is the set of colours of a plot.
 type Theme struct {
 	Background color.Color // Nil for a transparent background.
-	Ink        color.Color // Text and axes.
+	Ink        color.Color // Colour of texts and axes.
 	Grid       color.Color
-	Lines      []color.Color
+	Lines      []color.Color // Colours of the series, which repeat after the last.
 }
 
 // Light is the theme for a light page and for PNG files.
--- a/ctl/cmd/persimmonctl/change.go
+++ b/ctl/cmd/persimmonctl/change.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// submit makes one change, prints its outcome and, with --wait, waits until it is
-// in force.
+// submit calls make, which submits one change, and prints the outcome. With --wait
+// it then waits until the change is in force in every process.
 func (f *changeFlags) submit(command *cobra.Command, make func(context.Context, *adminclient.Client) (adminapi.Accepted, error)) error {
 	client, err := f.client()
 	if err != nil {
@@ -75,7 +75,7 @@
 	return configuration.Revision, err
 }
 
-func newApply() *cobra.Command {
+func newApplyCommand() *cobra.Command {
 	var flags changeFlags
 	command := &cobra.Command{
 		Use:   "apply FILE|DIRECTORY...",
@@ -102,7 +102,7 @@
 	return command
 }
 
-func newRollback() *cobra.Command {
+func newRollbackCommand() *cobra.Command {
 	var flags changeFlags
 	var to uint64
 	command := &cobra.Command{
@@ -125,7 +125,7 @@
 	return command
 }
 
-func newTarget(name, short string, out bool) *cobra.Command {
+func newTakenOutCommand(name, short string, takenOut bool) *cobra.Command {
 	var flags changeFlags
 	command := &cobra.Command{
 		Use:               name + " data-centre|backend-server NAME",
@@ -138,7 +138,7 @@
 				return err
 			}
 			return flags.submit(command, func(ctx context.Context, client *adminclient.Client) (adminapi.Accepted, error) {
-				return client.SetTakenOut(ctx, path, args[1], out, adminapi.TargetRequest{ID: flags.id, AllowLastDataCentre: flags.allowLastDataCentre})
+				return client.SetTakenOut(ctx, path, args[1], takenOut, adminapi.TargetRequest{ID: flags.id, AllowLastDataCentre: flags.allowLastDataCentre})
 			})
 		},
 	}
--- a/ctl/cmd/persimmonctl/configuration.go
+++ b/ctl/cmd/persimmonctl/configuration.go
@@ -25,13 +25,13 @@
 
 // Exit codes of persimmonctl.
 const (
-	exitFailure     = 1
-	exitInvalidFile = 3
-	exitConflict    = 4
-	exitUnknown     = 5 // The outcome of a change is not known.
-	exitNotInForce  = 6 // Accepted, but not in force everywhere.
-	exitUnreachable = 7
-	exitForbidden   = 8
+	exitFailure        = 1
+	exitInvalidFile    = 3
+	exitConflict       = 4
+	exitOutcomeUnknown = 5 // The outcome of a change is not known.
+	exitNotInForce     = 6 // The change was accepted, but is not in force in every process.
+	exitUnreachable    = 7 // No entry answered, or the entry or the store is not available.
+	exitForbidden      = 8 // The operator is unknown or lacks the permission.
 )
 
 // exitCode returns the exit code of persimmonctl for the error.
@@ -59,7 +59,7 @@
 	case result.RevisionConflict:
 		return exitConflict
 	case result.ApplyUnknown:
-		return exitUnknown
+		return exitOutcomeUnknown
 	case result.StoreUnavailable, result.NotReady:
 		return exitUnreachable
 	case result.UnknownOperator, result.OperatorForbidden:
@@ -78,15 +78,15 @@
 
 func configurationCommands() []*cobra.Command {
 	commands := []*cobra.Command{
-		newValidate(), newDiff(), newApply(), newGet(), newRollback(), newAudit(), newStatus(), newOutcome(),
-		newTarget("drain", "Take a data centre or backend server out of service", true),
-		newTarget("return", "Return a data centre or backend server to service", false),
+		newValidateCommand(), newDiffCommand(), newApplyCommand(), newGetCommand(), newRollbackCommand(), newAuditCommand(), newStatusCommand(), newOutcomeCommand(),
+		newTakenOutCommand("drain", "Take a data centre or backend server out of service", true),
+		newTakenOutCommand("return", "Return a data centre or backend server to service", false),
 	}
 	return commands
 }
 
-// addTo registers the flags on the command. The environment provides their
-// defaults.
+// addTo registers the flags on the command. The environment variables
+// PERSIMMONWIND_ADMIN and PERSIMMONWIND_TOKEN provide defaults.
 func (f *adminFlags) addTo(command *cobra.Command) {
 	servers := strings.Split(os.Getenv(envServers), ",")
 	if os.Getenv(envServers) == "" {
--- a/ctl/cmd/persimmonctl/configuration_test.go
+++ b/ctl/cmd/persimmonctl/configuration_test.go
@@ -60,7 +60,7 @@
 // ctl runs persimmonctl and returns its output and exit code.
 func ctl(arguments ...string) (string, int) {
 	var out bytes.Buffer
-	root := newRoot()
+	root := newRootCommand()
 	root.SetArgs(arguments)
 	root.SetOut(&out)
 	root.SetErr(&out)
--- a/ctl/cmd/persimmonctl/experiment.go
+++ b/ctl/cmd/persimmonctl/experiment.go
@@ -45,7 +45,7 @@
 			}
 		},
 	}
-	return []*cobra.Command{list, newExperiment()}
+	return []*cobra.Command{list, newExperimentCommand()}
 }
 
 // experimentFlags holds the flags of the experiment command.
@@ -65,7 +65,7 @@
 	Report experiment.Report `json:"report"`
 }
 
-func newExperiment() *cobra.Command {
+func newExperimentCommand() *cobra.Command {
 	var flags experimentFlags
 	command := &cobra.Command{
 		Use:   "experiment NAME | --all",
--- a/ctl/cmd/persimmonctl/experiment_test.go
+++ b/ctl/cmd/persimmonctl/experiment_test.go
@@ -27,7 +27,7 @@
 }
 
 func runTool(arguments ...string) (string, error) {
-	root := newRoot()
+	root := newRootCommand()
 	var out bytes.Buffer
 	root.SetOut(&out)
 	root.SetArgs(arguments)
--- a/ctl/cmd/persimmonctl/explain.go
+++ b/ctl/cmd/persimmonctl/explain.go
@@ -11,9 +11,9 @@
 	"persimmonwind.dev/server/group"
 )
 
-func explainCommands() []*cobra.Command { return []*cobra.Command{newExplain()} }
+func explainCommands() []*cobra.Command { return []*cobra.Command{newExplainCommand()} }
 
-func newExplain() *cobra.Command {
+func newExplainCommand() *cobra.Command {
 	var flags adminFlags
 	command := &cobra.Command{
 		Use:   "explain GROUP",
--- a/ctl/cmd/persimmonctl/inspect.go
+++ b/ctl/cmd/persimmonctl/inspect.go
@@ -19,24 +19,24 @@
 	columnPadding    = 2
 	watchInterval    = time.Second
 	maxValueBytes    = 40 // Maximum length of a value in a table.
-	maxListedChanges = 20 // Maximum number of changes of one record in a table.
+	maxListedChanges = 20 // Maximum number of changes listed for one audit record.
 )
 
-func newValidate() *cobra.Command {
-	return newCompare("validate", "Validate files together with the accepted ones without applying them", func(out io.Writer, comparison adminapi.Comparison) error {
+func newValidateCommand() *cobra.Command {
+	return newCompareCommand("validate", "Validate files together with the accepted ones without applying them", func(out io.Writer, comparison adminapi.Comparison) error {
 		_, err := fmt.Fprintf(out, "valid against revision %d; %d fields would change\n", comparison.Base, len(comparison.Changes))
 		return err
 	})
 }
 
-func newDiff() *cobra.Command {
-	return newCompare("diff", "Show the fields that files would change", func(out io.Writer, comparison adminapi.Comparison) error {
+func newDiffCommand() *cobra.Command {
+	return newCompareCommand("diff", "Show the fields that files would change", func(out io.Writer, comparison adminapi.Comparison) error {
 		fmt.Fprintf(out, "compared with revision %d\n", comparison.Base)
 		return printChanges(out, comparison.Changes)
 	})
 }
 
-func newCompare(name, short string, print func(io.Writer, adminapi.Comparison) error) *cobra.Command {
+func newCompareCommand(name, short string, print func(io.Writer, adminapi.Comparison) error) *cobra.Command {
 	var flags adminFlags
 	command := &cobra.Command{
 		Use:   name + " FILE|DIRECTORY...",
@@ -65,7 +65,7 @@
 	return command
 }
 
-func newGet() *cobra.Command {
+func newGetCommand() *cobra.Command {
 	var flags adminFlags
 	var revision uint64
 	command := &cobra.Command{
@@ -99,7 +99,7 @@
 	return command
 }
 
-func newOutcome() *cobra.Command {
+func newOutcomeCommand() *cobra.Command {
 	var flags adminFlags
 	command := &cobra.Command{
 		Use:   "outcome ID",
@@ -121,7 +121,7 @@
 	return command
 }
 
-func newAudit() *cobra.Command {
+func newAuditCommand() *cobra.Command {
 	var flags adminFlags
 	var after uint64
 	var limit int
@@ -164,7 +164,7 @@
 	return command
 }
 
-func newStatus() *cobra.Command {
+func newStatusCommand() *cobra.Command {
 	var flags adminFlags
 	var watch bool
 	command := &cobra.Command{
--- a/ctl/cmd/persimmonctl/load.go
+++ b/ctl/cmd/persimmonctl/load.go
@@ -12,7 +12,7 @@
 	"persimmonwind.dev/ctl/load"
 )
 
-func loadCommands() []*cobra.Command { return []*cobra.Command{newLoad()} }
+func loadCommands() []*cobra.Command { return []*cobra.Command{newLoadCommand()} }
 
 // loadFlags holds the flags of the load command.
 type loadFlags struct {
@@ -23,7 +23,7 @@
 	quiet      bool
 }
 
-func newLoad() *cobra.Command {
+func newLoadCommand() *cobra.Command {
 	flags := loadFlags{options: load.DefaultOptions()}
 	command := &cobra.Command{
 		Use:   "load",
--- a/ctl/cmd/persimmonctl/main.go
+++ b/ctl/cmd/persimmonctl/main.go
@@ -9,13 +9,13 @@
 )
 
 func main() {
-	if err := newRoot().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "persimmonctl:", err)
 		os.Exit(exitCode(err))
 	}
 }
 
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "persimmonctl",
 		Short:         "Operate a persimmonwind system",
--- a/ctl/load/arrivals.go
+++ b/ctl/load/arrivals.go
@@ -19,7 +19,7 @@
 // Arrivals describes the intended start times of requests.
 type Arrivals struct {
 	Shape         Shape         `json:"shape"`
-	Rate          float64       `json:"rate"` // Requests per second.
+	Rate          float64       `json:"rate"` // Mean arrival rate in requests per second, outside a surge.
 	SurgeStart    time.Duration `json:"surge_at,omitempty"`
 	SurgeDuration time.Duration `json:"surge_for,omitempty"`
 	SurgeFactor   float64       `json:"surge_factor,omitempty"` // Multiplies Rate during the surge.
@@ -45,7 +45,7 @@
 type schedule struct {
 	arrivals Arrivals
 	random   *rand.Rand
-	seconds  float64 // Offset of the most recent arrival.
+	seconds  float64 // Offset of the most recent arrival, in seconds.
 }
 
 func newSchedule(arrivals Arrivals, random *rand.Rand) *schedule {
--- a/ctl/load/client.go
+++ b/ctl/load/client.go
@@ -26,7 +26,7 @@
 type failure struct {
 	kind       Outcome
 	code       result.Code // Result code of the error, if the server sent one.
-	notRun     bool
+	notRun     bool        // The server guarantees that the request was not run.
 	retryAfter time.Duration
 	detail     string
 }
--- a/ctl/load/options.go
+++ b/ctl/load/options.go
@@ -19,8 +19,8 @@
 // Options configures one run.
 type Options struct {
 	Entries          []string // Base URLs of entries, used in round-robin order.
-	Engines          []string // Base URLs of stand-in engines, used as the baseline of a comparison.
-	DirectShare      float64  // Share of chats sent directly to Engines if Entries is set too.
+	Engines          []string // Base URLs of stand-in engines, which get a part of the chats directly as the baseline.
+	DirectShare      float64  // Fraction of the chats, from 0 to 1, sent directly to Engines if Entries is set too.
 	Keys             []string // Organisation keys, chosen uniformly at random.
 	AllowRemote      bool     // Allow targets that are not loopback addresses.
 	Seed             uint64
--- a/ctl/load/progress.go
+++ b/ctl/load/progress.go
@@ -24,16 +24,16 @@
 	arrived, whole, refused, other, tokens atomic.Int64
 }
 
-// startProgressReports calls report every progressInterval, and a last time when
-// the returned function is called.
+// startProgressReports calls report every progressInterval until the returned
+// function is called, which calls report a last time.
 func (r *runner) startProgressReports(report func(Progress)) (stop func()) {
 	if report == nil {
 		return func() {}
 	}
 	started := time.Now()
 	ended := make(chan struct{})
-	var group sync.WaitGroup
-	group.Go(func() {
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
@@ -46,7 +46,7 @@
 			}
 		}
 	})
-	return func() { close(ended); group.Wait() }
+	return func() { close(ended); wg.Wait() }
 }
 
 func (r *runner) progress(elapsed time.Duration) Progress {
--- a/ctl/load/recorder.go
+++ b/ctl/load/recorder.go
@@ -9,7 +9,8 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Range, in microseconds, and precision of the latency histograms.
+// Range, in microseconds, and precision, in significant decimal digits, of the
+// latency histograms.
 const (
 	lowestMicros      = 1
 	highestMicros     = int64(10 * time.Minute / time.Microsecond)
@@ -22,13 +23,13 @@
 // Possible outcomes.
 const (
 	Whole     Outcome = "whole"     // The complete answer arrived and, if enabled, was verified.
-	Refused   Outcome = "refused"   // Refused with a result code; the request was not run.
-	Failed    Outcome = "failed"    // Failed with a result code; the request may have run.
+	Refused   Outcome = "refused"   // The response is an error which states that the request was not run.
+	Failed    Outcome = "failed"    // The response is an error after which the request may have run.
 	Cut       Outcome = "cut"       // The answer was truncated.
 	Wrong     Outcome = "wrong"     // The content of the answer does not belong to this request.
 	TimedOut  Outcome = "timed_out" // The request did not finish within its timeout.
 	Transport Outcome = "transport" // The connection failed without a result code.
-	Dropped   Outcome = "dropped"   // Not sent, because too many requests were in flight.
+	Dropped   Outcome = "dropped"   // The request was not sent, because too many requests were in flight.
 )
 
 type latencyHistogram struct{ histogram *hdrhistogram.Histogram }
@@ -55,16 +56,17 @@
 	failure    *failure // Nil for a complete answer.
 }
 
-// recorder aggregates the finished requests of one path to the engines.
+// recorder aggregates the finished requests of one path to the engines: through the
+// entries, or directly.
 type recorder struct {
 	mu            sync.Mutex
 	outcomes      map[Outcome]int
-	codes         map[result.Code]int // Result codes of final answers.
-	retriedCodes  map[result.Code]int // Result codes of attempts that were retried.
+	codes         map[result.Code]int // Number of final answers by result code.
+	retriedCodes  map[result.Code]int // Number of retried attempts by result code.
 	examples      map[Outcome]string  // Detail of the first failure of each kind.
 	attempts      int
-	served        int // Complete answers that ended within the measured period.
-	servedTokens  int // Tokens of all chats that ended within the measured period.
+	served        int // Number of complete answers that ended within the measured period.
+	servedTokens  int // Number of tokens of all chats that ended within the measured period.
 	firstToken    latencyHistogram
 	betweenTokens latencyHistogram
 	betweenEvents latencyHistogram
--- a/ctl/load/result.go
+++ b/ctl/load/result.go
@@ -14,29 +14,29 @@
 	Seed         uint64        `json:"seed"`
 	Arrivals     Arrivals      `json:"arrivals"`
 	Workload     Workload      `json:"workload"`
-	Duration     float64       `json:"duration_s"` // Measured period: from the end of the warm-up to the end of arrivals.
-	Entry        *PathResult   `json:"entry,omitempty"`
-	Direct       *PathResult   `json:"direct,omitempty"`
+	Duration     float64       `json:"duration_s"`       // Measured period: from the end of the warm-up to the end of arrivals.
+	Entry        *PathResult   `json:"entry,omitempty"`  // Requests through the entries; nil if there were none.
+	Direct       *PathResult   `json:"direct,omitempty"` // Chats sent directly to the engines; nil if there were none.
 	AddedLatency *AddedLatency `json:"added,omitempty"`
 }
 
 // PathResult is the result of one path to the engines: through the entries or
 // direct.
 type PathResult struct {
-	Requests          int                `json:"requests"` // Requests that arrived after the warm-up.
-	Attempts          int                `json:"attempts"`
+	Requests          int                `json:"requests"` // Number of requests that arrived after the warm-up.
+	Attempts          int                `json:"attempts"` // Number of attempts of these requests, including retries.
 	Outcomes          map[Outcome]int    `json:"outcomes"`
-	Codes             map[string]int     `json:"codes,omitempty"`         // Final answers by result code.
-	RetriedCodes      map[string]int     `json:"retried_codes,omitempty"` // Attempts that were retried, by result code.
-	Examples          map[Outcome]string `json:"examples,omitempty"`
-	RequestsPerSecond float64            `json:"requests_per_s"` // Complete answers that ended within the measured period.
-	TokensPerSecond   float64            `json:"tokens_per_s"`   // Tokens of chats that ended within the measured period.
+	Codes             map[string]int     `json:"codes,omitempty"`         // Number of final answers by result code.
+	RetriedCodes      map[string]int     `json:"retried_codes,omitempty"` // Number of retried attempts by result code.
+	Examples          map[Outcome]string `json:"examples,omitempty"`      // Detail of the first failure of each outcome.
+	RequestsPerSecond float64            `json:"requests_per_s"`          // Rate of the complete answers that ended within the measured period.
+	TokensPerSecond   float64            `json:"tokens_per_s"`            // Rate of the tokens of the chats that ended within the measured period.
 	FirstToken        Quantiles          `json:"first_token"`
-	BetweenTokens     Quantiles          `json:"between_tokens"` // Time between two events divided by the tokens of the later one.
-	BetweenEvents     Quantiles          `json:"between_events"`
-	WholeChat         Quantiles          `json:"whole_chat"`
-	WholeCall         Quantiles          `json:"whole_call"`
-	StartDelay        Quantiles          `json:"start_late"` // Delay of the load generator itself.
+	BetweenTokens     Quantiles          `json:"between_tokens"` // Time between two events of a stream, divided by the number of tokens in the later one.
+	BetweenEvents     Quantiles          `json:"between_events"` // Time between two events of a stream.
+	WholeChat         Quantiles          `json:"whole_chat"`     // Total time of the completely answered chats.
+	WholeCall         Quantiles          `json:"whole_call"`     // Total time of the completely answered service calls.
+	StartDelay        Quantiles          `json:"start_late"`     // Time by which the load generator started a request later than intended.
 	Timeline          []Second           `json:"timeline"`
 }
 
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -27,7 +27,7 @@
 	directRecorder *recorder
 
 	start    time.Time
-	group    sync.WaitGroup
+	wg       sync.WaitGroup
 	inFlight atomic.Int64
 	totals   totals
 }
@@ -42,7 +42,7 @@
 	r := newRunner(options)
 	stop := r.startProgressReports(report)
 	r.generateArrivals(ctx)
-	r.group.Wait()
+	r.wg.Wait()
 	stop()
 	if err := context.Cause(ctx); err != nil && !errors.Is(err, context.Canceled) {
 		return Result{}, err
@@ -97,7 +97,7 @@
 		return
 	}
 	r.inFlight.Add(1)
-	r.group.Go(func() {
+	r.wg.Go(func() {
 		defer r.inFlight.Add(-1)
 		r.execute(ctx, &record)
 		r.finish(record, r.recorderOf(req))
--- a/ctl/load/timeline.go
+++ b/ctl/load/timeline.go
@@ -4,11 +4,11 @@
 
 // Second counts the requests whose intended start lies within one second.
 type Second struct {
-	Second          int     `json:"second"` // Offset from the start of the run.
+	Second          int     `json:"second"` // Start of the second, as an offset from the start of the run.
 	Arrived         int     `json:"arrived"`
 	Whole           int     `json:"whole"`
 	Refused         int     `json:"refused"`
-	Other           int     `json:"other"` // Neither complete nor refused.
+	Other           int     `json:"other"` // Requests that were neither answered completely nor refused.
 	Tokens          int     `json:"tokens"`
 	MaxFirstTokenMS float64 `json:"first_token_ms_max"`
 }
--- a/ctl/load/verify.go
+++ b/ctl/load/verify.go
@@ -30,7 +30,8 @@
 	return failuref(Wrong, "request %d: got %d bytes %.60q, want %d bytes %.60q", req.number, len(text), text, len(want), want)
 }
 
-// verifyCall checks that the answer of the stand-in service names this call.
+// verifyCall checks that the answer of the stand-in service, which repeats the call
+// that it executed, belongs to this request.
 func verifyCall(req request, answer []byte) *failure {
 	var run service.Run
 	if err := json.Unmarshal(answer, &run); err != nil {
--- a/ctl/load/workload.go
+++ b/ctl/load/workload.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Workload is the mix of requests.
+// Workload is the mix of streamed chats and service calls that a run sends.
 type Workload struct {
 	Model       string        `json:"model"`
-	MinTokens   int           `json:"min_tokens"` // Tokens of an answer are uniform from MinTokens to MaxTokens.
+	MinTokens   int           `json:"min_tokens"` // The number of tokens of an answer is uniformly distributed from MinTokens to MaxTokens.
 	MaxTokens   int           `json:"max_tokens"`
 	PromptWords int           `json:"prompt_words"` // Words in the part of a prompt that is unique to it.
 	Prefixes    int           `json:"prefixes"`     // Number of distinct prompt prefixes shared by requests.
@@ -18,11 +18,12 @@
 	Calls       []ServiceCall `json:"calls,omitempty"`
 }
 
-// ServiceCall is an operation of a plain service and its share of all requests.
+// ServiceCall is an operation of a plain service (one that is not a model) and the
+// fraction of all requests that call it.
 type ServiceCall struct {
 	Service   string  `json:"service"`
 	Operation string  `json:"operation"`
-	Share     float64 `json:"share"` // From 0 to 1.
+	Share     float64 `json:"share"` // Fraction of all requests, from 0 to 1.
 }
 
 // DefaultWorkload returns a mix of chats with a few service calls that the
@@ -79,8 +80,8 @@
 // the run.
 type request struct {
 	number    int
-	key       string
-	chat      bool
+	key       string // API key of the calling organisation.
+	chat      bool   // A chat; otherwise a call of a plain service.
 	text      string // Message of a chat or body of a call.
 	tokens    int    // Expected number of tokens in the answer of a chat.
 	service   string
--- a/ctl/report/deployment.go
+++ b/ctl/report/deployment.go
@@ -76,7 +76,7 @@
 	return table
 }
 
-// maxProcessRows limits the rows of the process table.
+// maxProcessRows is the maximum number of processes listed in the process table.
 const maxProcessRows = 40
 
 func processTable(addresses []string, last scrape) experiment.Table {
--- a/ctl/report/page.go
+++ b/ctl/report/page.go
@@ -21,7 +21,7 @@
 
 // Section is one report and its source.
 type Section struct {
-	Source string // File name or addresses of a deployment.
+	Source string // Name of the file that was read, or addresses of the processes that were scraped.
 	Report experiment.Report
 }
 
--- a/ctl/report/quantile.go
+++ b/ctl/report/quantile.go
@@ -16,7 +16,8 @@
 	return counts
 }
 
-// add adds the counts of the other histogram multiplied by sign.
+// add adds the counts of the other histogram, multiplied by sign. With -1 it
+// subtracts them.
 func (c bucketCounts) add(other bucketCounts, sign float64) {
 	for bound, count := range other {
 		c[bound] += sign * count
--- a/ctl/report/scrape.go
+++ b/ctl/report/scrape.go
@@ -14,7 +14,7 @@
 
 const (
 	scrapeTimeout        = 3 * time.Second
-	maxConcurrentScrapes = 32 // Limit of concurrent requests.
+	maxConcurrentScrapes = 32 // Maximum number of concurrent scrape requests.
 	metricPrefix         = "persimmonwind_"
 )
 
@@ -32,15 +32,15 @@
 func scrapeAll(ctx context.Context, addresses []string) scrape {
 	result := scrape{at: time.Now(), processes: make([]families, len(addresses)), errors: make([]error, len(addresses))}
 	limit := make(chan struct{}, maxConcurrentScrapes)
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for index, address := range addresses {
 		limit <- struct{}{}
-		group.Go(func() {
+		wg.Go(func() {
 			defer func() { <-limit }()
 			result.processes[index], result.errors[index] = scrapeOne(ctx, address)
 		})
 	}
-	group.Wait()
+	wg.Wait()
 	return result
 }
 
--- a/ctl/wholepath/path_test.go
+++ b/ctl/wholepath/path_test.go
@@ -101,16 +101,16 @@
 	if *profileDirectory == "" {
 		return func() {}
 	}
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, p := range []*process{s.entry, s.agents[0], s.engines[0]} {
-		group.Go(func() {
+		wg.Go(func() {
 			time.Sleep(profileDelay)
 			if err := p.saveProfile(*profileDirectory, int((*duration - profileDelay).Seconds())); err != nil {
 				b.Errorf("profile %s: %v", p.name, err)
 			}
 		})
 	}
-	return group.Wait
+	return wg.Wait
 }
 
 // usages returns the resources used so far by role; "client" is this process.
--- a/ctl/wholepath/system_test.go
+++ b/ctl/wholepath/system_test.go
@@ -248,11 +248,11 @@
 
 // stop stops every process, so that the next system of the same benchmark runs alone.
 func (s *system) stop() {
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, processes := range s.roles() {
 		for _, p := range processes {
-			group.Go(p.stop)
+			wg.Go(p.stop)
 		}
 	}
-	group.Wait()
+	wg.Wait()
 }
--- a/server/e2e/coldstart_test.go
+++ b/server/e2e/coldstart_test.go
@@ -50,31 +50,31 @@
 	}
 }
 
-// load is a set of callers at all entries, with counts of the outcomes.
-type load struct {
+// callerLoad is a set of callers at all entries, with counts of the outcomes.
+type callerLoad struct {
 	answered, refused, failed, incorrect atomic.Int64
 	stopped                              chan struct{}
-	group                                sync.WaitGroup
+	wg                                   sync.WaitGroup
 }
 
 // startLoad starts the given number of callers at each entry, each with one request
 // in flight.
-func (s *system) startLoad(callers int) *load {
-	l := &load{stopped: make(chan struct{})}
+func (s *system) startLoad(callers int) *callerLoad {
+	l := &callerLoad{stopped: make(chan struct{})}
 	for entry := range s.entries {
 		for caller := range callers {
-			l.group.Go(func() { l.callRepeatedly(s, entry, caller) })
+			l.wg.Go(func() { l.callRepeatedly(s, entry, caller) })
 		}
 	}
 	return l
 }
 
-func (l *load) stop() {
+func (l *callerLoad) stop() {
 	close(l.stopped)
-	l.group.Wait()
+	l.wg.Wait()
 }
 
-func (l *load) callRepeatedly(s *system, entry string, caller int) {
+func (l *callerLoad) callRepeatedly(s *system, entry string, caller int) {
 	for number := 0; ; number++ {
 		select {
 		case <-l.stopped:
@@ -87,7 +87,7 @@
 	}
 }
 
-func (l *load) count(status int, body, want string) {
+func (l *callerLoad) count(status int, body, want string) {
 	var answer struct {
 		Choices []struct{ Text string }
 	}
--- a/server/e2e/configuration_test.go
+++ b/server/e2e/configuration_test.go
@@ -58,10 +58,10 @@
 
 // takeOut takes out or returns a data centre through the entry and returns the
 // accepted revision.
-func (s *system) takeOut(entry, dataCentre string, out bool) uint64 {
+func (s *system) takeOut(entry, dataCentre string, takenOut bool) uint64 {
 	s.t.Helper()
 	suffix := adminapi.SuffixReturn
-	if out {
+	if takenOut {
 		suffix = adminapi.SuffixTakeOut
 	}
 	var accepted adminapi.Accepted
@@ -137,9 +137,9 @@
 	for round := range uint64(rounds) {
 		s.setStoreFaults(fault.Faults{LoseAnswers: int(round)})
 		statuses := make([]int, 4)
-		var group sync.WaitGroup
+		var wg sync.WaitGroup
 		for racer := range statuses {
-			group.Go(func() {
+			wg.Go(func() {
 				entry := fmt.Sprintf("entry-%d", 1+racer%2)
 				request := adminapi.ApplyRequest{
 					ID:    fmt.Sprintf("round-%d-racer-%d", round, racer),
@@ -148,7 +148,7 @@
 				statuses[racer] = s.callAdmin(entry, "boris-token", http.MethodPost, adminapi.PathApply, round+1, request, nil)
 			})
 		}
-		group.Wait()
+		wg.Wait()
 		won := 0
 		for racer, status := range statuses {
 			outcome := s.callAdmin("entry-1", "vera-token", http.MethodGet, fmt.Sprintf("%sround-%d-racer-%d", adminapi.PathApplies, round, racer), 0, nil, nil)
--- a/server/e2e/leaving_test.go
+++ b/server/e2e/leaving_test.go
@@ -31,7 +31,7 @@
 	refused       atomic.Int64
 	stopped       atomic.Bool
 	done          atomic.Int64
-	group         sync.WaitGroup
+	wg            sync.WaitGroup
 
 	mu     sync.Mutex
 	failed []string
@@ -40,7 +40,7 @@
 func startCallers(s *system, count int, retryRefusals bool) *callers {
 	c := &callers{system: s, retryRefusals: retryRefusals}
 	for caller := range count {
-		c.group.Go(func() { c.loop(caller) })
+		c.wg.Go(func() { c.loop(caller) })
 	}
 	return c
 }
@@ -149,7 +149,7 @@
 
 func (c *callers) stop() []string {
 	c.stopped.Store(true)
-	c.group.Wait()
+	c.wg.Wait()
 	return c.failed
 }
 
--- a/server/e2e/limits_test.go
+++ b/server/e2e/limits_test.go
@@ -77,16 +77,16 @@
 	s.addEntry("entry-2", "dc-2")           // One of the two is the organisation's home.
 	time.Sleep(share.SlotTTL + time.Second) // Slots leased by an earlier home have expired.
 	var limited atomic.Int64
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for number := range burst {
 		entry := fmt.Sprintf("entry-%d", number%2+1)
-		group.Go(func() {
+		wg.Go(func() {
 			if status, _ := s.post(entry, "/v1/services/registry/lookup", "{}"); status == http.StatusTooManyRequests {
 				limited.Add(1)
 			}
 		})
 	}
-	group.Wait()
+	wg.Wait()
 	if limited.Load() > 0 {
 		t.Errorf("%d of %d requests were limited", limited.Load(), burst)
 	}
--- a/server/e2e/once_test.go
+++ b/server/e2e/once_test.go
@@ -19,8 +19,8 @@
 	"persimmonwind.dev/server/standin/store"
 )
 
-// queueTime is the time within which a request reaches the agent's queue.
-const queueTime = 600 * time.Millisecond
+// queueingTime is the time within which a request reaches the agent's queue.
+const queueingTime = 600 * time.Millisecond
 
 // pauseTime exceeds the time after which an entry gives up on an unresponsive agent.
 const pauseTime = 4 * time.Second
@@ -134,9 +134,9 @@
 
 func (s *system) injectStoreFaults(faults fault.Faults) { s.put(s.storeURL+"/faults", faults) }
 
-// startRun sends a certification and returns once it runs. It repeats the request
+// stampUntilRunning sends a certification and returns once it runs. It repeats the request
 // while the agents refuse it, as they do for some time after an outage of the store.
-func (s *system) startRun(entry, key, body string) <-chan reply {
+func (s *system) stampUntilRunning(entry, key, body string) <-chan reply {
 	s.t.Helper()
 	answered := make(chan reply, 1)
 	refused := s.stampAsync(entry, key, body)
@@ -212,7 +212,7 @@
 		})
 
 		Convey("an outage after the start loses no answer of the run", func() {
-			answered := s.startRun("entry-1", "after", `"after"`)
+			answered := s.stampUntilRunning("entry-1", "after", `"after"`)
 			s.injectStoreFaults(fault.Faults{Down: true})
 			first := <-answered
 			So(first.status, ShouldEqual, http.StatusOK)
@@ -223,7 +223,7 @@
 		})
 
 		Convey("a repeat at another entry after the first was killed gets the answer of the only run", func() {
-			answered := s.startRun("entry-1", "killed", `"killed"`)
+			answered := s.stampUntilRunning("entry-1", "killed", `"killed"`)
 			s.entries["entry-1"].kill()
 			So((<-answered).status, ShouldEqual, 0)
 			again := s.stamp("entry-2", "killed", `"killed"`)
@@ -233,7 +233,7 @@
 		})
 
 		Convey("an agent killed during the run leaves the outcome unknown", func() {
-			answered := s.startRun("entry-2", "lost", `"lost"`)
+			answered := s.stampUntilRunning("entry-2", "lost", `"lost"`)
 			s.agents["certifications-1"].kill()
 			s.startAgent("certifications-1", "dc-1", "service")
 			So((<-answered).code(), ShouldEqual, "outcome_unknown")
@@ -242,7 +242,7 @@
 		})
 
 		Convey("an agent that leaves during an outage stores its answer first", func() {
-			answered := s.startRun("entry-2", "leaving", `"leaving"`)
+			answered := s.stampUntilRunning("entry-2", "leaving", `"leaving"`)
 			s.injectStoreFaults(fault.Faults{Down: true})
 			first := <-answered
 			So(first.status, ShouldEqual, http.StatusOK)
@@ -261,9 +261,9 @@
 
 	Convey("Given an agent that is paused while work waits in its queue", t, func() {
 		Convey("a repeat that another entry refuses as not run is not run by the resumed agent", func() {
-			occupied := s.startRun("entry-1", "occupant-1", `"occupant-1"`)
+			occupied := s.stampUntilRunning("entry-1", "occupant-1", `"occupant-1"`)
 			waiting := s.stampAsync("entry-1", "trap", `"trap"`)
-			time.Sleep(queueTime)
+			time.Sleep(queueingTime)
 			agent.signal(syscall.SIGSTOP)
 			refused := s.stamp("entry-2", "trap", `"trap"`)
 			agent.signal(syscall.SIGCONT)
@@ -276,7 +276,7 @@
 		})
 
 		Convey("a run that outlasts a pause of its agent is answered", func() {
-			waiting := s.startRun("entry-1", "paused", `"paused"`)
+			waiting := s.stampUntilRunning("entry-1", "paused", `"paused"`)
 			agent.signal(syscall.SIGSTOP)
 			time.Sleep(pauseTime)
 			agent.signal(syscall.SIGCONT)
@@ -290,9 +290,9 @@
 			s.addBackend("certifications-2", "dc-2", "service")
 			other := s.agents["certifications-2"]
 			other.signal(syscall.SIGSTOP)
-			occupied := s.startRun("entry-1", "occupant-2", `"occupant-2"`)
+			occupied := s.stampUntilRunning("entry-1", "occupant-2", `"occupant-2"`)
 			waiting := s.stampAsync("entry-1", "moved", `"moved"`)
-			time.Sleep(queueTime)
+			time.Sleep(queueingTime)
 			other.signal(syscall.SIGCONT)
 			agent.signal(syscall.SIGSTOP)
 			moved := <-waiting
--- a/server/e2e/retries_test.go
+++ b/server/e2e/retries_test.go
@@ -45,6 +45,6 @@
 }
 
 // finished returns the number of requests that have ended, whatever their outcome.
-func (l *load) finished() int64 {
+func (l *callerLoad) finished() int64 {
 	return l.answered.Load() + l.refused.Load() + l.failed.Load() + l.incorrect.Load()
 }
--- a/server/soak/callers_test.go
+++ b/server/soak/callers_test.go
@@ -200,15 +200,15 @@
 	}
 }
 
-// checkLedger checks the runs at the backend servers once all attempts have ended:
+// checkExecutions checks the runs at the backend servers once all attempts have ended:
 // no request that must not be repeated ran twice, no refused request ran, no request
 // ran at more than two servers, and all ranks used the same map in each pass.
-func (c *checker) checkLedger() {
+func (c *checker) checkExecutions() {
 	byID := map[string]*attempt{}
 	for i := range c.attempts {
 		byID[c.attempts[i].id] = &c.attempts[i]
 	}
-	c.d.ledger.Each(func(id string, runs []platformtest.Execution) {
+	c.d.executionLog.Each(func(id string, runs []platformtest.Execution) {
 		a := byID[id]
 		if a == nil {
 			return // A request of checkConfiguration, or of a caller that was stopped.
--- a/server/soak/deployment_test.go
+++ b/server/soak/deployment_test.go
@@ -54,14 +54,14 @@
 
 // deployment is the store, the backend servers and the system's processes.
 type deployment struct {
-	t        *testing.T
-	dir      string
-	network  string // First three octets of every address.
-	store    *platformtest.Store
-	group    *platformtest.Group
-	ledger   *platformtest.ExecutionLog
-	backends []*backend
-	machines []*machine // Entries first.
+	t             *testing.T
+	dir           string
+	networkPrefix string // First three octets of every address.
+	store         *platformtest.Store
+	group         *platformtest.Group
+	executionLog  *platformtest.ExecutionLog
+	backends      []*backend
+	machines      []*machine // Entries first.
 
 	mu         sync.Mutex
 	version    int64
@@ -79,8 +79,8 @@
 // newDeployment starts a deployment on loopback addresses of its own.
 func newDeployment(t *testing.T, seed uint64, number int) *deployment {
 	d := &deployment{
-		t: t, dir: t.TempDir(), network: fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, number%250+1),
-		store: platformtest.NewStore(), group: platformtest.NewGroup(shape, seed), ledger: platformtest.NewExecutionLog(),
+		t: t, dir: t.TempDir(), networkPrefix: fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, number%250+1),
+		store: platformtest.NewStore(), group: platformtest.NewGroup(shape, seed), executionLog: platformtest.NewExecutionLog(),
 	}
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
@@ -109,7 +109,7 @@
 }
 
 func (d *deployment) address(host, port int) string {
-	return fmt.Sprintf("%s.%d:%d", d.network, host, port)
+	return fmt.Sprintf("%s.%d:%d", d.networkPrefix, host, port)
 }
 
 func (d *deployment) serve(address string, handler http.Handler) {
@@ -123,7 +123,7 @@
 }
 
 func (d *deployment) addBackend(i int, id string) {
-	b := &backend{server: &platformtest.Server{ID: id, Slots: slots, ExecutionLog: d.ledger}, service: platformtest.PlainService, zone: fmt.Sprint("dc-", i%2)}
+	b := &backend{server: &platformtest.Server{ID: id, Slots: slots, ExecutionLog: d.executionLog}, service: platformtest.PlainService, zone: fmt.Sprint("dc-", i%2)}
 	if i < ranks {
 		b.server.Group, b.server.Rank, b.service = d.group, i, platformtest.EngineService
 	}
@@ -156,7 +156,7 @@
 }
 
 func (d *deployment) addMachine(name, role string, host int, backendServer *backend) {
-	m := &machine{name: name, role: role, ip: fmt.Sprintf("%s.%d", d.network, host)}
+	m := &machine{name: name, role: role, ip: fmt.Sprintf("%s.%d", d.networkPrefix, host)}
 	m.storeLink = newProxy(d.t, d.address(host, platformtest.StorePort), d.address(250, platformtest.StorePort))
 	settings := platformtest.Machine{Name: name, Zone: "dc-0", IP: m.ip, Store: m.storeLink.listener.Addr().String()}
 	if backendServer != nil {
@@ -218,11 +218,11 @@
 // kill kills the process, even if it is suspended, and waits for its exit.
 func (m *machine) kill() {
 	m.signal(syscall.SIGKILL)
-	<-m.done()
+	<-m.exitedChannel()
 }
 
-// done returns a channel that is closed once the current process has exited.
-func (m *machine) done() <-chan struct{} {
+// exitedChannel returns a channel that is closed once the current process has exited.
+func (m *machine) exitedChannel() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.exited
@@ -232,7 +232,7 @@
 // did.
 func (m *machine) awaitExit() bool {
 	select {
-	case <-m.done():
+	case <-m.exitedChannel():
 		return true
 	case <-time.After(exitLimit):
 		return false
--- a/server/soak/soak_test.go
+++ b/server/soak/soak_test.go
@@ -73,7 +73,7 @@
 	passAfter := d.pass()
 	stop()
 	running.Wait()
-	c.checkLedger()
+	c.checkExecutions()
 	c.checkRecovery(recoveredAt)
 	if passAfter == passBefore {
 		c.report("the group runs no passes after all faults have ended")
@@ -265,9 +265,9 @@
 func (f *faultInjector) drain(_ *machine, period time.Duration) {
 	b := f.d.backends[ranks+f.random.IntN(plainServers-1)]
 	f.d.putServer(b, true)
-	left := time.Now()
+	markedAt := time.Now()
 	f.endAfter(drainLimit+period, func() {
-		f.c.checkDrained(b, left, time.Now())
+		f.c.checkDrained(b, markedAt, time.Now())
 		f.d.putServer(b, false)
 	})
 }
@@ -275,14 +275,14 @@
 // checkDrained checks that entries sent the server no new request later than
 // drainLimit after it was marked as leaving. It checks nothing if there was a fault
 // between settleTime before the mark and the return, as entries may then lag behind.
-func (c *checker) checkDrained(b *backend, left, returned time.Time) {
-	if c.d.faultBetween(left.Add(-settleTime), returned, func(*machine) bool { return true }) {
+func (c *checker) checkDrained(b *backend, markedAt, returnedAt time.Time) {
+	if c.d.faultBetween(markedAt.Add(-settleTime), returnedAt, func(*machine) bool { return true }) {
 		return
 	}
-	c.d.ledger.Each(func(id string, runs []platformtest.Execution) {
+	c.d.executionLog.Each(func(id string, runs []platformtest.Execution) {
 		for _, run := range runs {
-			if run.Server == b.server.ID && run.At.After(left.Add(drainLimit)) && run.At.Before(returned) {
-				c.report("%s: ran at %s %v after it was marked as leaving", id, run.Server, run.At.Sub(left))
+			if run.Server == b.server.ID && run.At.After(markedAt.Add(drainLimit)) && run.At.Before(returnedAt) {
+				c.report("%s: ran at %s %v after it was marked as leaving", id, run.Server, run.At.Sub(markedAt))
 			}
 		}
 	})
