--- a/ctl/wholepath/path_test.go
+++ b/ctl/wholepath/path_test.go
@@ -113,7 +113,8 @@
 	return wg.Wait
 }
 
-// usages returns the resources used so far by role; "client" is this process.
+// usages returns the resources that all processes of each role have used so far. The
+// role "client" is the benchmark's own process, which generates the load.
 func usages(b *testing.B, s *system) map[string]usage {
 	b.Helper()
 	sums := map[string]usage{"client": usageOf(b, os.Getpid())}
--- a/ctl/wholepath/processes_test.go
+++ b/ctl/wholepath/processes_test.go
@@ -20,10 +20,10 @@
 	readyTimeout = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
 	stopTimeout  = 5 * time.Second // Longer than an idle process takes to exit.
-	clockTicks   = 100             // Per second, in /proc/PID/stat.
+	clockTicks   = 100             // Clock ticks per second, the unit of processor times in /proc/PID/stat.
 )
 
-// buildBinary builds persimmonwind once for the benchmark.
+// buildBinary builds the persimmonwind binary and returns its path.
 func buildBinary(b *testing.B) string {
 	b.Helper()
 	path := filepath.Join(b.TempDir(), "persimmonwind")
@@ -74,7 +74,7 @@
 // usage is the resources that a process has used since its start.
 type usage struct {
 	cpu      time.Duration
-	bytes    int64 // Read and written by system calls, including sockets.
+	bytes    int64 // Bytes read and written by system calls, including those on sockets.
 	resident int64 // Current resident memory in bytes.
 }
 
--- a/ctl/wholepath/slopes_test.go
+++ b/ctl/wholepath/slopes_test.go
@@ -15,15 +15,15 @@
 const (
 	settleTime        = 4 * time.Second
 	measureTime       = 10 * time.Second
-	streamArrivalTime = 4 * time.Second // Time in which the streams arrive.
+	streamArrivalTime = 4 * time.Second // Time within which all streams are opened.
 	streamSettleTime  = 2 * time.Second
 	streamTokenTime   = 500 * time.Millisecond
 	streamTokens      = 24
-	tokensPerEvent    = 16 // An answer of so many tokens is one event.
+	tokensPerEvent    = 16 // Number of tokens that a stand-in engine sends in one event of a stream.
 )
 
-// BenchmarkRest measures the resources that the entry and the agent use without callers,
-// for several sizes of the configuration.
+// BenchmarkRest measures the resources that the entry and the agent use while they are
+// idle, without callers, for several sizes of the configuration.
 func BenchmarkRest(b *testing.B) {
 	sizes := []systemSize{
 		{engines: 1, organisations: 10}, {engines: 1, organisations: 5000}, {engines: 1, organisations: 15000},
@@ -163,7 +163,8 @@
 }
 
 // BenchmarkKeyedCalls measures the reads and writes of the table service per
-// non-idempotent call.
+// non-idempotent call. Such a call has an idempotency key, under which the system
+// stores the state of the call in the table service.
 func BenchmarkKeyedCalls(b *testing.B) {
 	for range b.N {
 		fmt.Printf("\n%10s %8s %14s %15s %12s\n", "calls/s", "calls", "reads a call", "writes a call", "p50 ms")
--- a/ctl/wholepath/system_test.go
+++ b/ctl/wholepath/system_test.go
@@ -37,10 +37,10 @@
 // systemSize gives the numbers of backend servers and organisations in the
 // configuration of a system.
 type systemSize struct {
-	engines       int // Running, each with its agent.
-	services      int // Running plain services, each with its agent.
-	idleServers   int // Not running; only in the configuration and the instance list.
-	organisations int
+	engines       int // Number of stand-in engines, each running with its agent.
+	services      int // Number of stand-in plain services, each running with its agent.
+	idleServers   int // Number of backend servers that are in the configuration and the instance list but do not run.
+	organisations int // Number of organisations; 0 means 1.
 }
 
 // system is one entry, some agents with their engines, and the store.
@@ -241,7 +241,7 @@
 	return path
 }
 
-// roles returns the processes by role.
+// roles returns the running processes, grouped by role.
 func (s *system) roles() map[string][]*process {
 	return map[string][]*process{"entry": {s.entry}, "agent": s.agents, "engine": s.engines, "service": s.services, "store": {s.store}}
 }
--- a/server/e2e/buffer_test.go
+++ b/server/e2e/buffer_test.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// lockedBuffer collects the log of a process; a test may read it meanwhile.
+// lockedBuffer collects the log of a process. A test may read it while the process
+// still writes.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
--- a/server/e2e/configuration_test.go
+++ b/server/e2e/configuration_test.go
@@ -96,7 +96,7 @@
 
 func (s *system) setStoreFaults(faults fault.Faults) { s.put(s.storeURL+"/faults", faults) }
 
-// readCount returns a counter of a stand-in backend server.
+// readCount returns the counter that a stand-in backend server serves at the path.
 func (s *system) readCount(server, path string) int {
 	s.t.Helper()
 	response, err := http.Get(s.backendURLs[server] + path)
@@ -125,7 +125,7 @@
 	return s
 }
 
-// TestRacingOperators sends concurrent changes against one revision through two entries
+// TestRacingOperators sends concurrent changes of the same revision through two entries
 // while the store loses responses. It guards against a lost update and against a
 // response that differs from the outcome: exactly one change per round is accepted.
 func TestRacingOperators(t *testing.T) {
@@ -175,7 +175,8 @@
 	}
 }
 
-// TestFileByPut applies one configuration file sent as the body of a PUT request.
+// TestFileByPut sends one configuration file as the body of PUT requests. It checks the
+// requirements on the If-Match header, the operator's permission and the file.
 func TestFileByPut(t *testing.T) {
 	s := newSystem(t)
 	s.addEntry("entry-1", "dc-1")
--- a/server/e2e/data_centre_test.go
+++ b/server/e2e/data_centre_test.go
@@ -13,7 +13,7 @@
 
 const (
 	dataCentreCallers = 7
-	phaseAnswers      = 48 // Answers to wait for in each phase.
+	phaseAnswers      = 48 // Number of answers to wait for in each phase of the test.
 	// takeOutBound is the time after which a data centre that was taken out must get no
 	// new work.
 	takeOutBound = 5 * time.Second
@@ -29,8 +29,9 @@
 	response.Body.Close()
 }
 
-// newSmallEngineSystem is like newThreeDataCentreSystem, with engines of such low limits
-// that two of them just suffice for the callers.
+// newSmallEngineSystem starts an engine with its agent in each of three data centres,
+// and entries in the first two. The limits of the engines are so low that two engines
+// just suffice for the callers.
 func newSmallEngineSystem(t *testing.T) *system {
 	s := newSystem(t)
 	files, err := dev.ReadFiles("")
--- a/server/e2e/expertmap_test.go
+++ b/server/e2e/expertmap_test.go
@@ -19,12 +19,15 @@
 
 const groupRanks = 4
 
-// group is a system with one group of ranks.
+// group is a system with one group of ranks, which run one model together. Each rank is
+// an engine with its own agent. The expert map says which experts each rank holds.
 type group struct {
 	*system
 	url string // Base URL of the stand-in ranks.
 }
 
+// newGroup starts a store, one entry, the stand-in ranks with the given options, and the
+// agent of each rank.
 func newGroup(t *testing.T, options ...string) *group {
 	s := newSystem(t)
 	s.apply(config.Files{config.FileBackendServers: []byte(groupServers())})
@@ -51,6 +54,8 @@
 	return `{"backend_servers": [` + strings.Join(servers, ",") + `]}`
 }
 
+// oracle returns what the stand-in ranks have observed, such as the steps in which ranks
+// used different maps.
 func (g *group) oracle() ranks.Oracle {
 	g.t.Helper()
 	response, err := http.Get(g.url + "/test/oracle")
--- a/server/e2e/hostile_test.go
+++ b/server/e2e/hostile_test.go
@@ -26,7 +26,8 @@
 	oversizedHeaderBytes = 1 << 20
 )
 
-// runs returns the runs recorded by a stand-in service.
+// runs returns the calls that a stand-in service has executed; it records each execution
+// as a run.
 func (s *system) runs(name string) []service.Run {
 	s.t.Helper()
 	response, err := http.Get(s.backendURLs[name] + "/runs")
--- a/server/e2e/leaving_test.go
+++ b/server/e2e/leaving_test.go
@@ -27,14 +27,14 @@
 // those that were not answered completely.
 type callers struct {
 	system        *system
-	retryRefusals bool // Retry after a refusal that has not_run set and a retry delay.
-	refused       atomic.Int64
+	retryRefusals bool         // Retry a chat after a refusal which states that the work was not run and gives a retry delay.
+	refused       atomic.Int64 // Number of refusals that were retried.
 	stopped       atomic.Bool
-	done          atomic.Int64
+	done          atomic.Int64 // Number of chats that have ended, completely answered or not.
 	wg            sync.WaitGroup
 
 	mu     sync.Mutex
-	failed []string
+	failed []string // Description of each chat that was not answered completely.
 }
 
 func startCallers(s *system, count int, retryRefusals bool) *callers {
@@ -76,8 +76,8 @@
 
 func (e *refusedError) Error() string { return fmt.Sprintf("refused: %+v", e.detail) }
 
-// readyEntry acts as the load balancer in front of the entries: it returns the URL of
-// a ready one.
+// readyEntry returns the URL of a ready entry, as a load balancer in front of the entries
+// would choose it. It starts its search at entry number start.
 func (c *callers) readyEntry(start int) string {
 	names := []string{"entry-1", "entry-2"}
 	for {
--- a/server/e2e/once_test.go
+++ b/server/e2e/once_test.go
@@ -19,7 +19,7 @@
 	"persimmonwind.dev/server/standin/store"
 )
 
-// queueingTime is the time within which a request reaches the agent's queue.
+// queueingTime is how long a test waits for a request to reach the agent's queue.
 const queueingTime = 600 * time.Millisecond
 
 // pauseTime exceeds the time after which an entry gives up on an unresponsive agent.
@@ -32,7 +32,10 @@
 	completion     = `{"model":"soap-assistant","prompt":"count","max_tokens":2}`
 )
 
-// keyedServers has two backend servers that each run one certification at a time.
+// keyedServers is a configuration file with two backend servers of the service
+// "certifications", each of which executes one call at a time, one of the service
+// "registry" and one engine. Calls of "certifications" are not idempotent: the system
+// executes a call at most once per idempotency key. Calls of "registry" are idempotent.
 const keyedServers = `{"backend_servers": [
 	{"name": "certifications-1", "data_centre": "dc-1", "service": "certifications", "full_limit": 1, "cold_limit": 1},
 	{"name": "certifications-2", "data_centre": "dc-2", "service": "certifications", "full_limit": 1, "cold_limit": 1},
@@ -57,7 +60,8 @@
 	return refusal.Error.Code
 }
 
-// newKeyedSystem starts a system with one certification backend server and two entries.
+// newKeyedSystem starts a system with two entries and one backend server of the service
+// "certifications", which takes workTime for each call.
 func newKeyedSystem(t *testing.T, workTime time.Duration) *system {
 	s := newSystem(t)
 	files, err := dev.ReadFiles("")
@@ -72,6 +76,9 @@
 	return s
 }
 
+// stamp sends a call of the operation "stamp" of the service "certifications", which is
+// not idempotent, and returns the reply. The call has an idempotency key unless key is
+// empty.
 func (s *system) stamp(entry, key, body string) reply {
 	var headers []string
 	if key != "" {
@@ -81,8 +88,9 @@
 	return reply{status: status, body: answer}
 }
 
-// stampAsync sends a certification and returns a channel for its reply, which is zero
-// if the connection to the entry breaks.
+// stampAsync sends a non-idempotent call of the service "certifications" with an
+// idempotency key. It returns a channel for the reply, which is zero if the connection to
+// the entry breaks.
 func (s *system) stampAsync(entry, key, body string) <-chan reply {
 	answered := make(chan reply, 1)
 	request, err := http.NewRequest(http.MethodPost, s.callers[entry]+stampPath, strings.NewReader(body))
@@ -104,7 +112,8 @@
 	return answered
 }
 
-// countRuns returns the number of runs with the body at all backend servers.
+// countRuns returns how many times the backend servers together have executed a call
+// with the body. The stand-in services record each execution as a run.
 func (s *system) countRuns(body string) int {
 	s.t.Helper()
 	count := 0
@@ -134,8 +143,10 @@
 
 func (s *system) injectStoreFaults(faults fault.Faults) { s.put(s.storeURL+"/faults", faults) }
 
-// stampUntilRunning sends a certification and returns once it runs. It repeats the request
-// while the agents refuse it, as they do for some time after an outage of the store.
+// stampUntilRunning sends a non-idempotent call of the service "certifications" and
+// returns once a backend server executes it. It repeats the call while the agents refuse
+// it, as they do for some time after an outage of the store. The returned channel
+// receives the reply.
 func (s *system) stampUntilRunning(entry, key, body string) <-chan reply {
 	s.t.Helper()
 	answered := make(chan reply, 1)
@@ -161,7 +172,8 @@
 	return refused
 }
 
-// stampUntilOK repeats a certification until it returns status 200.
+// stampUntilOK repeats a non-idempotent call of the service "certifications", with the
+// same idempotency key, until it returns status 200.
 func (s *system) stampUntilOK(entry, key, body string) {
 	s.t.Helper()
 	s.await("answer to "+body, func() bool { return s.stamp(entry, key, body).status == http.StatusOK })
@@ -310,7 +322,8 @@
 }
 
 // TestTableRequestsOfKeyedWork checks how many reads and writes of the table service a
-// call costs. The reads include the polling of the processes.
+// call with an idempotency key costs, and that an idempotent call costs no write. The
+// reads include the polling by the processes.
 func TestTableRequestsOfKeyedWork(t *testing.T) {
 	const calls = 20
 	s := newKeyedSystem(t, time.Millisecond)
--- a/server/e2e/processes_test.go
+++ b/server/e2e/processes_test.go
@@ -41,7 +41,8 @@
 	os.Exit(program.Run(m, &binary))
 }
 
-// operators may use the administration API of every entry.
+// operators are the operators that every entry accepts at its administration API, one
+// for each role.
 var operators = []adminapi.Operator{
 	{Name: "anna", TokenSHA256: config.Digest([]byte("anna-token")), Role: adminapi.RoleAdministrator},
 	{Name: "boris", TokenSHA256: config.Digest([]byte("boris-token")), Role: adminapi.RoleOperator},
@@ -113,18 +114,19 @@
 	storeURL    string
 	Store       *process
 	entries     map[string]*process
-	agents      map[string]*process // By backend server.
-	backends    map[string]*process // By backend server.
-	callers     map[string]string   // By entry: base URL for callers.
-	admin       map[string]string   // By entry: base URL for operators.
-	backendURLs map[string]string   // By backend server: its base URL.
-	traffic     map[string]string   // By backend server: traffic address of its agent.
+	agents      map[string]*process // Agents, by the name of their backend server.
+	backends    map[string]*process // Stand-in backend servers, by name.
+	callers     map[string]string   // Base URLs of the entries for callers, by the ID of the entry.
+	admin       map[string]string   // Base URLs of the entries for operators, by the ID of the entry.
+	backendURLs map[string]string   // Base URLs of the backend servers, by name.
+	traffic     map[string]string   // Addresses at which the agents accept work, by the name of their backend server.
 	transport   *http.Transport
 	keys        keys.Files
 	peers       []string // Control addresses of the entries.
 }
 
-// newSystem starts only a store, with the embedded development configuration.
+// newSystem starts a system that has only a store with the embedded development
+// configuration; addBackend and addEntry start the other processes.
 func newSystem(t *testing.T) *system {
 	s := &system{
 		t: t, transport: httpapi.NewTransport(),
@@ -162,8 +164,8 @@
 	}
 }
 
-// addBackend starts a stand-in backend server of the kind and its agent, and waits
-// until the agent is ready.
+// addBackend starts a stand-in backend server, which is an "engine" or a "service"
+// according to kind, and its agent. It waits until the agent is ready.
 func (s *system) addBackend(name, dataCentre, kind string, options ...string) {
 	s.t.Helper()
 	address := freeAddress(s.t)
--- a/server/soak/callers_test.go
+++ b/server/soak/callers_test.go
@@ -23,13 +23,15 @@
 	// settleTime is how long a process must have been free of faults before rules
 	// with a time limit apply to it.
 	settleTime = 3 * time.Second
-	// applyLimit is the time within which a new configuration takes effect,
-	// drainLimit the time after which a leaving server gets no new requests.
+	// applyLimit is the time within which a new configuration must take effect.
 	applyLimit = 2 * time.Second
+	// drainLimit is the time after which a backend server that is marked as leaving
+	// must get no new requests.
 	drainLimit = 2 * time.Second
 )
 
-// attempt is one request and its outcome as seen by the caller.
+// attempt is one request, which the caller sends only once, and its outcome as seen by
+// the caller.
 type attempt struct {
 	id       string
 	path     string
@@ -42,13 +44,13 @@
 	failure  string
 }
 
-// checker records the outcomes that callers see and the violations found in them
-// and in the ledger of the backend servers.
+// checker records the outcomes that callers see, and the violations of guarantees
+// found in them and in the execution log of the backend servers.
 type checker struct {
 	d        *deployment
 	mu       sync.Mutex
 	attempts []attempt
-	violated []string // One text for each violated guarantee.
+	violated []string // Descriptions of the violations found.
 	sent     atomic.Int64
 }
 
@@ -200,9 +202,11 @@
 	}
 }
 
-// checkExecutions checks the runs at the backend servers once all attempts have ended:
-// no request that must not be repeated ran twice, no refused request ran, no request
-// ran at more than two servers, and all ranks used the same map in each pass.
+// checkExecutions checks the execution log of the backend servers once all attempts
+// have ended: no non-idempotent request was executed twice, no refused request was
+// executed unless it is idempotent, and no request was executed more than twice. It also
+// checks that all ranks of the group used the same expert map in each pass, a step of
+// the model that the ranks run in lockstep.
 func (c *checker) checkExecutions() {
 	byID := map[string]*attempt{}
 	for i := range c.attempts {
--- a/server/soak/deployment_test.go
+++ b/server/soak/deployment_test.go
@@ -22,16 +22,17 @@
 	ranks        = 4
 	plainServers = 3
 	serverPort   = 9000 // Port of a backend server itself.
-	linkPort     = 9100 // Port of the proxy under which a backend server is listed.
+	linkPort     = 9100 // Port of the proxy in front of a backend server, which is the address in the server's row.
 	slots        = 12
-	// exitLimit is the grace period plus the time a process needs to exit.
+	// exitLimit is the maximum time from SIGTERM to the exit of a process: its grace period
+	// plus the time that it needs to exit.
 	exitLimit = 10 * time.Second
 )
 
 var shape = platformtest.Shape{Ranks: ranks, Sets: 2, Experts: 16, Places: 6}
 
-// machine runs one process of the system at its own IP address, with its own link to
-// the store.
+// machine runs one process of the system, an entry or an agent, at its own IP address
+// and with its own proxy to the store, as if the process had a machine to itself.
 type machine struct {
 	name, role, ip   string
 	settingsVariable string // Environment variable that names the settings file, as name=value.
@@ -43,7 +44,8 @@
 	exited  chan struct{}
 }
 
-// backend is a backend server with the proxy under whose address it is listed.
+// backend is a backend server with the proxy in front of it. The store lists the
+// server under the address of the proxy.
 type backend struct {
 	server  *platformtest.Server
 	service string
@@ -61,7 +63,7 @@
 	group         *platformtest.Group
 	executionLog  *platformtest.ExecutionLog
 	backends      []*backend
-	machines      []*machine // Entries first.
+	machines      []*machine // The entries, followed by the agents.
 
 	mu         sync.Mutex
 	version    int64
@@ -70,7 +72,7 @@
 	faults     []fault
 }
 
-// fault is a fault of a process or a link and its period.
+// fault is the period of a fault of a process or a link.
 type fault struct {
 	machine     *machine // Nil for the link of a backend server.
 	from, until time.Time
@@ -239,8 +241,8 @@
 	}
 }
 
-// fault records that there is a fault of the process or its link, or of a backend server's
-// link if m is nil, that starts now and has the given length.
+// fault records a fault that starts now and lasts for the period. It is a fault of the
+// process or its link to the store, or of the link of a backend server if m is nil.
 func (d *deployment) fault(m *machine, period time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
--- a/server/soak/proxy_test.go
+++ b/server/soak/proxy_test.go
@@ -12,11 +12,11 @@
 type linkMode int
 
 const (
-	passBytes linkMode = iota
-	delayBytes
-	resetConnections // Resets open and new connections.
-	dropBoth         // Connections stay open; bytes are dropped in both directions.
-	dropAnswers      // Bytes reach the target; its responses are dropped.
+	passBytes        linkMode = iota // Forward all bytes.
+	delayBytes                       // Delay all bytes by linkDelay.
+	resetConnections                 // Reset open and new connections.
+	dropBoth                         // Keep connections open, but drop bytes in both directions.
+	dropAnswers                      // Forward bytes to the target, but drop its responses.
 )
 
 const linkDelay = 150 * time.Millisecond
@@ -33,9 +33,10 @@
 	links map[*link]bool
 }
 
+// link is one connection that a proxy forwards.
 type link struct {
 	caller, target net.Conn
-	dropped        [2]bool // By direction: index 0 is towards the target, 1 towards the caller.
+	dropped        [2]bool // Whether bytes towards the target (index 0) and towards the caller (index 1) are dropped.
 }
 
 func newProxy(t *testing.T, address, target string) *proxy {
--- a/server/soak/soak_test.go
+++ b/server/soak/soak_test.go
@@ -92,6 +92,8 @@
 	}
 }
 
+// pass returns the number of the last pass of the group. A pass is a step of the model
+// that all ranks run in lockstep.
 func (d *deployment) pass() int64 {
 	_, pass := d.group.Version()
 	return pass
@@ -210,7 +212,7 @@
 	}
 }
 
-// hangup sends SIGHUP to a process.
+// hangup sends SIGHUP to a process, which must not disturb it.
 func (f *faultInjector) hangup(m *machine, _ time.Duration) { m.signal(syscall.SIGHUP) }
 
 // disturbStoreLink disturbs the link between a process and the store.
@@ -261,7 +263,8 @@
 	}
 }
 
-// drain marks a plain backend server as leaving, and later as serving again.
+// drain marks the backend server of a plain service as leaving, and later as serving
+// again.
 func (f *faultInjector) drain(_ *machine, period time.Duration) {
 	b := f.d.backends[ranks+f.random.IntN(plainServers-1)]
 	f.d.putServer(b, true)
@@ -297,12 +300,13 @@
 // loseHistory makes the store drop its history of changes.
 func (f *faultInjector) loseHistory(*machine, time.Duration) { f.d.store.DropHistory() }
 
-// loseOrders makes the engines leave 30 % of the orders unanswered and execute them
-// late.
+// loseOrders makes the engines leave 30 % of the agents' orders about the expert map
+// unanswered and execute them late.
 func (f *faultInjector) loseOrders(_ *machine, period time.Duration) {
 	f.d.group.DelayOrders(0.3)
 	f.endAfter(period, func() { f.d.group.DelayOrders(0) })
 }
 
-// reformGroup starts a new epoch of the group, as after the crash of a rank.
+// reformGroup starts a new epoch of the group, as after the crash of a rank: all ranks
+// lose their expert maps.
 func (f *faultInjector) reformGroup(*machine, time.Duration) { f.d.group.StartEpoch() }
