--- a/ctl/adminclient/adminclient.go
+++ b/ctl/adminclient/adminclient.go
@@ -62,9 +62,9 @@
 type request struct {
 	method   string
 	path     string
-	body     any    // Sent as JSON if not nil.
-	revision uint64 // Sent in the If-Match header if ifMatch is set.
-	ifMatch  bool
+	body     any    // Request body, sent as JSON; nil for none.
+	revision uint64 // Revision that the change is based on, for the If-Match header.
+	ifMatch  bool   // Whether to send the If-Match header.
 }
 
 // Configuration returns the accepted revision and its files.
--- a/ctl/chart/chart.go
+++ b/ctl/chart/chart.go
@@ -35,7 +35,7 @@
 
 // Theme is the set of colours of a plot.
 type Theme struct {
-	Background color.Color // Nil for a transparent background.
+	Background color.Color // Background colour; nil for a transparent background.
 	Ink        color.Color // Colour of texts and axes.
 	Grid       color.Color
 	Lines      []color.Color // Colours of the series, which repeat after the last.
--- a/ctl/experiment/choice/choice.go
+++ b/ctl/experiment/choice/choice.go
@@ -1,6 +1,6 @@
 // Package choice compares policies for choosing a backend server on the same random
-// workloads: random, least loaded by stale reports, the less loaded of two, and
-// the policy of policy/choose.
+// workloads: a random server, the least loaded by stale reports, the less loaded of
+// two random ones, and the policy of policy/choose.
 package choice
 
 import (
@@ -10,7 +10,7 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// Experiment is the comparison as a named experiment.
+// Experiment is the experiment "choice", which runs this package's comparison.
 var Experiment = experiment.Experiment{
 	Name:    "choice",
 	Summary: "time to first token, cached prefix, load imbalance and control bytes by choice policy",
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -17,7 +17,7 @@
 	sampleInterval   = time.Second      // Interval of the samples of the servers' load.
 	slowServerFactor = 3.0
 	stepTime         = 27 * time.Millisecond
-	prefillTime      = 250 * time.Microsecond // Per prompt token.
+	prefillTime      = 250 * time.Microsecond // Prefill time per prompt token.
 )
 
 // size is the size of the simulated system.
--- a/ctl/experiment/coldstart/coldstart.go
+++ b/ctl/experiment/coldstart/coldstart.go
@@ -11,7 +11,7 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// Experiment is the measurement as a named experiment.
+// Experiment is the experiment "coldstart", which runs this package's simulation.
 var Experiment = experiment.Experiment{
 	Name:    "coldstart",
 	Summary: "overloads of cold servers, and throughput compared with a known limit",
--- a/ctl/experiment/coldstart/run.go
+++ b/ctl/experiment/coldstart/run.go
@@ -40,7 +40,7 @@
 type runStats struct {
 	requests, completed, refused, broken int
 	overloads                            int
-	startsOverLimit                      int // Sum of the servers' ColdStartsOverLimit.
+	startsOverLimit                      int // Requests started in cold start while at least the cold limit of requests were running.
 }
 
 func (s *runStats) add(other runStats) {
--- a/ctl/experiment/datacentre/datacentre.go
+++ b/ctl/experiment/datacentre/datacentre.go
@@ -1,5 +1,6 @@
 // Package datacentre measures the service while a data centre is taken out under
-// load and returns in cold start. In the baseline it gets full load at once.
+// load and returns in cold start. In the baseline the returned data centre gets full
+// load at once, because its cold limit equals its warm limit.
 package datacentre
 
 import (
@@ -28,7 +29,7 @@
 
 	engineFullLimit   = 8    // Number of concurrent generations that each of the three engines can run when warm.
 	engineColdLimit   = 2    // Number of concurrent generations that an engine can run in cold start.
-	requestsPerSecond = 85.0 // Requests per second; two engines can serve 100.
+	requestsPerSecond = 85.0 // Load in every phase; two engines can serve 100 requests per second.
 	beforeDuration    = 8 * time.Second
 	leaveDuration     = 12 * time.Second
 	returnDuration    = 15 * time.Second
--- a/ctl/experiment/evidence/evidence_test.go
+++ b/ctl/experiment/evidence/evidence_test.go
@@ -27,8 +27,8 @@
 }
 
 // hasGuarantee reports whether the default policy guarantees safety in the case: the
-// entry lives until it has offered the change to others, and its data centre is not
-// taken out, in which case the store would refuse the change.
+// entry does not crash before it has offered the change to the other processes, and its
+// data centre is not taken out. If it were, the store would refuse the change.
 func hasGuarantee(c takeOutCase) bool {
 	return !c.entryCrashes && (!c.thirdTakenOutBefore || c.accepting != dataCentres-1)
 }
--- a/ctl/experiment/evidence/network.go
+++ b/ctl/experiment/evidence/network.go
@@ -37,7 +37,9 @@
 }
 
 // network connects the processes of several data centres with each other and with
-// one store.
+// one store. The entry that accepts a change offers the new configuration to every
+// process at once. Processes that miss it learn of it from reads of the store and
+// from exchanges, in which a process and a peer tell each other their revisions.
 type network struct {
 	random       *rand.Rand
 	policy       evidence.Policy
--- a/ctl/experiment/experiment.go
+++ b/ctl/experiment/experiment.go
@@ -6,9 +6,9 @@
 
 // Options are common to all experiments.
 type Options struct {
-	Seed  uint64 // First seed.
-	Seeds int    // Number of seeds.
-	Quick bool   // Use smaller sizes, for a quick check.
+	Seed  uint64 // First of the consecutive random seeds.
+	Seeds int    // Number of random seeds.
+	Quick bool   // Simulate smaller systems, for a quick check.
 }
 
 // Experiment is a named experiment and the function that runs it.
@@ -35,10 +35,10 @@
 
 // Plot is a line plot.
 type Plot struct {
-	Name   string   `json:"name"` // File name without extension.
+	Name   string   `json:"name"` // Name of the plot's file without the extension.
 	Title  string   `json:"title"`
-	XLabel string   `json:"x_label"` // Includes the unit.
-	YLabel string   `json:"y_label"` // Includes the unit.
+	XLabel string   `json:"x_label"` // Label of the x axis, with the unit.
+	YLabel string   `json:"y_label"` // Label of the y axis, with the unit.
 	LogX   bool     `json:"log_x,omitempty"`
 	LogY   bool     `json:"log_y,omitempty"`
 	Series []Series `json:"series"`
--- a/ctl/experiment/expertmaps/expertmaps.go
+++ b/ctl/experiment/expertmaps/expertmaps.go
@@ -45,8 +45,8 @@
 	sampledSkew     []float64     // Skew with sampling noise, by sampled step.
 	moves           []float64     // Number of experts loaded onto ranks that did not hold them, by interval.
 	switches        int           // Number of intervals in which the map was changed.
-	meanStepSeconds float64       // Including moves and switches; the total time of all steps until comparePolicies divides it.
-	planTime        time.Duration // Longest time of one planning call.
+	meanStepSeconds float64       // Mean time of a step, including moves and switches; holds the total time of all steps until comparePolicies divides it.
+	planTime        time.Duration // Time of the slowest planning call.
 }
 
 func run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
--- a/ctl/experiment/model/clock.go
+++ b/ctl/experiment/model/clock.go
@@ -25,7 +25,7 @@
 // Time returns the simulated wall-clock time, which the policies get as input.
 func (c *Clock) Time() time.Time { return epoch.Add(c.now) }
 
-// After schedules the function to run after the wait.
+// After schedules the function to run once the simulated time has advanced by wait.
 func (c *Clock) After(wait time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.queue, scheduledCall{at: c.now + max(0, wait), seq: c.seq, run: run})
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -12,7 +12,7 @@
 type EngineConfig struct {
 	Full              int           // Number of concurrent requests that the warm engine can handle.
 	Cold              int           // Number of concurrent requests, started in cold start, that the cold engine can handle.
-	WarmUpRequests    int           // Completed requests until the engine is warm.
+	WarmUpRequests    int           // Number of completed requests after which the engine is warm.
 	PrefillTime       time.Duration // Prefill time per uncached prompt token.
 	StepTime          time.Duration // Time of one decode step, which yields one token.
 	ColdPrefillFactor float64       // Factor by which cold start prolongs a prefill.
@@ -113,7 +113,8 @@
 	e.clock.After(e.prefillBusyUntil-e.clock.Now(), func() { e.startDecode(g, cached) })
 }
 
-// stepSlowdown returns the factor on the engine's step and prefill times.
+// stepSlowdown returns the factor by which the engine's step and prefill times are
+// multiplied.
 func (e *engine) stepSlowdown() float64 { return e.slowdown }
 
 func (e *engine) startDecode(g *generation, cached int) {
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -26,7 +26,7 @@
 // Broken is called. Begun is called at the first token, before Done.
 type Callbacks struct {
 	Refused func(err *result.Error) // The agent refused the work.
-	Begun   func(cachedTokens int)  // The first token arrived; cachedTokens of the prompt were in the prefix cache.
+	Begun   func(cachedTokens int)  // The first token arrived; cachedTokens is the number of prompt tokens found in the prefix cache.
 	Done    func()                  // The answer is complete.
 	Broken  func()                  // The engine stopped or crashed before the answer was complete.
 }
--- a/ctl/experiment/retries/retries.go
+++ b/ctl/experiment/retries/retries.go
@@ -9,14 +9,14 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// Experiment is the measurement as a named experiment.
+// Experiment is the experiment "retries", which runs this package's simulation.
 var Experiment = experiment.Experiment{
 	Name:    "retries",
 	Summary: "attempts per request and goodput when half of the backend servers stop",
 	Run:     Run,
 }
 
-// Run compares ways of retrying over the same seeds.
+// Run compares the retry policies on the same seeds.
 func Run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
 	report := experiment.Report{Title: "Retries"}
 	table := experiment.Table{
--- a/ctl/experiment/shares/run.go
+++ b/ctl/experiment/shares/run.go
@@ -13,7 +13,7 @@
 
 const (
 	zipfExponent    = 1.0              // Exponent of the Zipf distribution of load over the organisations.
-	meanHoldTime    = 5 * time.Second  // Mean time for which a request holds its slot.
+	meanHoldTime    = 5 * time.Second  // Mean time for which a request occupies a concurrency slot.
 	warmUp          = 20 * time.Second // Requests before this time are not counted.
 	runLength       = 80 * time.Second
 	renewInterval   = 500 * time.Millisecond
@@ -34,13 +34,13 @@
 	name               string
 	rate               float64 // Offered requests per second.
 	limits             share.Limits
-	exceedsRate        bool // Offers more than its rate limit.
-	exceedsConcurrency bool // Offers more than its concurrency limit.
-	home               int  // Index of the home entry, which leases the organisation's limits to the other entries.
+	exceedsRate        bool // The organisation offers more requests than its rate limit admits.
+	exceedsConcurrency bool // The organisation offers more concurrent requests than its limit admits.
+	home               int  // Index of the home entry, which leases the organisation's limits to all entries.
 	requests           int
 	admitted           int
 	slotsInUse         int
-	slotSeconds        float64 // Integral of inUse over time.
+	slotSeconds        float64 // Integral of slotsInUse over time, in slot-seconds.
 	lastChange         time.Duration
 	peakSlotsInUse     int
 }
@@ -199,7 +199,7 @@
 }
 
 // renew asks the home entry of each organisation to renew the leases of the
-// concurrency slots that the other entries' requests occupy.
+// concurrency slots that the requests at each entry occupy.
 func (r *runner) renew() {
 	now := r.clock.Time()
 	for key, local := range r.locals {
--- a/ctl/experiment/shares/shares.go
+++ b/ctl/experiment/shares/shares.go
@@ -1,7 +1,7 @@
 // Package shares simulates how well organisations' limits hold across entry
 // instances, with the real policy of policy/share. Each organisation has one home
 // entry, chosen by rendezvous hashing. It leases rate tokens and concurrency slots
-// to the other entries, so that together they stay within the limits.
+// to all entries, so that together they stay within the limits.
 package shares
 
 import (
@@ -13,7 +13,7 @@
 	sharepolicy "persimmonwind.dev/policy/share"
 )
 
-// Experiment is the simulation as a named experiment.
+// Experiment is the experiment "shares", which runs this package's simulation.
 var Experiment = experiment.Experiment{
 	Name:    "shares",
 	Summary: "organisations' rate and concurrency limits across entries",
@@ -37,10 +37,10 @@
 // organisation's limit. A busy organisation has a limit of at least minBusyLimit.
 type summary struct {
 	minBusyRate, maxBusyRate float64 // Lowest and highest admitted rate of a busy organisation that offers more than its limit.
-	overLimitRate            float64 // Admitted rate of all organisations together that offer more than their limit.
-	underLimitAdmitted       float64 // Admitted divided by offered requests, of the organisations within their limits.
-	slots                    float64 // Mean slots in use, of busy organisations that offer more than their concurrency limit.
-	maxSlotsInUse            float64 // Highest number of slots in use.
+	overLimitRate            float64 // Total admitted rate of the organisations that offer more than their rate limit, divided by the sum of those limits.
+	underLimitAdmitted       float64 // Admitted requests divided by offered requests, for the organisations within their limits.
+	slots                    float64 // Mean concurrency slots in use by the busy organisations that offer more than their concurrency limit.
+	maxSlotsInUse            float64 // Highest number of concurrency slots in use by an organisation that offers more than its concurrency limit.
 	leaseRequests            float64 // Lease requests to home entries, divided by the requests of callers.
 	orgsBeyondBurst          int     // Organisations that got more than their limit, the tolerance and one burst.
 }
--- a/ctl/load/arrivals.go
+++ b/ctl/load/arrivals.go
@@ -22,7 +22,7 @@
 	Rate          float64       `json:"rate"` // Mean arrival rate in requests per second, outside a surge.
 	SurgeStart    time.Duration `json:"surge_at,omitempty"`
 	SurgeDuration time.Duration `json:"surge_for,omitempty"`
-	SurgeFactor   float64       `json:"surge_factor,omitempty"` // Multiplies Rate during the surge.
+	SurgeFactor   float64       `json:"surge_factor,omitempty"` // Factor by which the surge multiplies Rate.
 }
 
 func (a Arrivals) validate() error {
--- a/ctl/load/recorder.go
+++ b/ctl/load/recorder.go
@@ -53,7 +53,7 @@
 	attempts   int
 	retryCodes []result.Code // Result codes of the attempts that were retried.
 	trace      answerTrace
-	failure    *failure // Nil for a complete answer.
+	failure    *failure // Why there is no complete answer; nil if there is one.
 }
 
 // recorder aggregates the finished requests of one path to the engines: through the
--- a/ctl/load/result.go
+++ b/ctl/load/result.go
@@ -21,7 +21,7 @@
 }
 
 // PathResult is the result of one path to the engines: through the entries or
-// direct.
+// directly.
 type PathResult struct {
 	Requests          int                `json:"requests"` // Number of requests that arrived after the warm-up.
 	Attempts          int                `json:"attempts"` // Number of attempts of these requests, including retries.
--- a/ctl/report/scrape.go
+++ b/ctl/report/scrape.go
@@ -24,7 +24,7 @@
 // scrape holds the metrics of all processes at one time.
 type scrape struct {
 	at        time.Time
-	processes []families // In the order of the addresses; nil for a process that did not respond.
+	processes []families // Metrics of each process, in the order of the addresses; nil for a process that did not respond.
 	errors    []error
 }
 
--- a/ctl/wholepath/processes_test.go
+++ b/ctl/wholepath/processes_test.go
@@ -19,7 +19,7 @@
 const (
 	readyTimeout = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
-	stopTimeout  = 5 * time.Second // Longer than an idle process takes to exit.
+	stopTimeout  = 5 * time.Second // Time after SIGTERM until a process is killed; longer than an idle process takes to exit.
 	clockTicks   = 100             // Clock ticks per second, the unit of processor times in /proc/PID/stat.
 )
 
@@ -38,7 +38,7 @@
 type process struct {
 	name           string
 	command        *exec.Cmd
-	profileAddress string // host:port of the pprof endpoint.
+	profileAddress string // Address of the pprof endpoint, as host:port.
 	stopOnce       sync.Once
 }
 
--- a/ctl/wholepath/system_test.go
+++ b/ctl/wholepath/system_test.go
@@ -25,9 +25,9 @@
 	service      = "certifications"
 	operation    = "stamp"
 	key          = "load-key"
-	engineLimit  = 8192 // Concurrent generations; high enough never to be reached.
-	orgRate      = 1e6  // Requests per second; high enough never to be reached.
-	orgLimit     = 1e5  // Concurrent requests; high enough never to be reached.
+	engineLimit  = 8192 // Limit of concurrent generations of an engine; high enough never to be reached.
+	orgRate      = 1e6  // Rate limit of an organisation in requests per second; high enough never to be reached.
+	orgLimit     = 1e5  // Limit of concurrent requests of an organisation; high enough never to be reached.
 	dataCentre   = "dc-1"
 	entryName    = "entry-1"
 	leaveDelayMS = 1
@@ -52,7 +52,7 @@
 
 	services []*process
 
-	keys       keys.Files // For TLS between the processes; empty without -tls.
+	keys       keys.Files // Key files for TLS between the processes; empty without -tls.
 	storeURL   string
 	entryURL   string
 	engineURLs []string
--- a/server/e2e/coldstart_test.go
+++ b/server/e2e/coldstart_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// callerLoad is a set of callers at all entries, with counts of the outcomes.
+// callerLoad is the load of concurrent callers at all entries, with counters of the
+// outcomes of their requests.
 type callerLoad struct {
 	answered, refused, failed, incorrect atomic.Int64
 	stopped                              chan struct{}
--- a/server/e2e/configuration_test.go
+++ b/server/e2e/configuration_test.go
@@ -125,9 +125,10 @@
 	return s
 }
 
-// TestRacingOperators sends concurrent changes of the same revision through two entries
-// while the store loses responses. It guards against a lost update and against a
-// response that differs from the outcome: exactly one change per round is accepted.
+// TestRacingOperators sends concurrent changes that are based on the same revision
+// through two entries while the store loses responses. It guards against a lost update
+// and against a response that differs from the outcome: exactly one change per round is
+// accepted.
 func TestRacingOperators(t *testing.T) {
 	s := newThreeDataCentreSystem(t)
 	text := func(region int) []byte {
--- a/server/e2e/limits_test.go
+++ b/server/e2e/limits_test.go
@@ -74,7 +74,7 @@
 	s := newSystem(t)
 	s.addBackend("registry-1", "dc-3", "service", "--work-time", "1ms")
 	s.addEntry("entry-1", "dc-1")
-	s.addEntry("entry-2", "dc-2")           // One of the two entries is the organisation's home, which leases its limits to the other.
+	s.addEntry("entry-2", "dc-2")           // One of the two entries is the organisation's home, which leases its limits to both.
 	time.Sleep(share.SlotTTL + time.Second) // Waits until concurrency slots leased by an earlier home entry have expired.
 	var limited atomic.Int64
 	var wg sync.WaitGroup
--- a/server/e2e/processes_test.go
+++ b/server/e2e/processes_test.go
@@ -53,8 +53,8 @@
 type process struct {
 	t       *testing.T
 	command *exec.Cmd
-	exited  chan struct{} // Closed once the process has exited.
-	err     error         // Result of Wait; valid once exited is closed.
+	exited  chan struct{} // Channel that is closed once the process has exited.
+	err     error         // Result of the command's Wait method; valid once exited is closed.
 	log     lockedBuffer
 }
 
--- a/server/e2e/whole_answers_test.go
+++ b/server/e2e/whole_answers_test.go
@@ -50,9 +50,9 @@
 }
 
 // TestWholeAnswersWhileProcessesDie streams many answers concurrently while an engine and
-// an agent are killed, an agent is suspended, and an engine cuts streams and sends pieces
-// twice, out of order and of other answers. A refusal must state that the work was not
-// run and give a retry delay; the answer to the retry must be complete.
+// an agent are killed, an agent is suspended, and an engine cuts off streams and sends
+// pieces of an answer twice, out of order or from other answers. A refusal must state that
+// the work was not run and give a retry delay; the answer to the retry must be complete.
 func TestWholeAnswersWhileProcessesDie(t *testing.T) {
 	s := newSystem(t)
 	s.apply(config.Files{config.FileBackendServers: highLimitServers(t, 5), config.FileOrganisations: unlimitedOrganisations(t)})
--- a/server/soak/callers_test.go
+++ b/server/soak/callers_test.go
@@ -38,7 +38,7 @@
 	entry    *machine
 	started  time.Time
 	ended    time.Time
-	status   int // 0 if no response arrived.
+	status   int // HTTP status; 0 if no response arrived.
 	refused  bool
 	complete bool
 	failure  string
@@ -215,7 +215,7 @@
 	c.d.executionLog.Each(func(id string, runs []platformtest.Execution) {
 		a := byID[id]
 		if a == nil {
-			return // A request of checkConfiguration, or of a caller that was stopped.
+			return // The request was sent by checkConfiguration, or by a caller that was stopped.
 		}
 		if strings.HasPrefix(a.path, "/book") && len(runs) > 1 {
 			c.violated = append(c.violated, fmt.Sprintf("%s: ran %d times: %v", id, len(runs), runs))
--- a/server/soak/deployment_test.go
+++ b/server/soak/deployment_test.go
@@ -21,7 +21,7 @@
 	entries      = 3
 	ranks        = 4
 	plainServers = 3
-	serverPort   = 9000 // Port of a backend server itself.
+	serverPort   = 9000 // Port on which a backend server listens, behind its proxy.
 	linkPort     = 9100 // Port of the proxy in front of a backend server, which is the address in the server's row.
 	slots        = 12
 	// exitLimit is the maximum time from SIGTERM to the exit of a process: its grace period
@@ -58,7 +58,7 @@
 type deployment struct {
 	t             *testing.T
 	dir           string
-	networkPrefix string // First three octets of every address.
+	networkPrefix string // First three octets of the deployment's IP addresses.
 	store         *platformtest.Store
 	group         *platformtest.Group
 	executionLog  *platformtest.ExecutionLog
@@ -67,14 +67,14 @@
 
 	mu         sync.Mutex
 	version    int64
-	extraRoute bool      // The configuration has the extra route.
-	changedAt  time.Time // When the latest configuration was stored.
+	extraRoute bool      // Whether the latest configuration has the route /extra/.
+	changedAt  time.Time // Time at which the latest configuration was stored.
 	faults     []fault
 }
 
 // fault is the period of a fault of a process or a link.
 type fault struct {
-	machine     *machine // Nil for the link of a backend server.
+	machine     *machine // The process with the fault, or whose link has it; nil for the link of a backend server.
 	from, until time.Time
 }
 
