--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -31,7 +31,7 @@
 	stopped             bool
 	cold                bool
 	coldRunning         int // Running requests that were started in the current cold start.
-	completed           int
+	completedRequests   int
 	generations         map[uint64]*generation
 	prefillBusyUntil    time.Duration
 	overloadCrashes     int
@@ -76,7 +76,7 @@
 }
 
 func (e *engine) turnCold() {
-	e.cold, e.coldRunning, e.completed = true, 0, 0
+	e.cold, e.coldRunning, e.completedRequests = true, 0, 0
 	e.cache.clear()
 	for _, g := range e.generations {
 		g.cold = false
@@ -135,8 +135,8 @@
 	if g.cold {
 		e.coldRunning--
 	}
-	e.completed++
-	if e.completed >= e.WarmUpRequests {
+	e.completedRequests++
+	if e.completedRequests >= e.WarmUpRequests {
 		e.cold = false
 	}
 	g.notify.done()
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -122,8 +122,8 @@
 	var arrive func()
 	arrive = func() {
 		budget = budget.Deposit()
-		q := &request{runner: r, budget: &budget, arrived: r.clock.Now(), work: drawRequest(arrivals), excluded: map[int]bool{}}
-		q.measured = q.arrived >= stopAt && q.arrived < runLength-requestTimeout
+		q := &request{runner: r, budget: &budget, arrivedAt: r.clock.Now(), work: drawRequest(arrivals), excluded: map[int]bool{}}
+		q.measured = q.arrivedAt >= stopAt && q.arrivedAt < runLength-requestTimeout
 		if q.measured {
 			r.stats.requests++
 		}
@@ -146,12 +146,12 @@
 
 // request is one request of a caller with the state of its attempts.
 type request struct {
-	runner   *runner
-	budget   *retry.Budget
-	arrived  time.Duration
-	measured bool // Whether the request is included in the statistics.
-	work     model.Work
-	excluded map[int]bool // Servers that have failed an attempt of this request.
+	runner    *runner
+	budget    *retry.Budget
+	arrivedAt time.Duration
+	measured  bool // Whether the request is included in the statistics.
+	work      model.Work
+	excluded  map[int]bool // Servers that have failed an attempt of this request.
 }
 
 func (q *request) attempt(number int) {
@@ -181,8 +181,8 @@
 
 func (q *request) handleFailure(number, server int, err *result.Error, responseStarted bool) {
 	attempt := retry.Attempt{
-		Number: number, Err: err, ResponseStarted: responseStarted, Idempotent: true, Waited: q.runner.clock.Now() - q.arrived,
-		Remaining: q.work.Deadline - (q.runner.clock.Now() - q.arrived),
+		Number: number, Err: err, ResponseStarted: responseStarted, Idempotent: true, Waited: q.runner.clock.Now() - q.arrivedAt,
+		Remaining: q.work.Deadline - (q.runner.clock.Now() - q.arrivedAt),
 	}
 	var retryAllowed bool
 	if *q.budget, retryAllowed = q.runner.policy.shouldRetry(*q.budget, attempt); !retryAllowed {
@@ -206,7 +206,7 @@
 	if retry.FinalError(err, q.runner.random.Uint64()).RetryAfter <= 0 {
 		stats.refusalsWithoutRetryAfter++
 	}
-	stats.slowestRefusal = max(stats.slowestRefusal, q.runner.clock.Now()-q.arrived)
+	stats.slowestRefusal = max(stats.slowestRefusal, q.runner.clock.Now()-q.arrivedAt)
 }
 
 // choose probes a few agents as an entry does, in up to probeRounds rounds.
--- a/ctl/experiment/shares/run.go
+++ b/ctl/experiment/shares/run.go
@@ -41,7 +41,7 @@
 	admitted           int
 	slotsInUse         int
 	slotSeconds        float64 // Integral of slotsInUse over time, in slot-seconds.
-	lastChange         time.Duration
+	lastChangeAt       time.Duration
 	peakSlotsInUse     int
 }
 
@@ -170,9 +170,9 @@
 func (r *runner) changeInUse(o *org, change int) {
 	now := r.clock.Now()
 	if now > warmUp {
-		o.slotSeconds += float64(o.slotsInUse) * (now - max(warmUp, o.lastChange)).Seconds()
+		o.slotSeconds += float64(o.slotsInUse) * (now - max(warmUp, o.lastChangeAt)).Seconds()
 	}
-	o.lastChange = now
+	o.lastChangeAt = now
 	o.slotsInUse += change
 	o.peakSlotsInUse = max(o.peakSlotsInUse, o.slotsInUse)
 }
--- a/ctl/load/answer_trace.go
+++ b/ctl/load/answer_trace.go
@@ -13,7 +13,7 @@
 
 // answerTrace records the arrival times and the text of the parts of one answer.
 type answerTrace struct {
-	first   time.Time // Arrival of the first part with text.
+	first   time.Time // Time at which the first part with text arrived.
 	last    time.Time
 	gaps    []gap
 	tokens  int
--- a/ctl/load/recorder.go
+++ b/ctl/load/recorder.go
@@ -49,7 +49,7 @@
 	intended   time.Duration // Intended start, as an offset from the start of the run.
 	delay      time.Duration // Time between the intended and the actual start.
 	first      time.Duration // Time from the intended start to the first token.
-	total      time.Duration // Time from the intended start to the end.
+	totalTime  time.Duration // Time from the intended start to the end of the request.
 	attempts   int
 	retryCodes []result.Code // Result codes of the attempts that were retried.
 	trace      answerTrace
@@ -59,21 +59,21 @@
 // recorder aggregates the finished requests of one path to the engines: through the
 // entries, or directly.
 type recorder struct {
-	mu            sync.Mutex
-	outcomes      map[Outcome]int
-	codes         map[result.Code]int // Number of final answers by result code.
-	retriedCodes  map[result.Code]int // Number of retried attempts by result code.
-	examples      map[Outcome]string  // Detail of the first failure of each kind.
-	attempts      int
-	served        int // Number of complete answers that ended within the measured period.
-	servedTokens  int // Number of tokens of all chats that ended within the measured period.
-	firstToken    latencyHistogram
-	betweenTokens latencyHistogram
-	betweenEvents latencyHistogram
-	wholeChat     latencyHistogram
-	wholeCall     latencyHistogram
-	startDelay    latencyHistogram
-	timeline      *timeline
+	mu              sync.Mutex
+	outcomes        map[Outcome]int
+	codes           map[result.Code]int // Number of final answers by result code.
+	retriedCodes    map[result.Code]int // Number of retried attempts by result code.
+	examples        map[Outcome]string  // Detail of the first failure of each kind.
+	attempts        int
+	completeAnswers int // Number of complete answers that ended within the measured period.
+	chatTokens      int // Number of tokens of all chats that ended within the measured period.
+	firstToken      latencyHistogram
+	betweenTokens   latencyHistogram
+	betweenEvents   latencyHistogram
+	wholeChat       latencyHistogram
+	wholeCall       latencyHistogram
+	startDelay      latencyHistogram
+	timeline        *timeline
 }
 
 func newRecorder() *recorder {
@@ -93,8 +93,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.timeline.add(record)
-	if end := record.intended + record.total; end >= options.WarmUp && end < options.Duration {
-		r.addServed(record)
+	if end := record.intended + record.totalTime; end >= options.WarmUp && end < options.Duration {
+		r.addThroughput(record)
 	}
 	if record.intended < options.WarmUp {
 		return
@@ -108,10 +108,10 @@
 	r.addLatencies(record)
 }
 
-func (r *recorder) addServed(record requestRecord) {
-	r.servedTokens += record.trace.tokens
+func (r *recorder) addThroughput(record requestRecord) {
+	r.chatTokens += record.trace.tokens
 	if record.failure == nil {
-		r.served++
+		r.completeAnswers++
 	}
 }
 
@@ -129,8 +129,9 @@
 	r.outcomes[kind]++
 }
 
-// addLatencies records the latencies that the caller saw: the time to first token
-// also for an answer that failed later, the total time only for complete answers.
+// addLatencies records the latencies that the caller saw. It records the time to
+// first token also for an answer that failed later, but the total time only for
+// complete answers.
 func (r *recorder) addLatencies(record requestRecord) {
 	if !record.trace.first.IsZero() {
 		r.firstToken.add(record.first, 1)
@@ -145,8 +146,8 @@
 		return
 	}
 	if record.req.chat {
-		r.wholeChat.add(record.total, 1)
+		r.wholeChat.add(record.totalTime, 1)
 		return
 	}
-	r.wholeCall.add(record.total, 1)
+	r.wholeCall.add(record.totalTime, 1)
 }
--- a/ctl/load/result.go
+++ b/ctl/load/result.go
@@ -75,8 +75,8 @@
 	pathResult := &PathResult{
 		Attempts: r.attempts, Outcomes: r.outcomes, Codes: countsByName(r.codes), RetriedCodes: countsByName(r.retriedCodes),
 		Examples:          r.examples,
-		RequestsPerSecond: float64(r.served) / period.Seconds(),
-		TokensPerSecond:   float64(r.servedTokens) / period.Seconds(),
+		RequestsPerSecond: float64(r.completeAnswers) / period.Seconds(),
+		TokensPerSecond:   float64(r.chatTokens) / period.Seconds(),
 		FirstToken:        r.firstToken.quantiles(),
 		BetweenTokens:     r.betweenTokens.quantiles(),
 		BetweenEvents:     r.betweenEvents.quantiles(),
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -136,7 +136,7 @@
 			break
 		}
 	}
-	record.total = time.Since(intended)
+	record.totalTime = time.Since(intended)
 	if !record.trace.first.IsZero() {
 		record.first = record.trace.first.Sub(intended)
 	}
--- a/server/e2e/data_centre_test.go
+++ b/server/e2e/data_centre_test.go
@@ -88,8 +88,8 @@
 		t.Errorf("the returned engine was overloaded %d times", overloads)
 	}
 	failed := load.stop()
-	t.Logf("%d requests, %d refused without being run", load.done.Load(), len(failed)-len(withoutNotRunRefusals(failed)))
+	t.Logf("%d requests, %d refused without being run", load.endedChats.Load(), len(failed)-len(withoutNotRunRefusals(failed)))
 	if lost := withoutNotRunRefusals(failed); len(lost) > 0 {
-		t.Errorf("%d of %d requests were cut off or lost, first: %s", len(lost), load.done.Load(), lost[0])
+		t.Errorf("%d of %d requests were cut off or lost, first: %s", len(lost), load.endedChats.Load(), lost[0])
 	}
 }
--- a/server/e2e/leaving_test.go
+++ b/server/e2e/leaving_test.go
@@ -26,15 +26,15 @@
 // callers sends streamed chats through the ready entries until stopped and records
 // those that were not answered completely.
 type callers struct {
-	system        *system
-	retryRefusals bool         // Retry a chat after a refusal which states that the work was not run and gives a retry delay.
-	refused       atomic.Int64 // Number of refusals that were retried.
-	stopped       atomic.Bool
-	done          atomic.Int64 // Number of chats that have ended, completely answered or not.
-	wg            sync.WaitGroup
-
-	mu     sync.Mutex
-	failed []string // Description of each chat that was not answered completely.
+	system          *system
+	retryRefusals   bool         // Retry a chat after a refusal which states that the work was not run and gives a retry delay.
+	retriedRefusals atomic.Int64 // Number of refusals that were retried.
+	stopped         atomic.Bool
+	endedChats      atomic.Int64 // Number of chats that have ended, completely answered or not.
+	wg              sync.WaitGroup
+
+	mu       sync.Mutex
+	failures []string // Description of each chat that was not answered completely.
 }
 
 func startCallers(s *system, count int, retryRefusals bool) *callers {
@@ -50,10 +50,10 @@
 		prompt := fmt.Sprintf("caller %d request %d", caller, number)
 		if err := c.chatWithRetries(caller+number, prompt); err != nil {
 			c.mu.Lock()
-			c.failed = append(c.failed, fmt.Sprintf("%s: %v", prompt, err))
+			c.failures = append(c.failures, fmt.Sprintf("%s: %v", prompt, err))
 			c.mu.Unlock()
 		}
-		c.done.Add(1)
+		c.endedChats.Add(1)
 	}
 }
 
@@ -66,7 +66,7 @@
 		if !c.retryRefusals || !errors.As(err, &refusal) || !refusal.detail.NotRun || refusal.detail.RetryAfterMS <= 0 {
 			return err
 		}
-		c.refused.Add(1)
+		c.retriedRefusals.Add(1)
 		time.Sleep(time.Duration(refusal.detail.RetryAfterMS) * time.Millisecond)
 	}
 }
@@ -143,14 +143,14 @@
 // awaitAnswers waits until count more requests have ended.
 func (c *callers) awaitAnswers(count int64) {
 	c.system.t.Helper()
-	target := c.done.Load() + count
-	c.system.await("more answers", func() bool { return c.done.Load() >= target })
+	target := c.endedChats.Load() + count
+	c.system.await("more answers", func() bool { return c.endedChats.Load() >= target })
 }
 
 func (c *callers) stop() []string {
 	c.stopped.Store(true)
 	c.wg.Wait()
-	return c.failed
+	return c.failures
 }
 
 // TestLeavingCutsOffNothing sends SIGTERM twice to each of an entry, an agent and a
@@ -184,7 +184,7 @@
 		load.awaitAnswers(leavingCallers)
 	}
 	if failed := load.stop(); len(failed) > 0 {
-		t.Errorf("%d of %d requests were not answered completely, first: %s", len(failed), load.done.Load(), failed[0])
+		t.Errorf("%d of %d requests were not answered completely, first: %s", len(failed), load.endedChats.Load(), failed[0])
 	}
-	t.Logf("%d requests answered", load.done.Load())
+	t.Logf("%d requests answered", load.endedChats.Load())
 }
--- a/server/e2e/whole_answers_test.go
+++ b/server/e2e/whole_answers_test.go
@@ -73,9 +73,9 @@
 	s.agents["engine-3"].signal(syscall.SIGSTOP)
 	load.awaitAnswers(concurrentStreams / 2)
 	if failed := load.stop(); len(failed) > 0 {
-		t.Errorf("%d of %d requests were not answered completely, first: %s", len(failed), load.done.Load(), failed[0])
+		t.Errorf("%d of %d requests were not answered completely, first: %s", len(failed), load.endedChats.Load(), failed[0])
 	}
-	t.Logf("%d requests answered after %d refusals without a run", load.done.Load(), load.refused.Load())
+	t.Logf("%d requests answered after %d refusals without a run", load.endedChats.Load(), load.retriedRefusals.Load())
 }
 
 // TestCutAnswerIsSeenAsCut kills the entry, or the only engine, in the middle of
--- a/server/soak/callers_test.go
+++ b/server/soak/callers_test.go
@@ -33,15 +33,15 @@
 // attempt is one request, which the caller sends only once, and its outcome as seen by
 // the caller.
 type attempt struct {
-	id       string
-	path     string
-	entry    *machine
-	started  time.Time
-	ended    time.Time
-	status   int // HTTP status; 0 if no response arrived.
-	refused  bool
-	complete bool
-	failure  string
+	id        string
+	path      string
+	entry     *machine
+	startedAt time.Time
+	endedAt   time.Time
+	status    int // HTTP status; 0 if no response arrived.
+	refused   bool
+	complete  bool
+	failure   string
 }
 
 // checker records the outcomes that callers see, and the violations of guarantees
@@ -71,10 +71,10 @@
 	for ctx.Err() == nil {
 		a := attempt{
 			id: fmt.Sprintf("%d-%d-%d", seed, number, c.sent.Add(1)), path: paths[random.IntN(len(paths))],
-			entry: c.d.machines[random.IntN(entries)], started: time.Now(),
+			entry: c.d.machines[random.IntN(entries)], startedAt: time.Now(),
 		}
 		c.send(client, &a)
-		a.ended = time.Now()
+		a.endedAt = time.Now()
 		c.mu.Lock()
 		c.attempts = append(c.attempts, a)
 		c.mu.Unlock()
--- a/server/soak/soak_test.go
+++ b/server/soak/soak_test.go
@@ -120,7 +120,7 @@
 func (c *checker) checkRecovery(from time.Time) {
 	sent, completed := 0, 0
 	for _, a := range c.attempts {
-		if a.started.After(from) {
+		if a.startedAt.After(from) {
 			sent++
 			if a.complete {
 				completed++
@@ -205,8 +205,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.attempts {
-		inFlight := a.entry == m && a.started.Before(signalled.Add(-50*time.Millisecond)) && a.ended.After(signalled)
-		if inFlight && a.status == 0 && !c.d.faultBetween(a.started, a.ended, func(other *machine) bool { return other != m }) {
+		inFlight := a.entry == m && a.startedAt.Before(signalled.Add(-50*time.Millisecond)) && a.endedAt.After(signalled)
+		if inFlight && a.status == 0 && !c.d.faultBetween(a.startedAt, a.endedAt, func(other *machine) bool { return other != m }) {
 			c.violated = append(c.violated, fmt.Sprintf("%s: cut off by the termination of %s: %s", a.id, m.name, a.failure))
 		}
 	}
