--- a/ctl/experiment/choice/choice.go
+++ b/ctl/experiment/choice/choice.go
@@ -1,6 +1,6 @@
 // Package choice compares policies for choosing a backend server on the same random
-// workloads: random, least loaded by stale reports, the less loaded of two, and
-// the policy of policy/choose.
+// workloads: a random server, the least loaded by stale reports, the less loaded of
+// two random ones, and the policy of policy/choose.
 package choice
 
 import (
@@ -10,7 +10,7 @@
 	"persimmonwind.dev/ctl/experiment"
 )
 
-// Experiment is the comparison as a named experiment.
+// Experiment is the experiment "choice", which runs this package's comparison.
 var Experiment = experiment.Experiment{
 	Name:    "choice",
 	Summary: "time to first token, cached prefix, load imbalance and control bytes by choice policy",
@@ -18,11 +18,11 @@
 }
 
 var sizes = []size{
-	{name: "dozen", servers: 12, entries: 3, orgs: 40, rate: 17, length: 180e9},
-	{name: "one model of the target", servers: 172, entries: 330, orgs: 1400, rate: 245, length: 120e9},
+	{name: "dozen", servers: 12, entries: 3, orgs: 40, rate: 17, duration: 180e9},
+	{name: "one model of the target", servers: 172, entries: 330, orgs: 1400, rate: 245, duration: 120e9},
 }
 
-var quickSizes = []size{{name: "dozen", servers: 12, entries: 3, orgs: 40, rate: 17, length: 90e9}}
+var quickSizes = []size{{name: "dozen", servers: 12, entries: 3, orgs: 40, rate: 17, duration: 90e9}}
 
 var scenarios = []scenario{
 	{name: "drift"},
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -17,17 +17,17 @@
 	sampleInterval   = time.Second      // Interval of the samples of the servers' load.
 	slowServerFactor = 3.0
 	stepTime         = 27 * time.Millisecond
-	prefillTime      = 250 * time.Microsecond // Per prompt token.
+	prefillTime      = 250 * time.Microsecond // Prefill time per prompt token.
 )
 
 // size is the size of the simulated system.
 type size struct {
-	name    string
-	servers int
-	entries int
-	orgs    int
-	rate    float64 // Requests per second.
-	length  time.Duration
+	name     string
+	servers  int
+	entries  int
+	orgs     int
+	rate     float64 // Requests per second.
+	duration time.Duration
 }
 
 // scenario says which disturbances a run has.
@@ -41,17 +41,17 @@
 // runStats holds the results of a run.
 type runStats struct {
 	firstTokenMS []float64 // Time to first token.
-	promptTokens int       // Of answered requests.
-	cachedTokens int
+	promptTokens int       // Prompt tokens of all requests that got a first token.
+	cachedTokens int       // Those of promptTokens that were in the engine's prefix cache.
 	requests     int
 	refused      int
-	controlBytes int
-	meanLoad     []float64 // Mean number of running and queued requests, by server.
+	controlBytes int       // Bytes of probes and load reports.
+	meanLoad     []float64 // Mean number of running and queued requests of each server.
 }
 
 func engineConfig(s scenario) model.EngineConfig {
 	config := model.EngineConfig{
-		Full: 32, Cold: 4, WarmAfter: 8, PrefillTime: prefillTime, StepTime: stepTime, ColdPrefillFactor: 4,
+		Full: 32, Cold: 4, WarmUpRequests: 8, PrefillTime: prefillTime, StepTime: stepTime, ColdPrefillFactor: 4,
 		CacheBlocks: 8192, ReportLag: 500 * time.Millisecond, EventLag: 200 * time.Millisecond,
 	}
 	if s.unreliableEvents {
@@ -82,9 +82,9 @@
 	r := &runner{fleet: f, policy: build(f), workload: newWorkload(seed, sz.orgs)}
 	r.runStats.meanLoad = make([]float64, sz.servers)
 	r.schedule(sz, sc)
-	clock.Run(sz.length)
+	clock.Run(sz.duration)
 	for index := range r.runStats.meanLoad {
-		r.runStats.meanLoad[index] /= (sz.length - warmUp).Seconds() / sampleInterval.Seconds()
+		r.runStats.meanLoad[index] /= (sz.duration - warmUp).Seconds() / sampleInterval.Seconds()
 	}
 	return r.runStats
 }
@@ -109,11 +109,11 @@
 		}
 	})
 	if sc.slowServer {
-		clock.After(sz.length/2, func() { r.fleet.servers[0].SetSlowdown(slowServerFactor) })
+		clock.After(sz.duration/2, func() { r.fleet.servers[0].SetSlowdown(slowServerFactor) })
 	}
 	if sc.surge {
-		clock.After(sz.length/3, func() { r.workload.surgingOrg = sz.orgs / 2 })
-		clock.After(2*sz.length/3, func() { r.workload.surgingOrg = -1 })
+		clock.After(sz.duration/3, func() { r.workload.surgingOrg = sz.orgs / 2 })
+		clock.After(2*sz.duration/3, func() { r.workload.surgingOrg = -1 })
 	}
 }
 
--- a/ctl/experiment/coldstart/run.go
+++ b/ctl/experiment/coldstart/run.go
@@ -22,25 +22,25 @@
 // scenario says which faults are injected into the servers of a run.
 type scenario struct {
 	name              string
-	coldTurns         bool // Engines turn cold unannounced, and continue their requests.
-	engineRestarts    bool // Engines restart, which breaks off their answers.
-	agentRestarts     bool // Agents restart, some of them together with a cold turn.
-	reportLag         time.Duration
-	coldPrefillFactor float64
+	engineTurnsCold   bool          // Engines fall back into cold start unannounced, and continue their requests.
+	engineRestarts    bool          // Engines restart, which breaks off their answers.
+	agentRestarts     bool          // Agents restart, sometimes at the moment at which the engine turns cold.
+	reportLag         time.Duration // Delay of the engines' load reports.
+	coldPrefillFactor float64       // Factor by which cold start prolongs a prefill.
 }
 
 var scenarios = []scenario{
-	{name: "unannounced cold turns", coldTurns: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
+	{name: "unannounced cold turns", engineTurnsCold: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
 	{name: "engine restarts", engineRestarts: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
-	{name: "agent restarts and cold turns", coldTurns: true, agentRestarts: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
-	{name: "all, reports 2 s late", coldTurns: true, engineRestarts: true, agentRestarts: true, reportLag: 2 * time.Second, coldPrefillFactor: 6},
+	{name: "agent restarts and cold turns", engineTurnsCold: true, agentRestarts: true, reportLag: 500 * time.Millisecond, coldPrefillFactor: 6},
+	{name: "all, reports 2 s late", engineTurnsCold: true, engineRestarts: true, agentRestarts: true, reportLag: 2 * time.Second, coldPrefillFactor: 6},
 }
 
 // runStats holds the results of a run.
 type runStats struct {
 	requests, completed, refused, broken int
 	overloads                            int
-	startsOverLimit                      int
+	startsOverLimit                      int // Requests started in cold start while at least the cold limit of requests were running.
 }
 
 func (s *runStats) add(other runStats) {
@@ -82,16 +82,16 @@
 
 func engineConfig(sc scenario) model.EngineConfig {
 	return model.EngineConfig{
-		Full: 32, Cold: 4, WarmAfter: 12, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
+		Full: 32, Cold: 4, WarmUpRequests: 12, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
 		ColdPrefillFactor: sc.coldPrefillFactor, CacheBlocks: 4096, ReportLag: sc.reportLag,
 	}
 }
 
 // scheduleFaults injects random faults into one server, some tens of seconds apart.
-// An agent restart may coincide with a cold turn.
+// An agent may restart at the moment at which its engine turns cold.
 func scheduleFaults(clock *model.Clock, random *rand.Rand, server *model.Server, sc scenario) {
 	var faults []func()
-	if sc.coldTurns {
+	if sc.engineTurnsCold {
 		faults = append(faults, server.TurnCold)
 	}
 	if sc.engineRestarts {
@@ -114,7 +114,7 @@
 // startEntry simulates one entry with Poisson arrivals. Each request goes to a random
 // server and is not retried when refused.
 func startEntry(clock *model.Clock, random *rand.Rand, servers []*model.Server, stats *runStats) {
-	const requestsPerSecond = 9.0 // Of one entry.
+	const requestsPerSecond = 9.0 // Request rate of one entry.
 	var arrive func()
 	arrive = func() {
 		stats.requests++
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -10,13 +10,13 @@
 
 // EngineConfig holds the parameters of one simulated engine.
 type EngineConfig struct {
-	Full              int           // Concurrent requests when warm.
-	Cold              int           // Concurrent requests, started in cold start, that the engine can handle.
-	WarmAfter         int           // Completed requests until the engine is warm.
-	PrefillTime       time.Duration // Per uncached prompt token.
-	StepTime          time.Duration // Per decode step, which yields one token.
-	ColdPrefillFactor float64       // Factor on the time of a prefill in cold start.
-	CacheBlocks       int
+	Full              int           // Number of concurrent requests that the warm engine can handle.
+	Cold              int           // Number of concurrent requests, started in cold start, that the cold engine can handle.
+	WarmUpRequests    int           // Number of completed requests after which the engine is warm.
+	PrefillTime       time.Duration // Prefill time per uncached prompt token.
+	StepTime          time.Duration // Time of one decode step, which yields one token.
+	ColdPrefillFactor float64       // Factor by which cold start prolongs a prefill.
+	CacheBlocks       int           // Capacity of the prefix cache in blocks.
 	ReportLag         time.Duration // Delay of load reports.
 	EventLag          time.Duration // Delay of cache events.
 	EventLossInterval int           // One in this many batches of cache events is lost; 0 loses none.
@@ -28,23 +28,24 @@
 	clock               *Clock
 	slowdown            float64
 	bootCount           int
-	dead                bool
+	stopped             bool
 	cold                bool
 	coldRunning         int // Running requests that were started in the current cold start.
-	completed           int
+	completedRequests   int
 	generations         map[uint64]*generation
 	prefillBusyUntil    time.Duration
-	overloads           int
-	coldStartsOverLimit int // Starts in cold start with Cold or more requests running, whenever those were started.
+	overloadCrashes     int
+	coldStartsOverLimit int // Requests started in cold start while Cold or more were running, including those started before the cold start.
 	cache               *cache
 	reports             []admission.Reported
 }
 
+// generation is one request that runs at the engine.
 type generation struct {
-	ticket       uint64
+	ticket       uint64 // ID of the request between the agent and the engine.
 	prompt       prefix.Prompt
 	answerTokens int
-	cold         bool // Started in cold start.
+	cold         bool // The request was started in the current cold start.
 	ended        bool
 	notify       engineCallbacks
 }
@@ -75,7 +76,7 @@
 }
 
 func (e *engine) turnCold() {
-	e.cold, e.coldRunning, e.completed = true, 0, 0
+	e.cold, e.coldRunning, e.completedRequests = true, 0, 0
 	e.cache.clear()
 	for _, g := range e.generations {
 		g.cold = false
@@ -85,7 +86,7 @@
 // start starts a generation. An engine in cold start crashes and reboots when it
 // already runs Cold requests that were started in that cold start.
 func (e *engine) start(g *generation) {
-	if e.dead {
+	if e.stopped {
 		e.clock.After(0, g.notify.broken)
 		return
 	}
@@ -93,7 +94,7 @@
 		e.coldStartsOverLimit++
 	}
 	if e.cold && e.coldRunning >= e.Cold {
-		e.overloads++
+		e.overloadCrashes++
 		e.generations[g.ticket] = g
 		e.reboot()
 		return
@@ -112,7 +113,8 @@
 	e.clock.After(e.prefillBusyUntil-e.clock.Now(), func() { e.startDecode(g, cached) })
 }
 
-// stepSlowdown returns the factor on the engine's step and prefill times.
+// stepSlowdown returns the factor by which the engine's step and prefill times are
+// multiplied.
 func (e *engine) stepSlowdown() float64 { return e.slowdown }
 
 func (e *engine) startDecode(g *generation, cached int) {
@@ -133,8 +135,8 @@
 	if g.cold {
 		e.coldRunning--
 	}
-	e.completed++
-	if e.completed >= e.WarmAfter {
+	e.completedRequests++
+	if e.completedRequests >= e.WarmUpRequests {
 		e.cold = false
 	}
 	g.notify.done()
--- a/ctl/experiment/model/server.go
+++ b/ctl/experiment/model/server.go
@@ -18,33 +18,34 @@
 	Weight   float64
 	Priority int
 	Prompt   prefix.Prompt
-	Tokens   int           // Of the answer.
-	Deadline time.Duration // From the submission.
+	Tokens   int           // Number of tokens of the answer.
+	Deadline time.Duration // Time from the submission to the deadline of the request.
 }
 
 // Callbacks receives the result of one attempt. Exactly one of Refused, Done and
 // Broken is called. Begun is called at the first token, before Done.
 type Callbacks struct {
-	Refused func(err *result.Error)
-	Begun   func(cachedTokens int)
-	Done    func()
-	Broken  func()
+	Refused func(err *result.Error) // The agent refused the work.
+	Begun   func(cachedTokens int)  // The first token arrived; cachedTokens is the number of prompt tokens found in the prefix cache.
+	Done    func()                  // The answer is complete.
+	Broken  func()                  // The engine stopped or crashed before the answer was complete.
 }
 
 // Server is one backend server with its agent.
 type Server struct {
-	Name         string
-	clock        *Clock
-	engine       *engine
-	agent        admission.State
-	agentStarted time.Time
-	lastTicket   uint64
-	pending      map[uint64]pending
-	offers       map[uint64]admission.Offer
-	oracle       bool // Admit by the engine's true limit instead of the policy.
-	oracleQueue  []pending
+	Name           string
+	clock          *Clock
+	engine         *engine
+	admissionState admission.State
+	agentStarted   time.Time
+	lastTicket     uint64                     // The last ticket issued; a ticket identifies a probe or request at the agent.
+	pending        map[uint64]pending         // Requests that the agent has neither admitted nor refused, by ticket.
+	offers         map[uint64]admission.Offer // Replies to probes, by ticket.
+	oracle         bool                       // Admit by the engine's true limit instead of the policy.
+	oracleQueue    []pending
 }
 
+// pending is work submitted to a server that has not started.
 type pending struct {
 	work      Work
 	callbacks Callbacks
@@ -63,12 +64,14 @@
 }
 
 func (s *Server) configure() {
-	s.agent = admission.State{}.Configure(admission.Settings{
+	s.admissionState = admission.State{}.Configure(admission.Settings{
 		Full: s.engine.Full, Cold: s.engine.Cold, ReportsLoad: true,
 	})
 }
 
-// Probe returns the agent's offer.
+// Probe asks the agent how soon it could start a request with the prompt. The offer
+// is the agent's reply, with its headroom, its queue and its expected time to first
+// token.
 func (s *Server) Probe(prompt prefix.Prompt) admission.Offer {
 	s.lastTicket++
 	s.step(admission.Probed{
@@ -96,7 +99,7 @@
 
 func (s *Server) step(event reduce.Event) {
 	var effects []reduce.Effect
-	s.agent, effects = admission.Step(s.agent, reduce.Input{Now: s.clock.Time(), Event: event})
+	s.admissionState, effects = admission.Step(s.admissionState, reduce.Input{Now: s.clock.Time(), Event: event})
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case admission.Offer:
@@ -149,7 +152,7 @@
 		s.startOracleQueue()
 		return
 	}
-	if s.engine.dead {
+	if s.engine.stopped {
 		s.step(admission.Unreachable{})
 		return
 	}
@@ -172,10 +175,10 @@
 func (s *Server) Running() int { return len(s.engine.generations) }
 
 // Queued returns the number of requests waiting at the agent.
-func (s *Server) Queued() int { return s.agent.Queued + len(s.oracleQueue) }
+func (s *Server) Queued() int { return s.admissionState.Queued + len(s.oracleQueue) }
 
 // Overloads returns how often the engine crashed from overload in cold start.
-func (s *Server) Overloads() int { return s.engine.overloads }
+func (s *Server) Overloads() int { return s.engine.overloadCrashes }
 
 // ColdStartsOverLimit returns how many requests were started in cold start while
 // at least as many as the cold limit were running, including those started before
@@ -196,7 +199,7 @@
 // Stop shuts down the engine permanently.
 func (s *Server) Stop() {
 	s.engine.reboot()
-	s.engine.dead = true
+	s.engine.stopped = true
 }
 
 // RestartAgent replaces the agent by one without state. The engine continues its
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -15,9 +15,9 @@
 const (
 	servers           = 24
 	entries           = 6
-	requestsPerSecond = 16.0 // Of one entry; the fleet can serve about 105 in total.
-	stopAt            = 60 * time.Second
-	settleTime        = 5 * time.Second // From the stop until goodput is counted.
+	requestsPerSecond = 16.0             // Requests per second at each entry; the servers can handle about 105 in total.
+	stopAt            = 60 * time.Second // Time at which half of the servers stop.
+	settleTime        = 5 * time.Second  // Time from the stop until goodput is counted.
 	runLength         = 120 * time.Second
 	roundTripTime     = time.Millisecond
 	requestTimeout    = 10 * time.Second
@@ -57,8 +57,8 @@
 // runStats holds the results of a run, for the requests that arrive after the stop.
 type runStats struct {
 	requests, attempts, refused, broken int
-	withoutRetryAfter                   int // Refusals without a RetryAfter.
-	completed                           int // Requests completed more than settleTime after the stop, whenever they arrived.
+	refusalsWithoutRetryAfter           int // Refusals without a RetryAfter.
+	completed                           int // Requests completed more than settleTime after the stop, including those that arrived before it.
 	slowestRefusal                      time.Duration
 }
 
@@ -67,7 +67,7 @@
 	s.attempts += other.attempts
 	s.refused += other.refused
 	s.broken += other.broken
-	s.withoutRetryAfter += other.withoutRetryAfter
+	s.refusalsWithoutRetryAfter += other.refusalsWithoutRetryAfter
 	s.completed += other.completed
 	s.slowestRefusal = max(s.slowestRefusal, other.slowestRefusal)
 }
@@ -84,8 +84,8 @@
 	stats   runStats
 }
 
-// run offers requests to the servers. Half of them stop at stopAt or, with
-// halfFleet, don't exist.
+// run sends requests to the servers. Half of the servers stop at stopAt. With
+// halfFleet, that half does not exist from the start, which is the baseline.
 func run(seed uint64, p policy, halfFleet bool) runStats {
 	r := &runner{clock: &model.Clock{}, random: rand.New(rand.NewPCG(seed, 21)), policy: p}
 	for index := range servers {
@@ -111,7 +111,7 @@
 
 func engineConfig() model.EngineConfig {
 	return model.EngineConfig{
-		Full: 32, Cold: 4, WarmAfter: 8, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
+		Full: 32, Cold: 4, WarmUpRequests: 8, PrefillTime: 100 * time.Microsecond, StepTime: 27 * time.Millisecond,
 		ColdPrefillFactor: 4, CacheBlocks: 4096, ReportLag: 500 * time.Millisecond,
 	}
 }
@@ -122,9 +122,9 @@
 	var arrive func()
 	arrive = func() {
 		budget = budget.Deposit()
-		q := &request{runner: r, budget: &budget, arrived: r.clock.Now(), work: drawRequest(arrivals), excluded: map[int]bool{}}
-		q.counted = q.arrived >= stopAt && q.arrived < runLength-requestTimeout
-		if q.counted {
+		q := &request{runner: r, budget: &budget, arrivedAt: r.clock.Now(), work: drawRequest(arrivals), excluded: map[int]bool{}}
+		q.measured = q.arrivedAt >= stopAt && q.arrivedAt < runLength-requestTimeout
+		if q.measured {
 			r.stats.requests++
 		}
 		q.attempt(1)
@@ -144,14 +144,14 @@
 	}
 }
 
-// request is a request of one caller.
+// request is one request of a caller with the state of its attempts.
 type request struct {
-	runner   *runner
-	budget   *retry.Budget
-	arrived  time.Duration
-	counted  bool
-	work     model.Work
-	excluded map[int]bool
+	runner    *runner
+	budget    *retry.Budget
+	arrivedAt time.Duration
+	measured  bool // Whether the request is included in the statistics.
+	work      model.Work
+	excluded  map[int]bool // Servers that have failed an attempt of this request.
 }
 
 func (q *request) attempt(number int) {
@@ -161,7 +161,7 @@
 		q.recordFailure(refusal)
 		return
 	}
-	if q.counted {
+	if q.measured {
 		r.stats.attempts++
 	}
 	responseStarted := false
@@ -181,8 +181,8 @@
 
 func (q *request) handleFailure(number, server int, err *result.Error, responseStarted bool) {
 	attempt := retry.Attempt{
-		Number: number, Err: err, ResponseStarted: responseStarted, Idempotent: true, Waited: q.runner.clock.Now() - q.arrived,
-		Remaining: q.work.Deadline - (q.runner.clock.Now() - q.arrived),
+		Number: number, Err: err, ResponseStarted: responseStarted, Idempotent: true, Waited: q.runner.clock.Now() - q.arrivedAt,
+		Remaining: q.work.Deadline - (q.runner.clock.Now() - q.arrivedAt),
 	}
 	var retryAllowed bool
 	if *q.budget, retryAllowed = q.runner.policy.shouldRetry(*q.budget, attempt); !retryAllowed {
@@ -194,7 +194,7 @@
 }
 
 func (q *request) recordFailure(err *result.Error) {
-	if !q.counted {
+	if !q.measured {
 		return
 	}
 	stats := &q.runner.stats
@@ -204,9 +204,9 @@
 	}
 	stats.refused++
 	if retry.FinalError(err, q.runner.random.Uint64()).RetryAfter <= 0 {
-		stats.withoutRetryAfter++
+		stats.refusalsWithoutRetryAfter++
 	}
-	stats.slowestRefusal = max(stats.slowestRefusal, q.runner.clock.Now()-q.arrived)
+	stats.slowestRefusal = max(stats.slowestRefusal, q.runner.clock.Now()-q.arrivedAt)
 }
 
 // choose probes a few agents as an entry does, in up to probeRounds rounds.
--- a/ctl/load/answer_trace.go
+++ b/ctl/load/answer_trace.go
@@ -8,12 +8,12 @@
 // gap is the time between two consecutive parts of one answer.
 type gap struct {
 	duration time.Duration
-	tokens   int // Number of tokens in the later part.
+	tokens   int // Number of tokens in the later of the two parts.
 }
 
 // answerTrace records the arrival times and the text of the parts of one answer.
 type answerTrace struct {
-	first   time.Time // Arrival of the first part with text.
+	first   time.Time // Time at which the first part with text arrived.
 	last    time.Time
 	gaps    []gap
 	tokens  int
--- a/ctl/load/recorder.go
+++ b/ctl/load/recorder.go
@@ -9,7 +9,8 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// Range, in microseconds, and precision of the latency histograms.
+// Range, in microseconds, and precision, in significant decimal digits, of the
+// latency histograms.
 const (
 	lowestMicros      = 1
 	highestMicros     = int64(10 * time.Minute / time.Microsecond)
@@ -22,13 +23,13 @@
 // Possible outcomes.
 const (
 	Whole     Outcome = "whole"     // The complete answer arrived and, if enabled, was verified.
-	Refused   Outcome = "refused"   // Refused with a result code; the request was not run.
-	Failed    Outcome = "failed"    // Failed with a result code; the request may have run.
+	Refused   Outcome = "refused"   // The response is an error which states that the request was not run.
+	Failed    Outcome = "failed"    // The response is an error after which the request may have run.
 	Cut       Outcome = "cut"       // The answer was truncated.
 	Wrong     Outcome = "wrong"     // The content of the answer does not belong to this request.
 	TimedOut  Outcome = "timed_out" // The request did not finish within its timeout.
 	Transport Outcome = "transport" // The connection failed without a result code.
-	Dropped   Outcome = "dropped"   // Not sent, because too many requests were in flight.
+	Dropped   Outcome = "dropped"   // The request was not sent, because too many requests were in flight.
 )
 
 type latencyHistogram struct{ histogram *hdrhistogram.Histogram }
@@ -48,30 +49,31 @@
 	intended   time.Duration // Intended start, as an offset from the start of the run.
 	delay      time.Duration // Time between the intended and the actual start.
 	first      time.Duration // Time from the intended start to the first token.
-	total      time.Duration // Time from the intended start to the end.
+	totalTime  time.Duration // Time from the intended start to the end of the request.
 	attempts   int
 	retryCodes []result.Code // Result codes of the attempts that were retried.
 	trace      answerTrace
-	failure    *failure // Nil for a complete answer.
+	failure    *failure // Why there is no complete answer; nil if there is one.
 }
 
-// recorder aggregates the finished requests of one path to the engines.
+// recorder aggregates the finished requests of one path to the engines: through the
+// entries, or directly.
 type recorder struct {
-	mu            sync.Mutex
-	outcomes      map[Outcome]int
-	codes         map[result.Code]int // Result codes of final answers.
-	retriedCodes  map[result.Code]int // Result codes of attempts that were retried.
-	examples      map[Outcome]string  // Detail of the first failure of each kind.
-	attempts      int
-	served        int // Complete answers that ended within the measured period.
-	servedTokens  int // Tokens of all chats that ended within the measured period.
-	firstToken    latencyHistogram
-	betweenTokens latencyHistogram
-	betweenEvents latencyHistogram
-	wholeChat     latencyHistogram
-	wholeCall     latencyHistogram
-	startDelay    latencyHistogram
-	timeline      *timeline
+	mu              sync.Mutex
+	outcomes        map[Outcome]int
+	codes           map[result.Code]int // Number of final answers by result code.
+	retriedCodes    map[result.Code]int // Number of retried attempts by result code.
+	examples        map[Outcome]string  // Detail of the first failure of each kind.
+	attempts        int
+	completeAnswers int // Number of complete answers that ended within the measured period.
+	chatTokens      int // Number of tokens of all chats that ended within the measured period.
+	firstToken      latencyHistogram
+	betweenTokens   latencyHistogram
+	betweenEvents   latencyHistogram
+	wholeChat       latencyHistogram
+	wholeCall       latencyHistogram
+	startDelay      latencyHistogram
+	timeline        *timeline
 }
 
 func newRecorder() *recorder {
@@ -91,8 +93,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.timeline.add(record)
-	if end := record.intended + record.total; end >= options.WarmUp && end < options.Duration {
-		r.addServed(record)
+	if end := record.intended + record.totalTime; end >= options.WarmUp && end < options.Duration {
+		r.addThroughput(record)
 	}
 	if record.intended < options.WarmUp {
 		return
@@ -106,10 +108,10 @@
 	r.addLatencies(record)
 }
 
-func (r *recorder) addServed(record requestRecord) {
-	r.servedTokens += record.trace.tokens
+func (r *recorder) addThroughput(record requestRecord) {
+	r.chatTokens += record.trace.tokens
 	if record.failure == nil {
-		r.served++
+		r.completeAnswers++
 	}
 }
 
@@ -127,8 +129,9 @@
 	r.outcomes[kind]++
 }
 
-// addLatencies records the latencies that the caller saw: the time to first token
-// also for an answer that failed later, the total time only for complete answers.
+// addLatencies records the latencies that the caller saw. It records the time to
+// first token also for an answer that failed later, but the total time only for
+// complete answers.
 func (r *recorder) addLatencies(record requestRecord) {
 	if !record.trace.first.IsZero() {
 		r.firstToken.add(record.first, 1)
@@ -143,8 +146,8 @@
 		return
 	}
 	if record.req.chat {
-		r.wholeChat.add(record.total, 1)
+		r.wholeChat.add(record.totalTime, 1)
 		return
 	}
-	r.wholeCall.add(record.total, 1)
+	r.wholeCall.add(record.totalTime, 1)
 }
--- a/ctl/wholepath/path_test.go
+++ b/ctl/wholepath/path_test.go
@@ -101,19 +101,20 @@
 	if *profileDirectory == "" {
 		return func() {}
 	}
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, p := range []*process{s.entry, s.agents[0], s.engines[0]} {
-		group.Go(func() {
+		wg.Go(func() {
 			time.Sleep(profileDelay)
 			if err := p.saveProfile(*profileDirectory, int((*duration - profileDelay).Seconds())); err != nil {
 				b.Errorf("profile %s: %v", p.name, err)
 			}
 		})
 	}
-	return group.Wait
+	return wg.Wait
 }
 
-// usages returns the resources used so far by role; "client" is this process.
+// usages returns the resources that all processes of each role have used so far. The
+// role "client" is the benchmark's own process, which generates the load.
 func usages(b *testing.B, s *system) map[string]usage {
 	b.Helper()
 	sums := map[string]usage{"client": usageOf(b, os.Getpid())}
--- a/ctl/wholepath/processes_test.go
+++ b/ctl/wholepath/processes_test.go
@@ -19,11 +19,11 @@
 const (
 	readyTimeout = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
-	stopTimeout  = 5 * time.Second // Longer than an idle process takes to exit.
-	clockTicks   = 100             // Per second, in /proc/PID/stat.
+	stopTimeout  = 5 * time.Second // Time after SIGTERM until a process is killed; longer than an idle process takes to exit.
+	clockTicks   = 100             // Clock ticks per second, the unit of processor times in /proc/PID/stat.
 )
 
-// buildBinary builds persimmonwind once for the benchmark.
+// buildBinary builds the persimmonwind binary and returns its path.
 func buildBinary(b *testing.B) string {
 	b.Helper()
 	path := filepath.Join(b.TempDir(), "persimmonwind")
@@ -38,7 +38,7 @@
 type process struct {
 	name           string
 	command        *exec.Cmd
-	profileAddress string // host:port of the pprof endpoint.
+	profileAddress string // Address of the pprof endpoint, as host:port.
 	stopOnce       sync.Once
 }
 
@@ -74,7 +74,7 @@
 // usage is the resources that a process has used since its start.
 type usage struct {
 	cpu      time.Duration
-	bytes    int64 // Read and written by system calls, including sockets.
+	bytes    int64 // Bytes read and written by system calls, including those on sockets.
 	resident int64 // Current resident memory in bytes.
 }
 
--- a/ctl/wholepath/system_test.go
+++ b/ctl/wholepath/system_test.go
@@ -25,9 +25,9 @@
 	service      = "certifications"
 	operation    = "stamp"
 	key          = "load-key"
-	engineLimit  = 8192 // Concurrent generations; high enough never to be reached.
-	orgRate      = 1e6  // Requests per second; high enough never to be reached.
-	orgLimit     = 1e5  // Concurrent requests; high enough never to be reached.
+	engineLimit  = 8192 // Limit of concurrent generations of an engine; high enough never to be reached.
+	orgRate      = 1e6  // Rate limit of an organisation in requests per second; high enough never to be reached.
+	orgLimit     = 1e5  // Limit of concurrent requests of an organisation; high enough never to be reached.
 	dataCentre   = "dc-1"
 	entryName    = "entry-1"
 	leaveDelayMS = 1
@@ -37,10 +37,10 @@
 // systemSize gives the numbers of backend servers and organisations in the
 // configuration of a system.
 type systemSize struct {
-	engines       int // Running, each with its agent.
-	services      int // Running plain services, each with its agent.
-	idleServers   int // Not running; only in the configuration and the instance list.
-	organisations int
+	engines       int // Number of stand-in engines, each running with its agent.
+	services      int // Number of stand-in plain services, each running with its agent.
+	idleServers   int // Number of backend servers that are in the configuration and the instance list but do not run.
+	organisations int // Number of organisations; 0 means 1.
 }
 
 // system is one entry, some agents with their engines, and the store.
@@ -52,7 +52,7 @@
 
 	services []*process
 
-	keys       keys.Files // For TLS between the processes; empty without -tls.
+	keys       keys.Files // Key files for TLS between the processes; empty without -tls.
 	storeURL   string
 	entryURL   string
 	engineURLs []string
@@ -241,18 +241,18 @@
 	return path
 }
 
-// roles returns the processes by role.
+// roles returns the running processes, grouped by role.
 func (s *system) roles() map[string][]*process {
 	return map[string][]*process{"entry": {s.entry}, "agent": s.agents, "engine": s.engines, "service": s.services, "store": {s.store}}
 }
 
 // stop stops every process, so that the next system of the same benchmark runs alone.
 func (s *system) stop() {
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, processes := range s.roles() {
 		for _, p := range processes {
-			group.Go(p.stop)
+			wg.Go(p.stop)
 		}
 	}
-	group.Wait()
+	wg.Wait()
 }
--- a/server/e2e/configuration_test.go
+++ b/server/e2e/configuration_test.go
@@ -58,10 +58,10 @@
 
 // takeOut takes out or returns a data centre through the entry and returns the
 // accepted revision.
-func (s *system) takeOut(entry, dataCentre string, out bool) uint64 {
+func (s *system) takeOut(entry, dataCentre string, takenOut bool) uint64 {
 	s.t.Helper()
 	suffix := adminapi.SuffixReturn
-	if out {
+	if takenOut {
 		suffix = adminapi.SuffixTakeOut
 	}
 	var accepted adminapi.Accepted
@@ -96,7 +96,7 @@
 
 func (s *system) setStoreFaults(faults fault.Faults) { s.put(s.storeURL+"/faults", faults) }
 
-// readCount returns a counter of a stand-in backend server.
+// readCount returns the counter that a stand-in backend server serves at the path.
 func (s *system) readCount(server, path string) int {
 	s.t.Helper()
 	response, err := http.Get(s.backendURLs[server] + path)
@@ -125,9 +125,10 @@
 	return s
 }
 
-// TestRacingOperators sends concurrent changes against one revision through two entries
-// while the store loses responses. It guards against a lost update and against a
-// response that differs from the outcome: exactly one change per round is accepted.
+// TestRacingOperators sends concurrent changes that are based on the same revision
+// through two entries while the store loses responses. It guards against a lost update
+// and against a response that differs from the outcome: exactly one change per round is
+// accepted.
 func TestRacingOperators(t *testing.T) {
 	s := newThreeDataCentreSystem(t)
 	text := func(region int) []byte {
@@ -137,9 +138,9 @@
 	for round := range uint64(rounds) {
 		s.setStoreFaults(fault.Faults{LoseAnswers: int(round)})
 		statuses := make([]int, 4)
-		var group sync.WaitGroup
+		var wg sync.WaitGroup
 		for racer := range statuses {
-			group.Go(func() {
+			wg.Go(func() {
 				entry := fmt.Sprintf("entry-%d", 1+racer%2)
 				request := adminapi.ApplyRequest{
 					ID:    fmt.Sprintf("round-%d-racer-%d", round, racer),
@@ -148,7 +149,7 @@
 				statuses[racer] = s.callAdmin(entry, "boris-token", http.MethodPost, adminapi.PathApply, round+1, request, nil)
 			})
 		}
-		group.Wait()
+		wg.Wait()
 		won := 0
 		for racer, status := range statuses {
 			outcome := s.callAdmin("entry-1", "vera-token", http.MethodGet, fmt.Sprintf("%sround-%d-racer-%d", adminapi.PathApplies, round, racer), 0, nil, nil)
@@ -175,7 +176,8 @@
 	}
 }
 
-// TestFileByPut applies one configuration file sent as the body of a PUT request.
+// TestFileByPut sends one configuration file as the body of PUT requests. It checks the
+// requirements on the If-Match header, the operator's permission and the file.
 func TestFileByPut(t *testing.T) {
 	s := newSystem(t)
 	s.addEntry("entry-1", "dc-1")
--- a/server/e2e/whole_answers_test.go
+++ b/server/e2e/whole_answers_test.go
@@ -50,9 +50,9 @@
 }
 
 // TestWholeAnswersWhileProcessesDie streams many answers concurrently while an engine and
-// an agent are killed, an agent is suspended, and an engine cuts streams and sends pieces
-// twice, out of order and of other answers. A refusal must state that the work was not
-// run and give a retry delay; the answer to the retry must be complete.
+// an agent are killed, an agent is suspended, and an engine cuts off streams and sends
+// pieces of an answer twice, out of order or from other answers. A refusal must state that
+// the work was not run and give a retry delay; the answer to the retry must be complete.
 func TestWholeAnswersWhileProcessesDie(t *testing.T) {
 	s := newSystem(t)
 	s.apply(config.Files{config.FileBackendServers: highLimitServers(t, 5), config.FileOrganisations: unlimitedOrganisations(t)})
@@ -73,9 +73,9 @@
 	s.agents["engine-3"].signal(syscall.SIGSTOP)
 	load.awaitAnswers(concurrentStreams / 2)
 	if failed := load.stop(); len(failed) > 0 {
-		t.Errorf("%d of %d requests were not answered completely, first: %s", len(failed), load.done.Load(), failed[0])
+		t.Errorf("%d of %d requests were not answered completely, first: %s", len(failed), load.endedChats.Load(), failed[0])
 	}
-	t.Logf("%d requests answered after %d refusals without a run", load.done.Load(), load.refused.Load())
+	t.Logf("%d requests answered after %d refusals without a run", load.endedChats.Load(), load.retriedRefusals.Load())
 }
 
 // TestCutAnswerIsSeenAsCut kills the entry, or the only engine, in the middle of
--- a/server/soak/callers_test.go
+++ b/server/soak/callers_test.go
@@ -23,32 +23,34 @@
 	// settleTime is how long a process must have been free of faults before rules
 	// with a time limit apply to it.
 	settleTime = 3 * time.Second
-	// applyLimit is the time within which a new configuration takes effect,
-	// drainLimit the time after which a leaving server gets no new requests.
+	// applyLimit is the time within which a new configuration must take effect.
 	applyLimit = 2 * time.Second
+	// drainLimit is the time after which a backend server that is marked as leaving
+	// must get no new requests.
 	drainLimit = 2 * time.Second
 )
 
-// attempt is one request and its outcome as seen by the caller.
+// attempt is one request, which the caller sends only once, and its outcome as seen by
+// the caller.
 type attempt struct {
-	id       string
-	path     string
-	entry    *machine
-	started  time.Time
-	ended    time.Time
-	status   int // 0 if no response arrived.
-	refused  bool
-	complete bool
-	failure  string
+	id        string
+	path      string
+	entry     *machine
+	startedAt time.Time
+	endedAt   time.Time
+	status    int // HTTP status; 0 if no response arrived.
+	refused   bool
+	complete  bool
+	failure   string
 }
 
-// checker records the outcomes that callers see and the violations found in them
-// and in the ledger of the backend servers.
+// checker records the outcomes that callers see, and the violations of guarantees
+// found in them and in the execution log of the backend servers.
 type checker struct {
 	d        *deployment
 	mu       sync.Mutex
 	attempts []attempt
-	violated []string // One text for each violated guarantee.
+	violated []string // Descriptions of the violations found.
 	sent     atomic.Int64
 }
 
@@ -69,10 +71,10 @@
 	for ctx.Err() == nil {
 		a := attempt{
 			id: fmt.Sprintf("%d-%d-%d", seed, number, c.sent.Add(1)), path: paths[random.IntN(len(paths))],
-			entry: c.d.machines[random.IntN(entries)], started: time.Now(),
+			entry: c.d.machines[random.IntN(entries)], startedAt: time.Now(),
 		}
 		c.send(client, &a)
-		a.ended = time.Now()
+		a.endedAt = time.Now()
 		c.mu.Lock()
 		c.attempts = append(c.attempts, a)
 		c.mu.Unlock()
@@ -200,18 +202,20 @@
 	}
 }
 
-// checkLedger checks the runs at the backend servers once all attempts have ended:
-// no request that must not be repeated ran twice, no refused request ran, no request
-// ran at more than two servers, and all ranks used the same map in each pass.
-func (c *checker) checkLedger() {
+// checkExecutions checks the execution log of the backend servers once all attempts
+// have ended: no non-idempotent request was executed twice, no refused request was
+// executed unless it is idempotent, and no request was executed more than twice. It also
+// checks that all ranks of the group used the same expert map in each pass, a step of
+// the model that the ranks run in lockstep.
+func (c *checker) checkExecutions() {
 	byID := map[string]*attempt{}
 	for i := range c.attempts {
 		byID[c.attempts[i].id] = &c.attempts[i]
 	}
-	c.d.ledger.Each(func(id string, runs []platformtest.Execution) {
+	c.d.executionLog.Each(func(id string, runs []platformtest.Execution) {
 		a := byID[id]
 		if a == nil {
-			return // A request of checkConfiguration, or of a caller that was stopped.
+			return // The request was sent by checkConfiguration, or by a caller that was stopped.
 		}
 		if strings.HasPrefix(a.path, "/book") && len(runs) > 1 {
 			c.violated = append(c.violated, fmt.Sprintf("%s: ran %d times: %v", id, len(runs), runs))
--- a/server/soak/deployment_test.go
+++ b/server/soak/deployment_test.go
@@ -21,17 +21,18 @@
 	entries      = 3
 	ranks        = 4
 	plainServers = 3
-	serverPort   = 9000 // Port of a backend server itself.
-	linkPort     = 9100 // Port of the proxy under which a backend server is listed.
+	serverPort   = 9000 // Port on which a backend server listens, behind its proxy.
+	linkPort     = 9100 // Port of the proxy in front of a backend server, which is the address in the server's row.
 	slots        = 12
-	// exitLimit is the grace period plus the time a process needs to exit.
+	// exitLimit is the maximum time from SIGTERM to the exit of a process: its grace period
+	// plus the time that it needs to exit.
 	exitLimit = 10 * time.Second
 )
 
 var shape = platformtest.Shape{Ranks: ranks, Sets: 2, Experts: 16, Places: 6}
 
-// machine runs one process of the system at its own IP address, with its own link to
-// the store.
+// machine runs one process of the system, an entry or an agent, at its own IP address
+// and with its own proxy to the store, as if the process had a machine to itself.
 type machine struct {
 	name, role, ip   string
 	settingsVariable string // Environment variable that names the settings file, as name=value.
@@ -43,7 +44,8 @@
 	exited  chan struct{}
 }
 
-// backend is a backend server with the proxy under whose address it is listed.
+// backend is a backend server with the proxy in front of it. The store lists the
+// server under the address of the proxy.
 type backend struct {
 	server  *platformtest.Server
 	service string
@@ -54,33 +56,33 @@
 
 // deployment is the store, the backend servers and the system's processes.
 type deployment struct {
-	t        *testing.T
-	dir      string
-	network  string // First three octets of every address.
-	store    *platformtest.Store
-	group    *platformtest.Group
-	ledger   *platformtest.ExecutionLog
-	backends []*backend
-	machines []*machine // Entries first.
+	t             *testing.T
+	dir           string
+	networkPrefix string // First three octets of the deployment's IP addresses.
+	store         *platformtest.Store
+	group         *platformtest.Group
+	executionLog  *platformtest.ExecutionLog
+	backends      []*backend
+	machines      []*machine // The entries, followed by the agents.
 
 	mu         sync.Mutex
 	version    int64
-	extraRoute bool      // The configuration has the extra route.
-	changedAt  time.Time // When the latest configuration was stored.
+	extraRoute bool      // Whether the latest configuration has the route /extra/.
+	changedAt  time.Time // Time at which the latest configuration was stored.
 	faults     []fault
 }
 
-// fault is a fault of a process or a link and its period.
+// fault is the period of a fault of a process or a link.
 type fault struct {
-	machine     *machine // Nil for the link of a backend server.
+	machine     *machine // The process with the fault, or whose link has it; nil for the link of a backend server.
 	from, until time.Time
 }
 
 // newDeployment starts a deployment on loopback addresses of its own.
 func newDeployment(t *testing.T, seed uint64, number int) *deployment {
 	d := &deployment{
-		t: t, dir: t.TempDir(), network: fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, number%250+1),
-		store: platformtest.NewStore(), group: platformtest.NewGroup(shape, seed), ledger: platformtest.NewExecutionLog(),
+		t: t, dir: t.TempDir(), networkPrefix: fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, number%250+1),
+		store: platformtest.NewStore(), group: platformtest.NewGroup(shape, seed), executionLog: platformtest.NewExecutionLog(),
 	}
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
@@ -109,7 +111,7 @@
 }
 
 func (d *deployment) address(host, port int) string {
-	return fmt.Sprintf("%s.%d:%d", d.network, host, port)
+	return fmt.Sprintf("%s.%d:%d", d.networkPrefix, host, port)
 }
 
 func (d *deployment) serve(address string, handler http.Handler) {
@@ -123,7 +125,7 @@
 }
 
 func (d *deployment) addBackend(i int, id string) {
-	b := &backend{server: &platformtest.Server{ID: id, Slots: slots, ExecutionLog: d.ledger}, service: platformtest.PlainService, zone: fmt.Sprint("dc-", i%2)}
+	b := &backend{server: &platformtest.Server{ID: id, Slots: slots, ExecutionLog: d.executionLog}, service: platformtest.PlainService, zone: fmt.Sprint("dc-", i%2)}
 	if i < ranks {
 		b.server.Group, b.server.Rank, b.service = d.group, i, platformtest.EngineService
 	}
@@ -156,7 +158,7 @@
 }
 
 func (d *deployment) addMachine(name, role string, host int, backendServer *backend) {
-	m := &machine{name: name, role: role, ip: fmt.Sprintf("%s.%d", d.network, host)}
+	m := &machine{name: name, role: role, ip: fmt.Sprintf("%s.%d", d.networkPrefix, host)}
 	m.storeLink = newProxy(d.t, d.address(host, platformtest.StorePort), d.address(250, platformtest.StorePort))
 	settings := platformtest.Machine{Name: name, Zone: "dc-0", IP: m.ip, Store: m.storeLink.listener.Addr().String()}
 	if backendServer != nil {
@@ -218,11 +220,11 @@
 // kill kills the process, even if it is suspended, and waits for its exit.
 func (m *machine) kill() {
 	m.signal(syscall.SIGKILL)
-	<-m.done()
+	<-m.exitedChannel()
 }
 
-// done returns a channel that is closed once the current process has exited.
-func (m *machine) done() <-chan struct{} {
+// exitedChannel returns a channel that is closed once the current process has exited.
+func (m *machine) exitedChannel() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.exited
@@ -232,15 +234,15 @@
 // did.
 func (m *machine) awaitExit() bool {
 	select {
-	case <-m.done():
+	case <-m.exitedChannel():
 		return true
 	case <-time.After(exitLimit):
 		return false
 	}
 }
 
-// fault records that there is a fault of the process or its link, or of a backend server's
-// link if m is nil, that starts now and has the given length.
+// fault records a fault that starts now and lasts for the period. It is a fault of the
+// process or its link to the store, or of the link of a backend server if m is nil.
 func (d *deployment) fault(m *machine, period time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
--- a/server/soak/soak_test.go
+++ b/server/soak/soak_test.go
@@ -73,7 +73,7 @@
 	passAfter := d.pass()
 	stop()
 	running.Wait()
-	c.checkLedger()
+	c.checkExecutions()
 	c.checkRecovery(recoveredAt)
 	if passAfter == passBefore {
 		c.report("the group runs no passes after all faults have ended")
@@ -92,6 +92,8 @@
 	}
 }
 
+// pass returns the number of the last pass of the group. A pass is a step of the model
+// that all ranks run in lockstep.
 func (d *deployment) pass() int64 {
 	_, pass := d.group.Version()
 	return pass
@@ -118,7 +120,7 @@
 func (c *checker) checkRecovery(from time.Time) {
 	sent, completed := 0, 0
 	for _, a := range c.attempts {
-		if a.started.After(from) {
+		if a.startedAt.After(from) {
 			sent++
 			if a.complete {
 				completed++
@@ -203,14 +205,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.attempts {
-		inFlight := a.entry == m && a.started.Before(signalled.Add(-50*time.Millisecond)) && a.ended.After(signalled)
-		if inFlight && a.status == 0 && !c.d.faultBetween(a.started, a.ended, func(other *machine) bool { return other != m }) {
+		inFlight := a.entry == m && a.startedAt.Before(signalled.Add(-50*time.Millisecond)) && a.endedAt.After(signalled)
+		if inFlight && a.status == 0 && !c.d.faultBetween(a.startedAt, a.endedAt, func(other *machine) bool { return other != m }) {
 			c.violated = append(c.violated, fmt.Sprintf("%s: cut off by the termination of %s: %s", a.id, m.name, a.failure))
 		}
 	}
 }
 
-// hangup sends SIGHUP to a process.
+// hangup sends SIGHUP to a process, which must not disturb it.
 func (f *faultInjector) hangup(m *machine, _ time.Duration) { m.signal(syscall.SIGHUP) }
 
 // disturbStoreLink disturbs the link between a process and the store.
@@ -261,13 +263,14 @@
 	}
 }
 
-// drain marks a plain backend server as leaving, and later as serving again.
+// drain marks the backend server of a plain service as leaving, and later as serving
+// again.
 func (f *faultInjector) drain(_ *machine, period time.Duration) {
 	b := f.d.backends[ranks+f.random.IntN(plainServers-1)]
 	f.d.putServer(b, true)
-	left := time.Now()
+	markedAt := time.Now()
 	f.endAfter(drainLimit+period, func() {
-		f.c.checkDrained(b, left, time.Now())
+		f.c.checkDrained(b, markedAt, time.Now())
 		f.d.putServer(b, false)
 	})
 }
@@ -275,14 +278,14 @@
 // checkDrained checks that entries sent the server no new request later than
 // drainLimit after it was marked as leaving. It checks nothing if there was a fault
 // between settleTime before the mark and the return, as entries may then lag behind.
-func (c *checker) checkDrained(b *backend, left, returned time.Time) {
-	if c.d.faultBetween(left.Add(-settleTime), returned, func(*machine) bool { return true }) {
+func (c *checker) checkDrained(b *backend, markedAt, returnedAt time.Time) {
+	if c.d.faultBetween(markedAt.Add(-settleTime), returnedAt, func(*machine) bool { return true }) {
 		return
 	}
-	c.d.ledger.Each(func(id string, runs []platformtest.Execution) {
+	c.d.executionLog.Each(func(id string, runs []platformtest.Execution) {
 		for _, run := range runs {
-			if run.Server == b.server.ID && run.At.After(left.Add(drainLimit)) && run.At.Before(returned) {
-				c.report("%s: ran at %s %v after it was marked as leaving", id, run.Server, run.At.Sub(left))
+			if run.Server == b.server.ID && run.At.After(markedAt.Add(drainLimit)) && run.At.Before(returnedAt) {
+				c.report("%s: ran at %s %v after it was marked as leaving", id, run.Server, run.At.Sub(markedAt))
 			}
 		}
 	})
@@ -297,12 +300,13 @@
 // loseHistory makes the store drop its history of changes.
 func (f *faultInjector) loseHistory(*machine, time.Duration) { f.d.store.DropHistory() }
 
-// loseOrders makes the engines leave 30 % of the orders unanswered and execute them
-// late.
+// loseOrders makes the engines leave 30 % of the agents' orders about the expert map
+// unanswered and execute them late.
 func (f *faultInjector) loseOrders(_ *machine, period time.Duration) {
 	f.d.group.DelayOrders(0.3)
 	f.endAfter(period, func() { f.d.group.DelayOrders(0) })
 }
 
-// reformGroup starts a new epoch of the group, as after the crash of a rank.
+// reformGroup starts a new epoch of the group, as after the crash of a rank: all ranks
+// lose their expert maps.
 func (f *faultInjector) reformGroup(*machine, time.Duration) { f.d.group.StartEpoch() }
