--- a/server/agent/admitter.go
+++ b/server/agent/admitter.go
@@ -36,11 +36,11 @@
 
 // slot is the permission to run one piece of work; release returns it.
 type slot struct {
-	admitter    *admitter
-	ticket      uint64
-	broken      bool // The backend server failed during the work.
-	startOnce   sync.Once
-	releaseOnce sync.Once
+	admitter      *admitter
+	ticket        uint64
+	backendFailed bool // The backend server failed during the work.
+	startOnce     sync.Once
+	releaseOnce   sync.Once
 }
 
 // markStarted reports that the backend server has sent the first piece of the
@@ -55,7 +55,7 @@
 // was complete.
 func (s *slot) release(completed bool) {
 	s.releaseOnce.Do(func() {
-		s.admitter.node.Loop.Post(admission.Released{Ticket: s.ticket, Completed: completed, Broken: s.broken})
+		s.admitter.node.Loop.Post(admission.Released{Ticket: s.ticket, Completed: completed, Broken: s.backendFailed})
 	})
 }
 
@@ -65,7 +65,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	s.broken = true
+	s.backendFailed = true
 	if errors.Is(err, ports.ErrUnavailable) {
 		s.admitter.node.Loop.Post(admission.Unreachable{})
 	}
--- a/server/agent/generate.go
+++ b/server/agent/generate.go
@@ -59,13 +59,13 @@
 // relay copies one generation's pieces to the entry and resumes a broken
 // stream.
 type relay struct {
-	engine    ports.Engine
-	next      func(context.Context, *stream.Reader) (stream.Piece, error)
-	id        string
-	writer    *stream.Writer
-	assembler answer.Assembler[stream.Piece]
-	sent      int   // Pieces sent.
-	sendErr   error // Set once the entry can't be reached.
+	engine     ports.Engine
+	next       func(context.Context, *stream.Reader) (stream.Piece, error)
+	id         string
+	writer     *stream.Writer
+	assembler  answer.Assembler[stream.Piece]
+	sentPieces int   // Pieces sent.
+	sendErr    error // Set once the entry can't be reached.
 }
 
 func newRelay(engine ports.Engine, request ports.Generation, w http.ResponseWriter) *relay {
@@ -129,13 +129,13 @@
 		r.writer.Flush()
 	}
 	for index, piece := range pieces {
-		piece.Seq = r.sent
+		piece.Seq = r.sentPieces
 		piece.More = more || index < len(pieces)-1
 		if err := r.writer.Write(piece); err != nil {
 			r.sendErr = err
 			return err
 		}
-		r.sent++
+		r.sentPieces++
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	_ = r.writer.Write(stream.Piece{
-		ID: r.id, Seq: r.sent, From: r.assembler.Delivered(),
+		ID: r.id, Seq: r.sentPieces, From: r.assembler.Delivered(),
 		End: true, Code: result.CutAnswer, Detail: err.Error(),
 	})
 }
--- a/server/agent/poller.go
+++ b/server/agent/poller.go
@@ -18,15 +18,15 @@
 // poller reads a model engine's load reports and cache events and posts them
 // to the control loop.
 type poller struct {
-	agent   *Agent
-	started time.Time
-	bootID  string
-	seq     uint64 // Last cache event read.
+	agent        *Agent
+	startedAt    time.Time
+	bootID       string
+	lastCacheSeq uint64 // Last cache event read.
 }
 
 // run polls until ctx ends; for a plain service it only waits.
 func (p *poller) run(ctx context.Context) error {
-	p.started = time.Now()
+	p.startedAt = time.Now()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
@@ -52,21 +52,21 @@
 		return
 	}
 	if load.BootID != p.bootID {
-		p.bootID, p.seq = load.BootID, 0
+		p.bootID, p.lastCacheSeq = load.BootID, 0
 	}
 	p.agent.node.Loop.Post(admission.Reported{
 		BootID: load.BootID, Running: load.Running, Waiting: load.Waiting, CachedTokens: load.CachedTokens,
-		Cold: load.Cold, At: load.At, AgentStarted: p.started,
+		Cold: load.Cold, At: load.At, AgentStarted: p.startedAt,
 	})
 	p.pollCache(ctx)
 }
 
 func (p *poller) pollCache(ctx context.Context) {
-	events, err := p.agent.engine.CacheEvents(ctx, p.seq)
+	events, err := p.agent.engine.CacheEvents(ctx, p.lastCacheSeq)
 	if err != nil || len(events) == 0 {
 		return
 	}
-	p.seq = events[len(events)-1].Seq
+	p.lastCacheSeq = events[len(events)-1].Seq
 	changed := make([]prefix.Event, len(events))
 	for index, event := range events {
 		changed[index] = prefix.Event{Seq: event.Seq, Block: event.Block, Added: event.Added}
--- a/server/boundedlog/boundedlog.go
+++ b/server/boundedlog/boundedlog.go
@@ -21,15 +21,15 @@
 
 // Writer is an io.Writer that takes one whole line per Write.
 type Writer struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	closing chan struct{}
-	done    chan struct{}
+	lines          chan []byte
+	droppedLines   atomic.Int64
+	closeRequested chan struct{}
+	done           chan struct{}
 }
 
 // New returns a writer to out and starts its goroutine.
 func New(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, queueCapacity), closeRequested: make(chan struct{}), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
@@ -40,17 +40,17 @@
 	select {
 	case w.lines <- copied:
 	default:
-		w.dropped.Add(1)
+		w.droppedLines.Add(1)
 	}
 	return len(line), nil
 }
 
 // Dropped returns the number of lines dropped so far.
-func (w *Writer) Dropped() int64 { return w.dropped.Load() }
+func (w *Writer) Dropped() int64 { return w.droppedLines.Load() }
 
 // Close writes the queued lines and stops the writer.
 func (w *Writer) Close() {
-	close(w.closing)
+	close(w.closeRequested)
 	<-w.done
 }
 
@@ -59,11 +59,11 @@
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	var buffer []byte
-	var reported int64
+	var reportedDrops int64
 	flush := func() {
-		if dropped := w.dropped.Load(); dropped != reported {
-			buffer = fmt.Appendf(buffer, `{"event":108,"name":"log_dropped","level":"warning","dropped":%d}`+"\n", dropped-reported)
-			reported = dropped
+		if droppedLines := w.droppedLines.Load(); droppedLines != reportedDrops {
+			buffer = fmt.Appendf(buffer, `{"event":108,"name":"log_dropped","level":"warning","dropped":%d}`+"\n", droppedLines-reportedDrops)
+			reportedDrops = droppedLines
 		}
 		if len(buffer) > 0 {
 			// There is no place to report that the log can't be written.
@@ -79,7 +79,7 @@
 			}
 		case <-ticker.C:
 			flush()
-		case <-w.closing:
+		case <-w.closeRequested:
 			for {
 				select {
 				case line := <-w.lines:
--- a/server/configstore/apply.go
+++ b/server/configstore/apply.go
@@ -85,8 +85,8 @@
 	return accepted, s.commit(ctx, tx, change)
 }
 
-// prepared is a validated change.
-type prepared struct {
+// preparedChange is a validated change.
+type preparedChange struct {
 	current *config.Snapshot // Nil before the first revision.
 	next    *config.Snapshot
 	changed []string // Names of the files whose text differs.
@@ -94,8 +94,8 @@
 }
 
 // prepare validates the change against the head.
-func (s *Store) prepare(ctx context.Context, head Head, change Change) (prepared, error) {
-	var p prepared
+func (s *Store) prepare(ctx context.Context, head Head, change Change) (preparedChange, error) {
+	var p preparedChange
 	var err error
 	if head.Revision > 0 {
 		if p.current, err = s.snapshot(ctx, head, nil); err != nil {
@@ -127,7 +127,7 @@
 // centre that is taken out may not take out anything else, because agents in
 // other data centres don't ask there whether their configuration is current.
 // Leaving no data centre in service requires AllowLastDataCentre.
-func checkTakeOuts(p prepared, change Change) error {
+func checkTakeOuts(p preparedChange, change Change) error {
 	if p.current == nil {
 		return nil
 	}
@@ -159,7 +159,7 @@
 
 // buildTx stores the file texts, and a long list of changes, in the object store
 // and returns the transaction that accepts the change.
-func (s *Store) buildTx(ctx context.Context, head Head, version uint64, change Change, p prepared) (ports.Tx, error) {
+func (s *Store) buildTx(ctx context.Context, head Head, version uint64, change Change, p preparedChange) (ports.Tx, error) {
 	for _, name := range p.changed {
 		object := objectName(name, p.next.Versions[name].Digest)
 		if err := s.putObject(ctx, object, p.next.Files[name]); err != nil {
--- a/server/configstore/audit.go
+++ b/server/configstore/audit.go
@@ -46,7 +46,7 @@
 
 func changesObject(digest string) string { return "config/changes/" + digest }
 
-func newRecord(head Head, change Change, p prepared) Record {
+func newRecord(head Head, change Change, p preparedChange) Record {
 	return Record{
 		Revision: p.next.Revision, ApplyID: change.ID, Kind: change.Kind, Operator: change.Operator,
 		Entry: change.Entry, At: change.At, RollbackTo: change.RollbackTo,
--- a/server/dev/dev.go
+++ b/server/dev/dev.go
@@ -39,10 +39,10 @@
 
 // System is a whole system in one process. New builds it and Run runs it.
 type System struct {
-	Store    *store.Store
-	Entries  []Entry
-	Engines  map[string]*engine.Engine
-	Services map[string]*service.Service
+	Store   *store.Store
+	Entries []Entry
+	Engines map[string]*engine.Engine
+	Service map[string]*service.Service
 
 	snapshot *config.Snapshot
 	storeURL string
@@ -55,7 +55,7 @@
 func New(options Options) (*System, error) {
 	s := &System{
 		Store: store.New(), options: options,
-		Engines: map[string]*engine.Engine{}, Services: map[string]*service.Service{},
+		Engines: map[string]*engine.Engine{}, Service: map[string]*service.Service{},
 	}
 	files, err := ReadFiles(options.ConfigDir)
 	if err != nil {
--- a/server/dev/files.go
+++ b/server/dev/files.go
@@ -13,7 +13,7 @@
 )
 
 //go:embed config/*.jsonc
-var embedded embed.FS
+var embeddedFiles embed.FS
 
 // ReadFiles reads the configuration files of a directory, or the embedded ones if
 // dir is empty.
@@ -31,7 +31,7 @@
 
 func readFile(dir, name string) ([]byte, error) {
 	if dir == "" {
-		return embedded.ReadFile("config/" + name)
+		return embeddedFiles.ReadFile("config/" + name)
 	}
 	return os.ReadFile(filepath.Join(dir, name))
 }
--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -50,7 +50,7 @@
 func (s *System) newStandIn(server config.BackendServer) (http.Handler, string) {
 	if server.Service != "" {
 		standIn := service.New(serviceWorkTime)
-		s.Services[server.Name] = standIn
+		s.Service[server.Name] = standIn
 		return standIn.Handler(), settings.KindService
 	}
 	options := engine.DefaultOptions()
@@ -95,14 +95,14 @@
 		Control: listeners.Control.Addr().String(), Traffic: listeners.Callers.Addr().String(),
 	})
 	process := settings.Process{ID: id, DataCentre: dataCentre, Store: s.storeURL}
-	added := Entry{
+	newEntry := Entry{
 		Entry:      entry.New(settings.Entry{Process: process, Operators: operators()}, listeners, s.options.Log.WithField("process", id)),
 		DataCentre: dataCentre,
 		Callers:    listeners.Callers.Addr().String(),
 		Admin:      listeners.Admin.Addr().String(),
 	}
-	s.Entries = append(s.Entries, added)
-	s.addProcess(added.Run)
+	s.Entries = append(s.Entries, newEntry)
+	s.addProcess(newEntry.Run)
 	return nil
 }
 
--- a/server/entry/attempt/cancels.go
+++ b/server/entry/attempt/cancels.go
@@ -18,9 +18,9 @@
 	rows    *once.Rows
 	entries func() int // Number of live entries.
 
-	mu       sync.Mutex
-	budget   policy.Budget
-	inflight map[string]*inflightWrite
+	mu             sync.Mutex
+	budget         policy.Budget
+	inflightWrites map[string]*inflightWrite
 }
 
 // inflightWrite is a write in progress.
@@ -30,7 +30,7 @@
 }
 
 func newCancelWriter(rows *once.Rows, entries func() int) *cancelWriter {
-	return &cancelWriter{rows: rows, entries: entries, inflight: map[string]*inflightWrite{}}
+	return &cancelWriter{rows: rows, entries: entries, inflightWrites: map[string]*inflightWrite{}}
 }
 
 func (c *cancelWriter) write(ctx context.Context, key, fingerprint string, effect policy.WriteRow) reduce.Event {
@@ -55,7 +55,7 @@
 	entries := c.entries()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.inflight[name]; w != nil {
+	if w := c.inflightWrites[name]; w != nil {
 		return w, false
 	}
 	var allowed bool
@@ -64,12 +64,12 @@
 		return nil, false
 	}
 	w = &inflightWrite{done: make(chan struct{})}
-	c.inflight[name] = w
+	c.inflightWrites[name] = w
 	return w, true
 }
 
 func (c *cancelWriter) leave(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.inflight, name)
+	delete(c.inflightWrites, name)
 }
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -30,7 +30,7 @@
 	rowKey       string // Key of the row in the table service.
 	fingerprint  string // Of service, operation and body.
 	query        route.Query
-	attempts     int           // Attempts sent.
+	attemptCount int           // Attempts sent.
 	retryAfter   time.Duration // Retry-After of the latest refusal.
 	lastDetail   string
 	lastCode     result.Code // Of the latest refusal.
@@ -132,9 +132,9 @@
 	if time.Until(c.request.Deadline) < minAttemptTime {
 		return policy.NoTarget{Code: result.DeadlineTooShort}
 	}
-	c.attempts++
+	c.attemptCount++
 	c.query.ExcludedServers[target.BackendServer] = true
-	work := c.runner.work(c.request, c.attempts)
+	work := c.runner.work(c.request, c.attemptCount)
 	work.Key, work.Epoch = c.rowKey, epoch
 	c.budgetExempt = false
 	answer, err := c.runner.sendWatched(ctx, target, work, c.request.Body)
@@ -154,7 +154,7 @@
 // chargeAttempt reports whether another attempt may be made. The first one adds
 // to the retry budget; each further one is taken from it, unless it is exempt.
 func (c *keyedCall) chargeAttempt() bool {
-	if c.attempts == 0 {
+	if c.attemptCount == 0 {
 		c.runner.retryBudget.request()
 		return true
 	}
--- a/server/entry/limit/lease_call.go
+++ b/server/entry/limit/lease_call.go
@@ -5,9 +5,9 @@
 // leaseCall is one lease request to an organisation's home, on behalf of all
 // requests that wait for it.
 type leaseCall struct {
-	waiting int           // Guarded by Limiter.mu.
-	failed  bool          // The home did not answer; valid once done is closed.
-	done    chan struct{} // Closed when the call has ended.
+	waiterCount int           // Guarded by Limiter.mu.
+	failed      bool          // The home did not answer; valid once done is closed.
+	done        chan struct{} // Closed when the call has ended.
 }
 
 // leaseWaiter is a request that waits for a lease call.
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -27,22 +27,22 @@
 
 // Limiter admits requests within their organisations' limits.
 type Limiter struct {
-	node *node.Node
-	self string
+	node   *node.Node
+	selfID string
 
-	mu         sync.Mutex
-	home       *share.Home
-	locals     map[string]*share.Local
-	leaseCalls map[string]*leaseCall // In flight, by organisation.
-	entries    []string              // IDs of the entries at the last tick.
+	mu           sync.Mutex
+	homeAccounts *share.Home
+	localShares  map[string]*share.Local
+	leaseCalls   map[string]*leaseCall // In flight, by organisation.
+	entryIDs     []string              // IDs of the entries at the last tick.
 }
 
 // New returns the limiter of the entry with the ID self and registers it for
 // lease requests of other entries. It must be called before the node runs.
-func New(n *node.Node, self string) *Limiter {
+func New(n *node.Node, selfID string) *Limiter {
 	l := &Limiter{
-		node: n, self: self, home: share.NewHome(time.Now()), locals: map[string]*share.Local{},
-		leaseCalls: map[string]*leaseCall{}, entries: []string{self},
+		node: n, selfID: selfID, homeAccounts: share.NewHome(time.Now()), localShares: map[string]*share.Local{},
+		leaseCalls: map[string]*leaseCall{}, entryIDs: []string{selfID},
 	}
 	n.AddReceiver("Share", &receiver{limiter: l})
 	return l
@@ -94,15 +94,15 @@
 	return share.Limits{Rate: org.RequestsPerSecond, Concurrency: org.Concurrency}
 }
 
-// local returns this entry's share of the organisation's limits; l.mu must be
+// localShare returns this entry's share of the organisation's limits; l.mu must be
 // held.
-func (l *Limiter) local(org string) *share.Local {
-	local := l.locals[org]
-	if local == nil {
-		local = &share.Local{}
-		l.locals[org] = local
+func (l *Limiter) localShare(org string) *share.Local {
+	localShare := l.localShares[org]
+	if localShare == nil {
+		localShare = &share.Local{}
+		l.localShares[org] = localShare
 	}
-	return local
+	return localShare
 }
 
 // tryAdmit tries to admit a request. If that needs a lease, the request joins
@@ -110,7 +110,7 @@
 func (l *Limiter) tryAdmit(org string, limits share.Limits, attempts int) (share.Decision, leaseWaiter, *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	decision, err := l.local(org).TryAdmit(time.Now(), limits, attempts)
+	decision, err := l.localShare(org).TryAdmit(time.Now(), limits, attempts)
 	if decision != share.NeedsLease {
 		return decision, leaseWaiter{}, err
 	}
@@ -119,21 +119,21 @@
 		call = &leaseCall{done: make(chan struct{})}
 		l.leaseCalls[org] = call
 	}
-	call.waiting++
+	call.waiterCount++
 	return decision, leaseWaiter{leaseCall: call, leader: !inFlight}, nil
 }
 
 func (l *Limiter) releaseSlot(org string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.local(org).Release()
+	l.localShare(org).Release()
 }
 
 // requestLease requests a lease from the home on behalf of all requests that
 // have joined the call.
 func (l *Limiter) requestLease(ctx context.Context, org string, waiter leaseWaiter) {
 	l.mu.Lock()
-	request := l.local(org).Ask(time.Now(), org, l.self, waiter.waiting)
+	request := l.localShare(org).Ask(time.Now(), org, l.selfID, waiter.waiterCount)
 	l.mu.Unlock()
 	grant, err := l.sendLeaseRequest(context.WithoutCancel(ctx), request)
 	l.mu.Lock()
@@ -142,7 +142,7 @@
 		logevent.Write(l.node.Log(), logevent.HomeEntryUnreachable, map[string]any{"organisation": org, "error": err.Error()})
 		waiter.failed = true
 	} else {
-		l.local(org).ApplyGrant(time.Now(), grant)
+		l.localShare(org).ApplyGrant(time.Now(), grant)
 	}
 	delete(l.leaseCalls, org)
 	close(waiter.done)
@@ -153,7 +153,7 @@
 func (l *Limiter) admitLocally(org string, limits share.Limits) (release func(), err *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	decision, err := l.local(org).AdmitLocally(time.Now(), limits, len(l.entries), l.rank(org))
+	decision, err := l.localShare(org).AdmitLocally(time.Now(), limits, len(l.entryIDs), l.rank(org))
 	if decision != share.Admitted {
 		return nil, err
 	}
@@ -163,15 +163,15 @@
 // rank returns this entry's position in the rendezvous order of all entries for
 // the organisation.
 func (l *Limiter) rank(org string) int {
-	order := choose.Rendezvous(l.entries, choose.RendezvousKey(org), len(l.entries))
-	return slices.Index(order, slices.Index(l.entries, l.self))
+	order := choose.Rendezvous(l.entryIDs, choose.RendezvousKey(org), len(l.entryIDs))
+	return slices.Index(order, slices.Index(l.entryIDs, l.selfID))
 }
 
 // sendLeaseRequest sends the request to the organisation's home, which may be
 // this entry.
 func (l *Limiter) sendLeaseRequest(ctx context.Context, lease share.Ask) (share.Grant, error) {
 	home, address := l.homeOf(lease.Org)
-	if home == l.self {
+	if home == l.selfID {
 		return l.grant(lease), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
@@ -191,7 +191,7 @@
 
 func (l *Limiter) homeOf(org string) (id, address string) {
 	l.mu.Lock()
-	id = l.entries[choose.Rendezvous(l.entries, choose.RendezvousKey(org), 1)[0]]
+	id = l.entryIDs[choose.Rendezvous(l.entryIDs, choose.RendezvousKey(org), 1)[0]]
 	l.mu.Unlock()
 	for _, instance := range l.node.Instances() {
 		if instance.ID == id {
@@ -210,26 +210,26 @@
 	limits := limitsOf(snapshot.Organisations[request.Org])
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.home.Ask(time.Now(), limits, len(l.entries), request)
+	return l.homeAccounts.Ask(time.Now(), limits, len(l.entryIDs), request)
 }
 
 // updateEntries updates the list of entries from the instance list and drops
 // idle accounts.
 func (l *Limiter) updateEntries() {
-	entries := []string{l.self}
+	entryIDs := []string{l.selfID}
 	for _, instance := range l.node.Instances() {
-		if instance.Role == ports.RoleEntry && !instance.Leaving && instance.ID != l.self {
-			entries = append(entries, instance.ID)
+		if instance.Role == ports.RoleEntry && !instance.Leaving && instance.ID != l.selfID {
+			entryIDs = append(entryIDs, instance.ID)
 		}
 	}
-	slices.Sort(entries)
+	slices.Sort(entryIDs)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !slices.Equal(entries, l.entries) {
-		l.entries = entries
-		l.home.MarkReassigned(time.Now())
+	if !slices.Equal(entryIDs, l.entryIDs) {
+		l.entryIDs = entryIDs
+		l.homeAccounts.MarkReassigned(time.Now())
 	}
-	l.home.DropIdle(time.Now())
+	l.homeAccounts.DropIdle(time.Now())
 }
 
 // renewLeases renews the slots in use at their homes and returns the unused
@@ -241,7 +241,7 @@
 			continue
 		}
 		l.mu.Lock()
-		l.local(request.Org).ApplyRenewal(time.Now(), grant)
+		l.localShare(request.Org).ApplyRenewal(time.Now(), grant)
 		l.mu.Unlock()
 	}
 }
@@ -250,12 +250,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var requests []share.Ask
-	for org, local := range l.locals {
+	for org, local := range l.localShares {
 		switch {
 		case local.Idle(time.Now()):
-			delete(l.locals, org)
+			delete(l.localShares, org)
 		case local.NeedsRenewal(time.Now()):
-			requests = append(requests, local.RenewalRequest(org, l.self))
+			requests = append(requests, local.RenewalRequest(org, l.selfID))
 		}
 	}
 	return requests
--- a/server/entry/middleware.go
+++ b/server/entry/middleware.go
@@ -15,7 +15,7 @@
 // responseWriter records when the first byte of the response was written.
 type responseWriter struct {
 	http.ResponseWriter
-	firstByte time.Time // Zero before the first byte.
+	firstByteAt time.Time // Zero before the first byte.
 }
 
 // Unwrap lets http.ResponseController reach the connection.
@@ -32,8 +32,8 @@
 }
 
 func (w *responseWriter) recordFirstByte() {
-	if w.firstByte.IsZero() {
-		w.firstByte = time.Now()
+	if w.firstByteAt.IsZero() {
+		w.firstByteAt = time.Now()
 	}
 }
 
@@ -53,11 +53,11 @@
 			code = err.Code
 			logevent.Write(e.node.Log(), logevent.RequestFailed, logrus.Fields{"route": r.Pattern, "code": int(code), "detail": err.Detail})
 		}
-		if err != nil && writer.firstByte.IsZero() {
+		if err != nil && writer.firstByteAt.IsZero() {
 			writeError(writer, err)
 		}
-		if !writer.firstByte.IsZero() {
-			e.metrics.ObserveFirstByte(r.Pattern, writer.firstByte.Sub(start))
+		if !writer.firstByteAt.IsZero() {
+			e.metrics.ObserveFirstByte(r.Pattern, writer.firstByteAt.Sub(start))
 		}
 		e.metrics.ObserveRequest(r.Pattern, code, time.Since(start))
 	}
--- a/server/entry/route/gather.go
+++ b/server/entry/route/gather.go
@@ -32,7 +32,7 @@
 // gather probes all targets concurrently. It returns those that answered before
 // the timeout, or before the wait for better offers ended, and those that did
 // not answer within the whole timeout.
-func gather(ctx context.Context, timeout time.Duration, targets []Target, probe func(context.Context, Target) probeResult) (live, timedOut []Target) {
+func gather(ctx context.Context, timeout time.Duration, targets []Target, probe func(context.Context, Target) probeResult) (answered, timedOut []Target) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	results := make(chan probeResult, len(targets))
@@ -50,13 +50,13 @@
 				continue
 			}
 			probed.target.Probe = *probed.reply
-			live = append(live, probed.target)
+			answered = append(answered, probed.target)
 			if offerDeadline == nil && probed.reply.Refuses == result.OK {
 				offerDeadline = time.After(offerWait(probed.reply))
 			}
 		case <-offerDeadline:
-			return live, timedOut
+			return answered, timedOut
 		}
 	}
-	return live, timedOut
+	return answered, timedOut
 }
--- a/server/entry/route/probe.go
+++ b/server/entry/route/probe.go
@@ -13,7 +13,7 @@
 
 // probeAll probes the targets and returns those that answered and those that
 // timed out.
-func (r *Router) probeAll(ctx context.Context, targets []Target, prompt prefix.Prompt, query Query) (live, timedOut []Target) {
+func (r *Router) probeAll(ctx context.Context, targets []Target, prompt prefix.Prompt, query Query) (answered, timedOut []Target) {
 	request := wire.ProbeRequest{
 		Stamp: r.node.Stamp(), Model: query.Model, Adapter: query.Adapter,
 		Tokens: prompt.Tokens, Blocks: len(prompt.Blocks), Prefix: prefix.Sample(prompt.Blocks),
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -58,7 +58,7 @@
 	prompt := prefix.NewPrompt(query.Prompt)
 	trusted, suspected := r.suspects.split(r.candidates(query), time.Now())
 	var refusal *result.Error
-	var unanswered []Target
+	var allTimedOut []Target
 	for range probeRounds {
 		if len(trusted) == 0 {
 			trusted, suspected = suspected, nil
@@ -67,10 +67,10 @@
 			break
 		}
 		sampled, rest := r.sampleCandidates(trusted, query, prompt)
-		live, timedOut := r.probeAll(ctx, sampled, prompt, query)
-		unanswered = append(unanswered, timedOut...)
-		if len(live) > 0 {
-			target, err := r.best(live, query)
+		answered, timedOut := r.probeAll(ctx, sampled, prompt, query)
+		allTimedOut = append(allTimedOut, timedOut...)
+		if len(answered) > 0 {
+			target, err := r.best(answered, query)
 			if err == nil {
 				return target, nil
 			}
@@ -78,15 +78,15 @@
 		}
 		trusted = rest
 	}
-	return fallback(unanswered, refusal)
+	return fallback(allTimedOut, refusal)
 }
 
 // fallback returns the result when no agent made an offer. A refusal because of
 // load is assumed to hold for the agents that timed out too, and is returned;
 // any other refusal says nothing about them, so one of them is chosen.
-func fallback(unanswered []Target, refusal *result.Error) (Target, *result.Error) {
-	if len(unanswered) > 0 && (refusal == nil || !retry.IsLoadRefusal(refusal.Code)) {
-		return unanswered[rand.IntN(len(unanswered))], nil
+func fallback(timedOut []Target, refusal *result.Error) (Target, *result.Error) {
+	if len(timedOut) > 0 && (refusal == nil || !retry.IsLoadRefusal(refusal.Code)) {
+		return timedOut[rand.IntN(len(timedOut))], nil
 	}
 	if refusal != nil {
 		return Target{}, refusal
--- a/server/entry/route/suspects.go
+++ b/server/entry/route/suspects.go
@@ -11,24 +11,24 @@
 
 // suspects holds the agents whose latest probe failed, by backend server.
 type suspects struct {
-	mu    sync.Mutex
-	until map[string]time.Time
+	mu             sync.Mutex
+	suspectedUntil map[string]time.Time
 }
 
-func newSuspects() *suspects { return &suspects{until: map[string]time.Time{}} }
+func newSuspects() *suspects { return &suspects{suspectedUntil: map[string]time.Time{}} }
 
 // add marks the agent as suspected for suspicionTimeout.
 func (s *suspects) add(name string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until[name] = now.Add(suspicionTimeout)
+	s.suspectedUntil[name] = now.Add(suspicionTimeout)
 }
 
 // clear removes the suspicion from an agent that has answered.
 func (s *suspects) clear(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.until, name)
+	delete(s.suspectedUntil, name)
 }
 
 // split returns the targets that are not suspected, and those that are.
@@ -36,7 +36,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, target := range targets {
-		if now.Before(s.until[target.BackendServer]) {
+		if now.Before(s.suspectedUntil[target.BackendServer]) {
 			suspected = append(suspected, target)
 		} else {
 			trusted = append(trusted, target)
--- a/server/keys/keys.go
+++ b/server/keys/keys.go
@@ -53,10 +53,10 @@
 type Reloader struct {
 	files Files
 
-	mu       sync.Mutex
-	keys     *Keys
-	modified [3]time.Time // Modification times of the loaded files.
-	checked  time.Time    // Time of the last check for changes.
+	mu         sync.Mutex
+	keys       *Keys
+	modifiedAt [3]time.Time // Modification times of the loaded files.
+	checkedAt  time.Time    // Time of the last check for changes.
 }
 
 // NewReloader loads the files and returns a Reloader for them. The error names
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.keys, r.modified, r.checked = keys, modificationTimes(files), time.Now()
+	r.keys, r.modifiedAt, r.checkedAt = keys, modificationTimes(files), time.Now()
 	return r, nil
 }
 
@@ -76,23 +76,23 @@
 func (r *Reloader) Current() (*Keys, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); now.Sub(r.checked) >= checkInterval {
-		r.checked = now
+	if now := time.Now(); now.Sub(r.checkedAt) >= checkInterval {
+		r.checkedAt = now
 		r.reload()
 	}
 	return r.keys, nil
 }
 
 func (r *Reloader) reload() {
-	modified := modificationTimes(r.files)
-	if modified == r.modified {
+	modifiedAt := modificationTimes(r.files)
+	if modifiedAt == r.modifiedAt {
 		return
 	}
 	keys, err := loadKeys(r.files)
 	if err != nil {
 		return
 	}
-	r.keys, r.modified = keys, modified
+	r.keys, r.modifiedAt = keys, modifiedAt
 }
 
 func modificationTimes(files Files) (times [3]time.Time) {
--- a/server/keys/keys_test.go
+++ b/server/keys/keys_test.go
@@ -92,7 +92,7 @@
 			So(err, ShouldBeNil)
 			later := time.Now().Add(time.Minute)
 			So(os.Chtimes(files.Certificate, later, later), ShouldBeNil)
-			source.checked = time.Time{}
+			source.checkedAt = time.Time{}
 			after, _ := source.Current()
 			So(after, ShouldNotEqual, before)
 		})
@@ -101,7 +101,7 @@
 			So(os.WriteFile(files.Certificate, []byte("broken"), 0o600), ShouldBeNil)
 			later := time.Now().Add(time.Minute)
 			So(os.Chtimes(files.Certificate, later, later), ShouldBeNil)
-			source.checked = time.Time{}
+			source.checkedAt = time.Time{}
 			after, _ := source.Current()
 			So(after, ShouldEqual, before)
 		})
--- a/server/loop/loop.go
+++ b/server/loop/loop.go
@@ -20,13 +20,13 @@
 
 // Loop owns the control state S and publishes the view V of it.
 type Loop[S, V any] struct {
-	step      Step[S]
-	view      func(S) V
-	execute   func(reduce.Effect)
-	record    func(reduce.Input)
-	queue     chan reduce.Event
-	done      chan struct{}
-	published atomic.Pointer[V]
+	step          Step[S]
+	view          func(S) V
+	execute       func(reduce.Effect)
+	record        func(reduce.Input)
+	queue         chan reduce.Event
+	done          chan struct{}
+	publishedView atomic.Pointer[V]
 }
 
 // New returns a loop. view derives the view to publish from a state. execute is
@@ -50,7 +50,7 @@
 }
 
 // View returns the latest published view, or nil before Run.
-func (l *Loop[S, V]) View() *V { return l.published.Load() }
+func (l *Loop[S, V]) View() *V { return l.publishedView.Load() }
 
 // Done is closed when the loop has ended.
 func (l *Loop[S, V]) Done() <-chan struct{} { return l.done }
@@ -90,5 +90,5 @@
 
 func (l *Loop[S, V]) publish(state S) {
 	view := l.view(state)
-	l.published.Store(&view)
+	l.publishedView.Store(&view)
 }
--- a/server/metrics/metrics.go
+++ b/server/metrics/metrics.go
@@ -22,30 +22,30 @@
 
 // Metrics holds the metrics of one process in a registry of their own.
 type Metrics struct {
-	registry  *prometheus.Registry
-	requests  *prometheus.CounterVec
-	duration  *prometheus.HistogramVec
-	firstByte *prometheus.HistogramVec
+	registry         *prometheus.Registry
+	requestsTotal    *prometheus.CounterVec
+	requestSeconds   *prometheus.HistogramVec
+	firstByteSeconds *prometheus.HistogramVec
 }
 
 // New returns the metrics of a process. state returns its current control state.
 func New(state func() control.State) *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
+		requestsTotal: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total",
 			Help: "Requests answered, by route and numbered result code.",
 		}, []string{"route", "code"}),
-		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		requestSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds", Buckets: latencyBuckets,
 			Help: "Time from a request to the end of its answer, in seconds.",
 		}, []string{"route"}),
-		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstByteSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "first_byte_seconds", Buckets: latencyBuckets,
 			Help: "Time from a request to the first byte of its answer, in seconds.",
 		}, []string{"route"}),
 	}
-	m.registry.MustRegister(m.requests, m.duration, m.firstByte)
+	m.registry.MustRegister(m.requestsTotal, m.requestSeconds, m.firstByteSeconds)
 	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	m.registerStateGauges(state)
 	return m
@@ -97,14 +97,14 @@
 // ObserveFirstByte records the time from a request to the first byte of its
 // answer.
 func (m *Metrics) ObserveFirstByte(route string, elapsed time.Duration) {
-	m.firstByte.WithLabelValues(route).Observe(elapsed.Seconds())
+	m.firstByteSeconds.WithLabelValues(route).Observe(elapsed.Seconds())
 }
 
 // ObserveRequest records one answered request and the time until the end of its
 // answer.
 func (m *Metrics) ObserveRequest(route string, code result.Code, elapsed time.Duration) {
-	m.requests.WithLabelValues(route, strconv.Itoa(int(code))).Inc()
-	m.duration.WithLabelValues(route).Observe(elapsed.Seconds())
+	m.requestsTotal.WithLabelValues(route, strconv.Itoa(int(code))).Inc()
+	m.requestSeconds.WithLabelValues(route).Observe(elapsed.Seconds())
 }
 
 // Handler serves the metrics.
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -85,7 +85,7 @@
 	if snapshot.Revision <= n.State().View.Revision() {
 		return
 	}
-	n.recent.add(snapshot)
+	n.snapshotCache.add(snapshot)
 	logevent.Write(n.Log(), logevent.ConfigInstalled, logrus.Fields{"revision": snapshot.Revision})
 	n.Loop.Post(view.Fetched{Snapshot: snapshot})
 }
@@ -106,7 +106,7 @@
 	defer cancel()
 	current := n.State().View.InForce
 	peers := n.fetchCandidates(current)
-	found := make(chan *config.Snapshot, len(peers))
+	snapshots := make(chan *config.Snapshot, len(peers))
 	forEach(peers, func(peer ports.Instance) {
 		snapshot, err := n.requestConfiguration(ctx, peer, current)
 		if err != nil {
@@ -114,12 +114,12 @@
 			return
 		}
 		if snapshot != nil {
-			found <- snapshot
+			snapshots <- snapshot
 		}
 	})
-	close(found)
+	close(snapshots)
 	var newest *config.Snapshot
-	for snapshot := range found {
+	for snapshot := range snapshots {
 		if newest == nil || snapshot.Revision > newest.Revision {
 			newest = snapshot
 		}
--- a/server/node/members.go
+++ b/server/node/members.go
@@ -17,7 +17,7 @@
 // processes report about themselves. For an instance in both, the report takes
 // precedence; the list adds the instances that have not reported.
 type members struct {
-	self string // Own instance ID, which peers leaves out.
+	selfID string // Own instance ID, which peers leaves out.
 
 	mu       sync.Mutex
 	listed   []ports.Instance
@@ -33,8 +33,8 @@
 	at       time.Time
 }
 
-func newMembers(self string) *members {
-	return &members{self: self, reported: map[string]reportedInstance{}}
+func newMembers(selfID string) *members {
+	return &members{selfID: selfID, reported: map[string]reportedInstance{}}
 }
 
 // setListed replaces the platform's instance list and drops reported instances
@@ -103,7 +103,7 @@
 func (m *members) peers(keep func(ports.Instance) bool) []ports.Instance {
 	var peers []ports.Instance
 	for _, instance := range m.list() {
-		if instance.ID != m.self && keep(instance) {
+		if instance.ID != m.selfID && keep(instance) {
 			peers = append(peers, instance)
 		}
 	}
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -56,12 +56,12 @@
 	Transport      *http.Transport // For the platform and the backend server.
 	AgentTransport *http.Transport // For the agents' traffic servers.
 
-	executors   []func(context.Context, reduce.Effect) bool
-	receivers   map[string]any
-	members     *members
-	recent      recentSnapshots
-	newerPeerID atomic.Pointer[string] // ID of the peer that last reported a newer revision.
-	runContext  context.Context
+	executors     []func(context.Context, reduce.Effect) bool
+	receivers     map[string]any
+	members       *members
+	snapshotCache recentSnapshots
+	newerPeerID   atomic.Pointer[string] // ID of the peer that last reported a newer revision.
+	runContext    context.Context
 }
 
 // New returns a node that is not running yet.
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -69,7 +69,7 @@
 // offer sends the snapshot to all other processes. It closes the connections
 // that it opens, because a permanent full mesh would be too many connections.
 func (n *Node) offer(ctx context.Context, old, snapshot *config.Snapshot) (reached, total int) {
-	request := wire.OfferRequest{Stamp: n.Stamp(), Configuration: n.recent.deltaFor(snapshot, digests(old))}
+	request := wire.OfferRequest{Stamp: n.Stamp(), Configuration: n.snapshotCache.deltaFor(snapshot, digests(old))}
 	request.Stamp.Revision = snapshot.Revision
 	if insertedBytes(request.Configuration) > maxOfferBytes {
 		request.Configuration = wire.Configuration{}
@@ -156,7 +156,7 @@
 	reply.Stamp = r.node.Stamp()
 	snapshot := r.node.State().View.InForce
 	if snapshot != nil && snapshot.Revision > request.Stamp.Revision {
-		reply.Configuration = r.node.recent.deltaFor(snapshot, request.Have)
+		reply.Configuration = r.node.snapshotCache.deltaFor(snapshot, request.Have)
 	}
 	return nil
 }
--- a/server/standin/engine/cache.go
+++ b/server/standin/engine/cache.go
@@ -14,14 +14,14 @@
 // blockCache is a set of prefix blocks that evicts the least recently used one.
 type blockCache struct {
 	capacity int
-	order    *list.List
+	recency  *list.List
 	blocks   map[uint64]*list.Element
 	events   []ports.CacheEvent
 	seq      uint64
 }
 
 func newBlockCache(capacity int) *blockCache {
-	return &blockCache{capacity: capacity, order: list.New(), blocks: map[uint64]*list.Element{}}
+	return &blockCache{capacity: capacity, recency: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
 func (c *blockCache) len() int { return len(c.blocks) }
@@ -41,7 +41,7 @@
 }
 
 func (c *blockCache) remove(block uint64) {
-	c.order.Remove(c.blocks[block])
+	c.recency.Remove(c.blocks[block])
 	delete(c.blocks, block)
 	c.publish(block, false)
 }
@@ -49,13 +49,13 @@
 // touch inserts or refreshes the block; it reports whether it was present.
 func (c *blockCache) touch(block uint64) bool {
 	if element, ok := c.blocks[block]; ok {
-		c.order.MoveToFront(element)
+		c.recency.MoveToFront(element)
 		return true
 	}
-	c.blocks[block] = c.order.PushFront(block)
+	c.blocks[block] = c.recency.PushFront(block)
 	c.publish(block, true)
 	if len(c.blocks) > c.capacity {
-		c.remove(c.order.Back().Value.(uint64))
+		c.remove(c.recency.Back().Value.(uint64))
 	}
 	return false
 }
@@ -66,16 +66,16 @@
 	blocks := prefix.NewPrompt(prompt).Blocks
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	present := 0
-	leading := true
+	cachedBlocks := 0
+	inPrefix := true
 	for _, block := range blocks {
 		found := e.cache.touch(block)
-		leading = leading && found
-		if leading {
-			present++
+		inPrefix = inPrefix && found
+		if inPrefix {
+			cachedBlocks++
 		}
 	}
-	return present * prefix.BlockTokens
+	return cachedBlocks * prefix.BlockTokens
 }
 
 // CacheEvents returns the cache events after the sequence number.
--- a/server/standin/engine/engine.go
+++ b/server/standin/engine/engine.go
@@ -54,26 +54,26 @@
 	Faults  fault.Injector
 	options Options
 
-	mu          sync.Mutex
-	bootID      string
-	cold        bool
-	coldEpoch   int // Number of calls to TurnCold.
-	completed   int
-	started     int // Generations submitted.
-	overloads   int // Times the engine crashed from overload in cold start.
-	running     int
-	coldRunning int // Those of running that were started in cold start.
-	slotFreed   *sync.Cond
-	waiting     int
-	stalled     bool
-	generations map[string]*generation
-	cache       *blockCache
-	reports     []ports.EngineLoad
-	fence       uint64
-	orders      []ports.Order
-
-	streamFaults StreamFaults
-	sentPieces   atomic.Int64
+	mu               sync.Mutex
+	bootID           string
+	cold             bool
+	coldEpoch        int // Number of calls to TurnCold.
+	completed        int
+	startedCount     int // Generations submitted.
+	overloadCount    int // Times the engine crashed from overload in cold start.
+	runningCount     int
+	coldRunningCount int // Those of running that were started in cold start.
+	slotFreed        *sync.Cond
+	waitingCount     int
+	stalled          bool
+	generations      map[string]*generation
+	cache            *blockCache
+	reports          []ports.EngineLoad
+	fence            uint64
+	orders           []ports.Order
+
+	streamFaults   StreamFaults
+	sentPieceCount atomic.Int64
 }
 
 // New returns a cold engine.
@@ -98,7 +98,7 @@
 	e.cold = true
 	e.completed = 0
 	e.coldEpoch++
-	e.coldRunning = 0
+	e.coldRunningCount = 0
 	e.cache.clear()
 }
 
@@ -121,7 +121,7 @@
 		g.fail(errCrashed)
 	}
 	e.generations = map[string]*generation{}
-	e.running, e.coldRunning = 0, 0
+	e.runningCount, e.coldRunningCount = 0, 0
 	e.slotFreed.Broadcast()
 	e.boot()
 }
@@ -130,14 +130,14 @@
 func (e *Engine) Started() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.started
+	return e.startedCount
 }
 
 // Overloads returns how often the engine crashed from overload in cold start.
 func (e *Engine) Overloads() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.overloads
+	return e.overloadCount
 }
 
 // Load returns the engine's load as it was ReportLag ago.
@@ -146,16 +146,16 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	e.reports = append(e.reports, ports.EngineLoad{
-		BootID: e.bootID, Running: e.running, Waiting: e.waiting,
+		BootID: e.bootID, Running: e.runningCount, Waiting: e.waitingCount,
 		CachedTokens: e.cache.len() * prefix.BlockTokens, Cold: e.cold, At: now,
 	})
-	visible := 0
+	newestVisible := 0
 	for i, report := range e.reports {
 		if now.Sub(report.At) >= e.options.ReportLag {
-			visible = i
+			newestVisible = i
 		}
 	}
-	e.reports = e.reports[visible:]
+	e.reports = e.reports[newestVisible:]
 	return e.reports[0]
 }
 
@@ -183,25 +183,25 @@
 func (e *Engine) acquire(g *generation) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cold && e.coldRunning >= e.options.ColdLimit {
-		e.overloads++
+	if e.cold && e.coldRunningCount >= e.options.ColdLimit {
+		e.overloadCount++
 		e.crash()
 		return errCrashed
 	}
-	e.waiting++
-	for e.running >= e.options.FullLimit && g.failure() == nil {
+	e.waitingCount++
+	for e.runningCount >= e.options.FullLimit && g.failure() == nil {
 		e.slotFreed.Wait()
 	}
-	e.waiting--
+	e.waitingCount--
 	if err := g.failure(); err != nil {
 		return err
 	}
-	e.running++
+	e.runningCount++
 	g.bootID = e.bootID
 	g.epochAtStart = e.coldEpoch
 	if e.cold {
 		g.cold = true
-		e.coldRunning++
+		e.coldRunningCount++
 	}
 	return nil
 }
@@ -213,9 +213,9 @@
 	if g.bootID != e.bootID {
 		return
 	}
-	e.running--
+	e.runningCount--
 	if g.cold && g.epochAtStart == e.coldEpoch {
-		e.coldRunning--
+		e.coldRunningCount--
 	}
 	e.slotFreed.Signal()
 	if !completed {
--- a/server/standin/engine/http.go
+++ b/server/standin/engine/http.go
@@ -55,7 +55,7 @@
 	g := newGeneration(request)
 	e.mu.Lock()
 	e.generations[request.ID] = g
-	e.started++
+	e.startedCount++
 	e.mu.Unlock()
 	go e.run(g)
 	e.streamGeneration(r.Context(), w, g, request.From)
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -31,7 +31,7 @@
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.running
+	return e.runningCount
 }
 
 func (e *Engine) serveStreamFaults(w http.ResponseWriter, r *http.Request) {
@@ -53,28 +53,28 @@
 	if faults == (StreamFaults{}) {
 		return write
 	}
-	sender := &faultyWriter{engine: e, faults: faults, write: write}
-	return sender.writePiece
+	writer := &faultyWriter{engine: e, faults: faults, write: write}
+	return writer.writePiece
 }
 
 // faultyWriter applies faults to one stream.
 type faultyWriter struct {
-	engine  *Engine
-	faults  StreamFaults
-	write   func(stream.Piece) error
-	delayed *stream.Piece // Piece that is held back until after its successor.
+	engine       *Engine
+	faults       StreamFaults
+	write        func(stream.Piece) error
+	delayedPiece *stream.Piece // Piece that is held back until after its successor.
 }
 
 func (s *faultyWriter) writePiece(piece stream.Piece) error {
-	count := int(s.engine.sentPieces.Add(1))
+	count := int(s.engine.sentPieceCount.Add(1))
 	if isNth(count, s.faults.CutEvery) {
 		return errCutByFault
 	}
 	if isNth(count, s.faults.ForeignEvery) {
 		return s.write(stream.Piece{ID: "foreign", From: piece.From, Tokens: piece.Tokens, Text: "foreign "})
 	}
-	if isNth(count, s.faults.SwapEvery) && s.delayed == nil && !piece.End {
-		s.delayed = &piece
+	if isNth(count, s.faults.SwapEvery) && s.delayedPiece == nil && !piece.End {
+		s.delayedPiece = &piece
 		return nil
 	}
 	if err := s.write(piece); err != nil {
@@ -89,10 +89,10 @@
 }
 
 func (s *faultyWriter) writeDelayed() error {
-	if s.delayed == nil {
+	if s.delayedPiece == nil {
 		return nil
 	}
-	delayed := *s.delayed
-	s.delayed = nil
-	return s.write(delayed)
+	delayedPiece := *s.delayedPiece
+	s.delayedPiece = nil
+	return s.write(delayedPiece)
 }
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -43,12 +43,12 @@
 type Group struct {
 	options Options
 
-	mu         sync.Mutex
-	ranks      []rank
-	popularity [][]float64
-	generation int // Times that all ranks were without a map.
-	oracle     Oracle
-	mapByStep  map[uint64]expertmap.Change // Map used by each step of this generation.
+	mu           sync.Mutex
+	ranks        []rank
+	popularity   [][]float64
+	lostMapCount int // Times that all ranks were without a map.
+	oracle       Oracle
+	mapByStep    map[uint64]expertmap.Change // Map used by each step of this generation.
 }
 
 // Oracle holds the observations of the group's steps.
@@ -137,7 +137,7 @@
 			return
 		}
 	}
-	g.generation++
+	g.lostMapCount++
 	g.mapByStep = map[uint64]expertmap.Change{}
 }
 
