--- a/server/admin/admin.go
+++ b/server/admin/admin.go
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// setRevision sets the ETag header to the revision.
+// setRevision sets the ETag header of the response to the configuration revision.
 func setRevision(w http.ResponseWriter, revision uint64) {
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(revision, 10)))
 }
--- a/server/admin/adminapi/adminapi.go
+++ b/server/admin/adminapi/adminapi.go
@@ -43,9 +43,9 @@
 
 // The roles. Each role includes the permissions of those before it.
 const (
-	RoleViewer        Role = "viewer"        // Reads, validates and compares.
-	RoleOperator      Role = "operator"      // Applies, rolls back, takes out and returns.
-	RoleAdministrator Role = "administrator" // Takes out the last data centre.
+	RoleViewer        Role = "viewer"        // May read, validate and compare configurations.
+	RoleOperator      Role = "operator"      // May also apply and roll back configurations, and take out and return data centres and backend servers.
+	RoleAdministrator Role = "administrator" // May also take out the last data centre in service.
 )
 
 // Level orders the roles by their permissions. An unknown role has level 0 and
@@ -62,10 +62,10 @@
 	return 0
 }
 
-// Operator is a user of the API.
+// Operator is a user of the administration API.
 type Operator struct {
 	Name        string `json:"name"`
-	TokenSHA256 string `json:"token_sha256"` // Hex SHA-256 of the token.
+	TokenSHA256 string `json:"token_sha256"` // SHA-256 of the operator's bearer token, in hex.
 	Role        Role   `json:"role"`
 }
 
@@ -106,13 +106,13 @@
 // AcceptedChange is the response to an accepted change.
 type AcceptedChange struct {
 	Revision  uint64          `json:"revision"`
-	Unchanged bool            `json:"unchanged,omitempty"` // The files were in force already; no revision was created.
+	Unchanged bool            `json:"unchanged,omitempty"` // The files were already in force; no revision was created.
 	Changes   []config.Change `json:"changes"`
 	Reached   int             `json:"reached"`   // Number of other processes that received the change at once.
 	Processes int             `json:"processes"` // Number of other processes to which the change was offered.
 }
 
-// Comparison is the response to a validation or comparison.
+// Comparison is the response to a request to validate or to compare files.
 type Comparison struct {
 	Base    uint64          `json:"base"` // Revision that the files were compared with.
 	Changes []config.Change `json:"changes"`
@@ -125,10 +125,10 @@
 	DataCentre    string            `json:"data_centre"`
 	BackendServer string            `json:"backend_server,omitempty"`
 	Leaving       bool              `json:"leaving,omitempty"`
-	Answered      bool              `json:"answered"`
+	Answered      bool              `json:"answered"` // Whether the process answered the query; if not, only the fields above are known.
 	Revision      uint64            `json:"revision"`
 	Files         map[string]uint64 `json:"files,omitempty"` // Revision in which each file last changed.
-	CurrentAgeMS  int64             `json:"current_age_ms"`  // Time since the revision was known to be the newest; -1 for never.
+	CurrentAgeMS  int64             `json:"current_age_ms"`  // Milliseconds since the latest time at which the revision was known to be the newest; -1 if there is none.
 }
 
 // Status describes the configuration in force in every process.
--- a/server/admin/change.go
+++ b/server/admin/change.go
@@ -80,8 +80,8 @@
 	return a.submit(w, r, operator, change)
 }
 
-// newChange returns a change by the operator through this entry. It generates an
-// ID if id is empty.
+// newChange returns a change that the operator submits through this entry. It
+// generates an ID if id is empty.
 func (a *API) newChange(id, kind string, operator adminapi.Operator) configstore.Change {
 	if id == "" {
 		id = uuid.NewString()
@@ -155,8 +155,8 @@
 // targetKind is a kind of object that can be taken out and returned.
 type targetKind struct {
 	path string // Prefix of the API paths.
-	name string // For messages.
-	file string // Configuration file, and the list in it, that contains the targets.
+	name string // Name in error messages.
+	file string // Configuration file that contains the targets, in a list of the same name.
 }
 
 var targetKinds = []targetKind{
--- a/server/admin/configuration.go
+++ b/server/admin/configuration.go
@@ -84,8 +84,8 @@
 	return writeJSON(w, comparison)
 }
 
-// compare validates the accepted files with the changed ones replaced, and
-// returns their differences from the accepted files.
+// compare validates the accepted configuration with the changed files in place of
+// the accepted ones, and returns the differences from the accepted configuration.
 func (a *API) compare(ctx context.Context, changed config.Files) (adminapi.Comparison, error) {
 	current, err := a.node.ConfigStore.Refresh(ctx, a.node.State().View.InForce)
 	if err != nil {
--- a/server/admin/status.go
+++ b/server/admin/status.go
@@ -47,7 +47,7 @@
 	return process
 }
 
-// fileRevisions returns the revision of each file version.
+// fileRevisions returns the revision of each file version, by file name.
 func fileRevisions(versions map[string]config.FileVersion) map[string]uint64 {
 	files := make(map[string]uint64, len(versions))
 	for name, version := range versions {
--- a/server/agent/admitter.go
+++ b/server/agent/admitter.go
@@ -16,7 +16,8 @@
 )
 
 // admitter requests slots from the control loop on behalf of the goroutines
-// that serve traffic.
+// that serve traffic. A ticket is the number that identifies a request in the
+// control loop's events and effects.
 type admitter struct {
 	node       *node.Node
 	lastTicket atomic.Uint64
@@ -34,11 +35,12 @@
 	return a
 }
 
-// slot is the permission to run one piece of work; release returns it.
+// slot is the permission to run one request on the backend server; release
+// returns it.
 type slot struct {
 	admitter      *admitter
 	ticket        uint64
-	backendFailed bool // The backend server failed during the work.
+	backendFailed bool // The backend server failed during the request.
 	startOnce     sync.Once
 	releaseOnce   sync.Once
 }
@@ -59,8 +61,8 @@
 	})
 }
 
-// fail records an error of the backend server, unless ctx has ended: the work
-// counts as broken, and the server as unreachable if it refused the connection.
+// fail records a failed call of the backend server, and reports the server as
+// unreachable if the call did not reach it. It does nothing if ctx has ended.
 func (s *slot) fail(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -100,8 +102,8 @@
 	return 0
 }
 
-// abandon removes the request from the queue, and returns the slot if it was
-// granted in the meantime.
+// abandon withdraws a request for a slot, and returns the slot if it was granted in
+// the meantime.
 func (a *admitter) abandon(ticket uint64, decision <-chan *result.Error) {
 	a.node.Loop.Post(admission.Left{Ticket: ticket})
 	select {
@@ -146,7 +148,7 @@
 	decision <- err
 }
 
-// probe asks the control loop what work the agent could take.
+// probe asks the control loop whether and how soon the agent could serve a request.
 func (a *admitter) probe(event admission.Probed) (admission.Offer, *result.Error) {
 	event.Ticket = a.lastTicket.Add(1)
 	answered := make(chan admission.Offer, 1)
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -1,5 +1,6 @@
 // Package agent implements the process that runs beside each backend server and
-// is the only way to reach it. It admits, forwards and cancels work.
+// is the only way to reach it. It admits requests, forwards them to the backend
+// server and cancels those that nobody waits for.
 package agent
 
 import (
@@ -34,7 +35,7 @@
 	Keys    keys.Source  // TLS keys for Control and Traffic; nil for plain TCP.
 }
 
-// Agent is the agent of one backend server.
+// Agent serves the requests of entries for one backend server.
 type Agent struct {
 	settings settings.Agent
 	node     *node.Node
--- a/server/agent/generate.go
+++ b/server/agent/generate.go
@@ -17,12 +17,12 @@
 
 const (
 	cancelTimeout = 2 * time.Second
-	maxResumes    = 3 // Consecutive, without a new token in between.
+	maxResumes    = 3 // Consecutive resumes of a stream without a new token in between.
 	resumePause   = 20 * time.Millisecond
 )
 
 // generate runs one generation on the engine and relays its answer to the
-// entry.
+// entry. It reports whether the answer was complete.
 func (a *Agent) generate(ctx context.Context, w http.ResponseWriter, slot *slot, work wire.Work, body []byte) bool {
 	var request ports.Generation
 	if err := json.Unmarshal(body, &request); err != nil || a.engine == nil {
@@ -64,8 +64,8 @@
 	id         string
 	writer     *stream.Writer
 	assembler  answer.Assembler[stream.Piece]
-	sentPieces int   // Pieces sent.
-	sendErr    error // Set once the entry can't be reached.
+	sentPieces int   // Number of pieces sent to the entry.
+	sendErr    error // Error of a failed write to the entry; nil while the entry can be reached.
 }
 
 func newRelay(engine ports.Engine, request ports.Generation, w http.ResponseWriter) *relay {
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	maxExecutions      = 4096 // Active at a time.
+	maxExecutions      = 4096 // Limit on concurrent executions.
 	storeWait          = 2 * time.Second
 	defaultCallTimeout = 60 * time.Second
 	maxExecutionWait   = 5 * time.Second
 )
 
-// executions runs non-idempotent work at most once per key. It holds every
-// active execution of this boot, that is, of this agent process; any other
+// executions runs non-idempotent calls at most once per idempotency key. It holds
+// every active execution of this boot, that is, of this agent process; any other
 // execution of this boot was abandoned or has its answer stored.
 type executions struct {
 	agent   string
@@ -39,7 +39,7 @@
 	rows    *once.Rows
 
 	mu     sync.Mutex
-	active map[string]*execution // By nonce.
+	active map[string]*execution // By the nonce in the execution's ID.
 }
 
 func newExecutions(agent string, n *node.Node, service ports.Service) *executions {
@@ -50,7 +50,7 @@
 	}
 }
 
-// execution is one run of a key's work.
+// execution is one run of the call with an idempotency key.
 type execution struct {
 	owner     *executions
 	id        policy.Execution
@@ -58,7 +58,7 @@
 	body      []byte
 	onFailure func(error) // Called when the call of the backend server fails.
 	answer    policy.Answer
-	refusal   *result.Error // Set before ended is closed.
+	refusal   *result.Error // Why the call was not run, or nil; set before ended is closed.
 	answered  chan struct{} // Closed once answer is known.
 	ended     chan struct{} // Closed once the execution is inactive.
 }
@@ -216,7 +216,8 @@
 	}
 }
 
-// writeAnswer sends the complete answer; it reports whether there is one.
+// writeAnswer sends the backend server's answer, or a refusal if there is none. It
+// reports whether there is an answer.
 func writeAnswer(w http.ResponseWriter, answer policy.Answer) bool {
 	if answer.Code != 0 {
 		refuse(w, result.Errorf(result.Code(answer.Code), "the backend server gave no answer"))
@@ -233,8 +234,8 @@
 // executionReceiver answers entries' queries about executions.
 type executionReceiver struct{ executions *executions }
 
-// Wait returns the progress of an execution, after waiting for its end or
-// answer.
+// Wait returns the progress of an execution once it has ended or its answer is
+// known, or after the time that the request gives.
 func (r *executionReceiver) Wait(request wire.ExecutionRequest, reply *wire.ExecutionReply) error {
 	e := r.executions
 	e.node.ObserveStamp(request.Stamp)
--- a/server/agent/poller.go
+++ b/server/agent/poller.go
@@ -21,7 +21,7 @@
 	agent        *Agent
 	startedAt    time.Time
 	bootID       string
-	lastCacheSeq uint64 // Last cache event read.
+	lastCacheSeq uint64 // Sequence number of the last cache event read.
 }
 
 // run polls until ctx ends; for a plain service it only waits.
--- a/server/agent/receiver.go
+++ b/server/agent/receiver.go
@@ -6,10 +6,10 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// receiver answers entries' control calls.
+// receiver serves the control RPC calls of entries.
 type receiver struct{ agent *Agent }
 
-// Probe returns what work the agent could take.
+// Probe returns whether and how soon the agent could serve a request.
 func (r *receiver) Probe(request wire.ProbeRequest, reply *wire.ProbeReply) error {
 	r.agent.node.ObserveStamp(request.Stamp)
 	reply.Stamp = r.agent.node.Stamp()
--- a/server/agent/traffic.go
+++ b/server/agent/traffic.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// promptOf describes the prompt of a generation; other work has none.
+// promptOf describes the prompt of a generation. It returns the zero value for a
+// call of a plain service, which has no prompt.
 func promptOf(body []byte) prefix.Prompt {
 	var generation ports.Generation
 	if err := json.Unmarshal(body, &generation); err != nil {
--- a/server/cmd/persimmonwind/deployed.go
+++ b/server/cmd/persimmonwind/deployed.go
@@ -33,7 +33,7 @@
 	settingsPollInterval = 2 * time.Second
 )
 
-// process is an entry or an agent on the users' platform.
+// process is an entry or an agent that runs on the users' platform.
 type process interface {
 	Run(ctx context.Context, metricsPort int) error
 }
--- a/server/configstore/apply.go
+++ b/server/configstore/apply.go
@@ -89,11 +89,12 @@
 type preparedChange struct {
 	current *config.Snapshot // Nil before the first revision.
 	next    *config.Snapshot
-	changed []string // Names of the files whose text differs.
+	changed []string // Names of the files whose text differs from the current one.
 	changes []config.Change
 }
 
-// prepare validates the change against the head.
+// prepare validates the change together with the configuration that the head
+// describes.
 func (s *Store) prepare(ctx context.Context, head Head, change Change) (preparedChange, error) {
 	var p preparedChange
 	var err error
@@ -125,7 +126,8 @@
 
 // checkTakeOuts refuses changes that are valid but dangerous. An entry in a data
 // centre that is taken out may not take out anything else, because agents in
-// other data centres don't ask there whether their configuration is current.
+// other data centres don't ask the processes of that data centre whether their
+// configuration is current.
 // Leaving no data centre in service requires AllowLastDataCentre.
 func checkTakeOuts(p preparedChange, change Change) error {
 	if p.current == nil {
@@ -191,8 +193,9 @@
 	}
 }
 
-// acceptTx returns the transaction that writes the head, the audit record and
-// the revision under the change's ID, if the head still has the given version.
+// acceptTx returns the transaction that accepts a change: if the row of the head
+// still has the given version, it writes the head, the audit record and, under the
+// change's ID, the revision.
 func acceptTx(next Head, version uint64, record Record) (ports.Tx, error) {
 	headValue, err := json.Marshal(next)
 	if err != nil {
@@ -220,7 +223,7 @@
 // Sending it again is safe: all copies require the same version of the head, so
 // at most one of them takes effect.
 func (s *Store) commit(ctx context.Context, tx ports.Tx, change Change) error {
-	uncertain := false // Whether an earlier copy may have taken effect.
+	uncertain := false // Whether an earlier copy of the transaction may have taken effect.
 	for {
 		err := s.Table.Commit(ctx, tx)
 		switch {
--- a/server/configstore/audit.go
+++ b/server/configstore/audit.go
@@ -30,7 +30,7 @@
 	Entry      string                        `json:"entry,omitempty"`
 	At         time.Time                     `json:"at"`
 	RollbackTo uint64                        `json:"rollback_to,omitempty"`
-	Files      map[string]config.FileVersion `json:"files"` // In force from this revision on.
+	Files      map[string]config.FileVersion `json:"files"` // Versions of all files that are in force from this revision on.
 	Changed    []string                      `json:"changed"`
 	Changes    []config.Change               `json:"changes,omitempty"`
 	// ChangesDigest is the digest that names the object with the changes, if they
@@ -54,7 +54,7 @@
 	}
 }
 
-// hash returns the hex SHA-256 of the record without its own hash.
+// hash returns the SHA-256 of the record without its Hash field, in hex.
 func (r Record) hash() string {
 	r.Hash = ""
 	body, err := json.Marshal(r)
@@ -135,7 +135,7 @@
 	return records, nil
 }
 
-// VerifyAudit verifies the whole chain and returns its length. If a record was
+// VerifyAudit verifies the whole chain of audit records and returns its length. If a record was
 // altered, added or removed, it returns an error with the code AuditBroken that
 // names the first such record.
 func (s *Store) VerifyAudit(ctx context.Context) (uint64, error) {
--- a/server/configstore/configstore.go
+++ b/server/configstore/configstore.go
@@ -1,6 +1,6 @@
 // Package configstore stores the accepted configuration in the platform: the
-// head and the audit records in the table service, and the texts of the files in
-// the object store.
+// head, which describes the newest revision, and the audit records in the table
+// service, and the texts of the files in the object store.
 //
 // Invariant: each accepted change increments the head's revision by one, and is
 // written in one transaction with its audit record.
@@ -18,10 +18,10 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// headKey is the key of the row that contains the head.
+// headKey is the key of the row that contains the head of the configuration.
 const headKey = "config/head"
 
-// Head describes the accepted configuration.
+// Head describes the newest accepted revision of the configuration.
 type Head struct {
 	Revision  uint64                        `json:"revision"`
 	Files     map[string]config.FileVersion `json:"files"`
@@ -37,7 +37,8 @@
 	Objects ports.Objects
 }
 
-// Head returns the head and the version of its row.
+// Head returns the newest accepted revision and the version of its row in the
+// table service.
 func (s *Store) Head(ctx context.Context) (Head, uint64, error) {
 	head := Head{Files: map[string]config.FileVersion{}}
 	row, err := s.Table.Get(ctx, headKey)
@@ -53,14 +54,14 @@
 	return head, row.Version, nil
 }
 
-// Load returns the newest snapshot, or nil if no configuration was accepted yet.
+// Load returns the newest configuration, or nil if none was accepted yet.
 func (s *Store) Load(ctx context.Context) (*config.Snapshot, error) {
 	return s.Refresh(ctx, nil)
 }
 
-// Refresh returns the newest snapshot, or nil if no configuration was accepted
-// yet. It reads only the files that are not in current, which may be nil, and
-// returns current itself if that is the newest.
+// Refresh returns the newest configuration, or nil if none was accepted yet. It
+// reads only the files that are not in current, which may be nil, and returns
+// current itself if that is the newest.
 func (s *Store) Refresh(ctx context.Context, current *config.Snapshot) (*config.Snapshot, error) {
 	head, _, err := s.Head(ctx)
 	if err != nil || head.Revision == 0 {
@@ -80,8 +81,8 @@
 	return config.BuildVersions(head.Revision, head.Files, files)
 }
 
-// files returns the texts of the versions. It reads those from the object store
-// that current, which may be nil, does not have.
+// files returns the texts of the file versions. It takes them from current, which
+// may be nil, and reads only those missing there from the object store.
 func (s *Store) files(ctx context.Context, versions map[string]config.FileVersion, current *config.Snapshot) (config.Files, error) {
 	files := config.Files{}
 	for name, version := range versions {
@@ -122,8 +123,8 @@
 	return files, record.Files, err
 }
 
-// Apply submits the files as a change by the system itself against the current
-// head, and returns the new revision.
+// Apply submits the files as a change by the system itself, made against the newest
+// accepted revision, and returns the new revision.
 func (s *Store) Apply(ctx context.Context, files config.Files) (uint64, error) {
 	head, _, err := s.Head(ctx)
 	if err != nil {
--- a/server/dev/dev.go
+++ b/server/dev/dev.go
@@ -37,12 +37,13 @@
 	EngineColdLimit int
 }
 
-// System is a whole system in one process. New builds it and Run runs it.
+// System is a whole development system in one process, with entries, agents and
+// stand-ins.
 type System struct {
 	Store   *store.Store
 	Entries []Entry
-	Engines map[string]*engine.Engine
-	Service map[string]*service.Service
+	Engines map[string]*engine.Engine   // Stand-in engines, by backend server.
+	Service map[string]*service.Service // Stand-in plain services, by backend server.
 
 	snapshot *config.Snapshot
 	storeURL string
--- a/server/dev/loopback.go
+++ b/server/dev/loopback.go
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// ErrNotLoopback means that an address on which only this machine may connect, as
-// those of the development system, is not a loopback address.
+// ErrNotLoopback means that an address is not a loopback address although only
+// this machine may connect to it, as with the addresses of the development system.
 var ErrNotLoopback = errors.New("only loopback addresses are allowed")
 
 // CheckLoopback returns ErrNotLoopback if the address is not loopback.
--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -63,7 +63,7 @@
 	return standIn.Handler(), settings.KindEngine
 }
 
-// Entry is one entry instance of the system with its addresses.
+// Entry is one entry instance of the development system with its addresses.
 type Entry struct {
 	*entry.Entry
 	DataCentre string
--- a/server/dev/usage.go
+++ b/server/dev/usage.go
@@ -13,8 +13,8 @@
 // configuration has it.
 const organisationKey = "dev-key"
 
-// Usage returns a text about how to reach the system, with commands to paste into
-// a shell.
+// Usage returns a text about how to reach the development system, with commands to
+// paste into a shell.
 func (s *System) Usage() string {
 	var text strings.Builder
 	for _, entry := range s.Entries {
--- a/server/entry/attempt/cancels.go
+++ b/server/entry/attempt/cancels.go
@@ -11,19 +11,19 @@
 	"persimmonwind.dev/server/once"
 )
 
-// cancelWriter writes final cancellations to the rows of idempotency keys,
-// within a budget. Concurrent writes of the same cancellation are merged into
-// one.
+// cancelWriter writes final cancellations, those with which a request ends, to the
+// rows of idempotency keys. A token bucket limits the writes, and concurrent writes
+// of the same cancellation are merged into one.
 type cancelWriter struct {
 	rows    *once.Rows
-	entries func() int // Number of live entries.
+	entries func() int // Returns the number of live entries.
 
 	mu             sync.Mutex
 	budget         policy.Budget
 	inflightWrites map[string]*inflightWrite
 }
 
-// inflightWrite is a write in progress.
+// inflightWrite is a write of a cancellation in progress.
 type inflightWrite struct {
 	done  chan struct{}
 	event reduce.Event // Valid after done is closed.
@@ -49,8 +49,8 @@
 }
 
 // join returns the write in progress under the name, or begins one; leader
-// reports that the caller must perform it. It returns nil if the budget is
-// exhausted.
+// reports that the caller must perform it. It returns nil if the token bucket is
+// empty.
 func (c *cancelWriter) join(name string) (w *inflightWrite, leader bool) {
 	entries := c.entries()
 	c.mu.Lock()
--- a/server/entry/attempt/execution.go
+++ b/server/entry/attempt/execution.go
@@ -13,7 +13,7 @@
 
 const (
 	queryRetryPause = 500 * time.Millisecond
-	queryWait       = 5 * time.Second // Longest time that the agent waits before it replies.
+	queryWait       = 5 * time.Second // Longest time that the agent waits for news before it replies.
 )
 
 var errAgentNotListed = errors.New("the execution's agent is not in the instance list")
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -17,7 +17,7 @@
 
 const (
 	maxContinuations  = 4
-	continuationPause = 200 * time.Millisecond // After a refusal.
+	continuationPause = 200 * time.Millisecond // Pause before the next continuation after a refusal.
 )
 
 // Generate runs a model's generation and passes its pieces to sink. An answer
@@ -55,7 +55,7 @@
 	return result.Errorf(result.DeadlineExceeded, "%s", err.Detail)
 }
 
-// generation is one answer across all its attempts.
+// generation is the state of one request for a generation across all its attempts.
 type generation struct {
 	runner    *Runner
 	request   Request
@@ -80,8 +80,8 @@
 	}
 }
 
-// finalError returns the result of an answer that is not continued. Once a part
-// has been delivered, the work has run and the answer is cut.
+// finalError returns the result of an answer that is not continued. Once tokens
+// have been delivered, the work has run and the answer is reported as cut off.
 func (g *generation) finalError(err *result.Error) *result.Error {
 	if g.assembler.Delivered() == 0 {
 		return err
@@ -90,7 +90,7 @@
 }
 
 // attempt makes one attempt; started reports to the retry loop that the attempt
-// delivered a part of the answer, which then has to be continued.
+// delivered tokens of the answer, which can then only be continued.
 func (g *generation) attempt(ctx context.Context, target route.Target, work wire.Work) (started bool, refusal *result.Error) {
 	g.request.priorAttempts = max(g.request.priorAttempts, work.Attempt)
 	before := g.assembler.Delivered()
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -18,7 +18,7 @@
 const (
 	maxKeyLength      = 255
 	defaultRetryAfter = time.Second
-	answerMargin      = time.Second // Kept for returning the answer before the deadline.
+	answerMargin      = time.Second // Time reserved for returning the answer before the deadline.
 	minAttemptTime    = 50 * time.Millisecond
 )
 
@@ -28,16 +28,16 @@
 	runner       *Runner
 	request      Request
 	rowKey       string // Key of the row in the table service.
-	fingerprint  string // Of service, operation and body.
+	fingerprint  string // Hash of service, operation and body.
 	query        route.Query
-	attemptCount int           // Attempts sent.
+	attemptCount int           // Number of attempts sent.
 	retryAfter   time.Duration // Retry-After of the latest refusal.
 	lastDetail   string
-	lastCode     result.Code // Of the latest refusal.
-	budgetExempt bool        // A retry is free, as the latest attempt reached no backend server.
+	lastCode     result.Code // Code of the latest refusal.
+	budgetExempt bool        // The next retry is not charged to the retry budget, as the latest attempt reached no backend server.
 }
 
-// callKeyed runs a non-idempotent call at most once.
+// callKeyed runs a non-idempotent call at most once per idempotency key.
 func (r *Runner) callKeyed(ctx context.Context, request Request) (Answer, *result.Error) {
 	if len(request.Key) > maxKeyLength {
 		return Answer{}, result.Errorf(result.BadRequest, "the Idempotency-Key header has %d characters; the limit is %d", len(request.Key), maxKeyLength)
@@ -151,8 +151,9 @@
 	return policy.NoReply{}
 }
 
-// chargeAttempt reports whether another attempt may be made. The first one adds
-// to the retry budget; each further one is taken from it, unless it is exempt.
+// chargeAttempt reports whether another attempt may be made. The first attempt
+// adds to the retry budget; each further attempt is charged to it, unless it is
+// exempt.
 func (c *keyedCall) chargeAttempt() bool {
 	if c.attemptCount == 0 {
 		c.runner.retryBudget.request()
@@ -161,7 +162,7 @@
 	return c.budgetExempt || c.runner.retryBudget.withdraw()
 }
 
-// recordRefusal stores a refusal and returns the code to report.
+// recordRefusal stores a refusal and returns the code to report to the caller.
 func (c *keyedCall) recordRefusal(err *result.Error) result.Code {
 	c.lastCode = refusalCode(err)
 	c.lastDetail = err.Detail
--- a/server/entry/attempt/liveness.go
+++ b/server/entry/attempt/liveness.go
@@ -13,7 +13,7 @@
 const (
 	heartbeatInterval   = time.Second
 	heartbeatTimeout    = time.Second
-	maxMissedHeartbeats = 2 // Consecutive heartbeats.
+	maxMissedHeartbeats = 2 // Consecutive missed heartbeats after which an agent is declared dead.
 )
 
 // errAgentDead is the cause with which attempts at an agent that answers no
--- a/server/entry/attempt/retry.go
+++ b/server/entry/attempt/retry.go
@@ -12,8 +12,8 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// attemptFunc makes one attempt; started reports that the caller has received a
-// part of the answer.
+// attemptFunc makes one attempt; started reports that the caller has received the
+// beginning of the answer.
 type attemptFunc func(target route.Target, work wire.Work) (started bool, err *result.Error)
 
 // retryBudget is the entry's retry budget, shared by all its requests.
@@ -24,14 +24,14 @@
 
 func newRetryBudget() *retryBudget { return &retryBudget{state: retry.NewBudget()} }
 
-// request adds a new request's share to the budget.
+// request adds the tokens of one new request to the retry budget.
 func (b *retryBudget) request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state = b.state.Deposit()
 }
 
-// withdraw takes one retry from the budget; it reports whether there was one
+// withdraw takes one retry from the retry budget; it reports whether there was one
 // left.
 func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
--- a/server/entry/attempt/watchdog.go
+++ b/server/entry/attempt/watchdog.go
@@ -20,7 +20,7 @@
 type watchdog struct {
 	timer     *time.Timer
 	cancel    context.CancelCauseFunc
-	lastHeard atomic.Int64 // When the agent last sent something, Unix nanoseconds.
+	lastHeard atomic.Int64 // Time at which the agent last sent something, in Unix nanoseconds.
 }
 
 // newWatchdog returns a context that is cancelled with errAgentTimeout unless
--- a/server/entry/callers.go
+++ b/server/entry/callers.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// orgHandler serves one request of an organisation.
+// orgHandler serves one request of an authenticated organisation.
 type orgHandler func(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation) *result.Error
 
 // authenticated runs next for the organisation that the caller's key identifies
--- a/server/entry/generation.go
+++ b/server/entry/generation.go
@@ -19,7 +19,7 @@
 	maxTokens        = 128 << 10
 )
 
-// responseFormat builds the responses of one endpoint.
+// responseFormat determines the format of the responses of one endpoint.
 type responseFormat struct {
 	object      string
 	chunkObject string
--- a/server/entry/keys.go
+++ b/server/entry/keys.go
@@ -24,8 +24,8 @@
 }
 
 // markUnsettled withdraws the "not run" guarantee from an error that was
-// returned before the caller's key was looked up: an earlier attempt with that
-// key may still be running.
+// returned before the caller's idempotency key was looked up: an earlier attempt
+// with that key may still be running.
 func markUnsettled(next handlerFunc) handlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) *result.Error {
 		err := next(w, r)
--- a/server/entry/limit/lease_call.go
+++ b/server/entry/limit/lease_call.go
@@ -2,18 +2,18 @@
 
 import "context"
 
-// leaseCall is one lease request to an organisation's home, on behalf of all
-// requests that wait for it.
+// leaseCall is one lease request to the home entry of an organisation, on behalf
+// of all callers' requests that wait for it.
 type leaseCall struct {
-	waiterCount int           // Guarded by Limiter.mu.
-	failed      bool          // The home did not answer; valid once done is closed.
+	waiterCount int           // Number of requests that wait; guarded by Limiter.mu.
+	failed      bool          // The home entry did not answer; valid once done is closed.
 	done        chan struct{} // Closed when the call has ended.
 }
 
-// leaseWaiter is a request that waits for a lease call.
+// leaseWaiter is a caller's request that waits for a lease call.
 type leaseWaiter struct {
 	*leaseCall
-	leader bool // The request makes the call.
+	leader bool // This request makes the call on behalf of the others.
 }
 
 // wait returns when the call has ended, or with the error of ctx.
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -1,7 +1,8 @@
 // Package limit enforces the organisations' rate and concurrency limits at an
-// entry instance. Each organisation has one of the entries as its home, from
-// which the other entries lease shares of the limits; this entry may be the
-// home of some. Package share makes the decisions.
+// entry instance. Each organisation has one of the entries as its home entry, from
+// which the other entries lease shares of the limits, that is, rate tokens and
+// concurrency slots; this entry may be the home entry of some organisations.
+// Package share makes the decisions.
 package limit
 
 import (
@@ -33,8 +34,8 @@
 	mu           sync.Mutex
 	homeAccounts *share.Home
 	localShares  map[string]*share.Local
-	leaseCalls   map[string]*leaseCall // In flight, by organisation.
-	entryIDs     []string              // IDs of the entries at the last tick.
+	leaseCalls   map[string]*leaseCall // Lease calls in flight, by organisation.
+	entryIDs     []string              // IDs of the live entries at the last tick.
 }
 
 // New returns the limiter of the entry with the ID self and registers it for
@@ -105,8 +106,9 @@
 	return localShare
 }
 
-// tryAdmit tries to admit a request. If that needs a lease, the request joins
-// the lease call in flight for its organisation, or begins one.
+// tryAdmit tries to admit a request within the shares already leased. If that
+// needs a new lease, the request joins the lease call in flight for its
+// organisation, or begins one.
 func (l *Limiter) tryAdmit(org string, limits share.Limits, attempts int) (share.Decision, leaseWaiter, *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +131,7 @@
 	l.localShare(org).Release()
 }
 
-// requestLease requests a lease from the home on behalf of all requests that
+// requestLease requests a lease from the home entry on behalf of all requests that
 // have joined the call.
 func (l *Limiter) requestLease(ctx context.Context, org string, waiter leaseWaiter) {
 	l.mu.Lock()
@@ -148,8 +150,8 @@
 	close(waiter.done)
 }
 
-// admitLocally admits a request by this entry's part of the limits, without the
-// home.
+// admitLocally admits a request within this entry's local share of the limits,
+// which it uses while the home entry does not answer.
 func (l *Limiter) admitLocally(org string, limits share.Limits) (release func(), err *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,8 +169,8 @@
 	return slices.Index(order, slices.Index(l.entryIDs, l.selfID))
 }
 
-// sendLeaseRequest sends the request to the organisation's home, which may be
-// this entry.
+// sendLeaseRequest sends the request to the organisation's home entry, which may
+// be this entry.
 func (l *Limiter) sendLeaseRequest(ctx context.Context, lease share.Ask) (share.Grant, error) {
 	home, address := l.homeOf(lease.Org)
 	if home == l.selfID {
@@ -201,7 +203,7 @@
 	return id, ""
 }
 
-// grant answers a lease request as the organisation's home.
+// grant answers a lease request as the home entry of the organisation.
 func (l *Limiter) grant(request share.Ask) share.Grant {
 	snapshot := l.node.State().View.InForce
 	if snapshot == nil {
@@ -213,8 +215,8 @@
 	return l.homeAccounts.Ask(time.Now(), limits, len(l.entryIDs), request)
 }
 
-// updateEntries updates the list of entries from the instance list and drops
-// idle accounts.
+// updateEntries updates the list of live entries from the instance list and drops
+// the accounts of idle organisations.
 func (l *Limiter) updateEntries() {
 	entryIDs := []string{l.selfID}
 	for _, instance := range l.node.Instances() {
@@ -232,8 +234,8 @@
 	l.homeAccounts.DropIdle(time.Now())
 }
 
-// renewLeases renews the slots in use at their homes and returns the unused
-// ones.
+// renewLeases renews the leases of the slots in use at the organisations' home
+// entries, and returns the unused slots.
 func (l *Limiter) renewLeases(ctx context.Context) {
 	for _, request := range l.renewalRequests() {
 		grant, err := l.sendLeaseRequest(ctx, request)
--- a/server/entry/openai/openai.go
+++ b/server/entry/openai/openai.go
@@ -125,7 +125,7 @@
 	Content string `json:"content"`
 }
 
-// Choice is the only choice of a response.
+// Choice is one generated answer; a response has at most one.
 type Choice struct {
 	Index        int       `json:"index"`
 	Message      *ChatText `json:"message,omitempty"` // In complete chat responses.
@@ -163,7 +163,8 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes one error. NotRun guarantees that the work did not run.
+// ErrorDetail describes one error. If NotRun is set, the work is guaranteed not to
+// have run.
 type ErrorDetail struct {
 	Message      string `json:"message"`
 	Type         string `json:"type"`
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -37,9 +37,9 @@
 // Target is the chosen backend server's agent.
 type Target struct {
 	BackendServer string
-	Traffic       string // host:port of the agent's traffic server.
-	Control       string
-	Probe         wire.ProbeReply
+	Traffic       string          // host:port of the agent's traffic server.
+	Control       string          // host:port of the agent's control RPC.
+	Probe         wire.ProbeReply // The agent's offer; set once it has answered a probe.
 }
 
 // Router chooses backend servers.
@@ -51,9 +51,9 @@
 // New returns a router over the node's configuration and instance list.
 func New(n *node.Node) *Router { return &Router{node: n, suspects: newSuspects()} }
 
-// Pick returns the backend server for one attempt. If no agent answers in time,
-// it is one of those that timed out: the agent itself decides whether to accept
-// the work.
+// Pick returns the backend server for one attempt. If no agent answers its probe
+// in time, Pick returns one that timed out: the agent itself decides whether to
+// accept the work.
 func (r *Router) Pick(ctx context.Context, query Query) (Target, *result.Error) {
 	prompt := prefix.NewPrompt(query.Prompt)
 	trusted, suspected := r.suspects.split(r.candidates(query), time.Now())
@@ -133,8 +133,8 @@
 	return sampled, rest
 }
 
-// candidates returns the targets in the configuration and the instance list
-// that may serve the query.
+// candidates returns the backend servers in both the configuration and the
+// instance list that may serve the query.
 func (r *Router) candidates(query Query) []Target {
 	snapshot := r.node.State().View.InForce
 	if snapshot == nil {
@@ -164,7 +164,8 @@
 	return Target{BackendServer: instance.BackendServer, Traffic: instance.Traffic, Control: instance.Control}
 }
 
-// best returns the target with the least expected time to first token.
+// best returns the target with the best offer: the least expected delay, and among
+// about equal ones the most headroom; see choose.Best.
 func (r *Router) best(targets []Target, query Query) (Target, *result.Error) {
 	state := r.node.State()
 	offers := make([]choose.Offer, len(targets))
--- a/server/entry/route/suspects.go
+++ b/server/entry/route/suspects.go
@@ -9,7 +9,8 @@
 // no other candidate is left.
 const suspicionTimeout = 3 * time.Second
 
-// suspects holds the agents whose latest probe failed, by backend server.
+// suspects holds the agents whose latest probe failed, by the names of their
+// backend servers.
 type suspects struct {
 	mu             sync.Mutex
 	suspectedUntil map[string]time.Time
--- a/server/keys/generate.go
+++ b/server/keys/generate.go
@@ -22,15 +22,16 @@
 	serialNumber = 1
 )
 
-// GeneratedKeys contains a new authority and one certificate for all processes.
+// GeneratedKeys contains a new certificate authority and one key pair with its
+// certificate for all processes, as PEM data.
 type GeneratedKeys struct {
 	CertificatePEM []byte
 	KeyPEM         []byte
 	AuthorityPEM   []byte
 }
 
-// Generate generates an authority and a certificate signed by it, for development
-// and tests.
+// Generate generates a certificate authority and a certificate signed by it, for
+// development and tests.
 func Generate() (GeneratedKeys, error) {
 	now := time.Now()
 	authority := &x509.Certificate{
@@ -88,7 +89,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// Keys parses the generated PEM data.
+// Keys returns the certificate, key and authority parsed from the PEM data.
 func (g GeneratedKeys) Keys() (*Keys, error) {
 	certificate, err := tls.X509KeyPair(g.CertificatePEM, g.KeyPEM)
 	if err != nil {
--- a/server/keys/keys.go
+++ b/server/keys/keys.go
@@ -38,7 +38,7 @@
 	Authority   *x509.CertPool
 }
 
-// Source provides the keys in force.
+// Source provides the TLS keys in force, which may change while the process runs.
 type Source interface {
 	// Current returns the keys for a new connection.
 	Current() (*Keys, error)
--- a/server/leave/leave.go
+++ b/server/leave/leave.go
@@ -12,7 +12,7 @@
 type InFlightCounter struct {
 	mu    sync.Mutex
 	count int
-	idle  chan struct{} // Closed when count drops to zero; nil while nothing waits for that.
+	idle  chan struct{} // Closed when count drops to zero; nil if no goroutine waits for that.
 }
 
 // Wrap returns a handler that counts the requests in next.
--- a/server/logevent/deployed.go
+++ b/server/logevent/deployed.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of processes on the users' platform.
+// Events of entries and agents on the users' platform.
 var (
 	ProcessStarted   = define(105, "process_started", logrus.InfoLevel, "The process has started with these settings.")
 	SettingsReloaded = define(106, "settings_reloaded", logrus.InfoLevel, "The settings file was read again after a change or a signal.")
--- a/server/logevent/expertmap.go
+++ b/server/logevent/expertmap.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events about expert maps, 401 to 429.
+// Events about expert maps, numbered 401 to 429.
 var (
 	MapPhaseEntered    = define(401, "map_phase", logrus.InfoLevel, "The coordinator of a group entered a phase of a map change.")
 	MapWaitingForRanks = define(402, "map_waiting", logrus.WarnLevel, "The coordinator of a group is waiting for ranks.")
--- a/server/logevent/logevent.go
+++ b/server/logevent/logevent.go
@@ -4,7 +4,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Event is one kind of log line.
+// Event is one kind of log line, identified by a number.
 type Event struct {
 	ID      int
 	Name    string
--- a/server/logevent/once.go
+++ b/server/logevent/once.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events about non-idempotent work, 330 to 349.
+// Events about non-idempotent work, numbered 330 to 349.
 var (
 	RunOutcomeUnknown        = define(330, "run_outcome_unknown", logrus.WarnLevel, "A non-idempotent operation was started and its backend server gave no answer; it is not run again.")
 	AnswerNotStored          = define(331, "answer_not_stored", logrus.WarnLevel, "The answer of a non-idempotent operation is not stored yet; it waits for the table service.")
--- a/server/loop/loop.go
+++ b/server/loop/loop.go
@@ -15,7 +15,9 @@
 // queueCapacity is the number of events that can wait before Post blocks.
 const queueCapacity = 4096
 
-// Step is a reducer. The caller must not use the state that it passed in again.
+// Step is a reducer: it applies an input to the state and returns the new state and
+// the effects to execute. The caller must not use the state that it passed in
+// again.
 type Step[S any] func(state S, input reduce.Input) (S, []reduce.Effect)
 
 // Loop owns the control state S and publishes the view V of it.
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -22,8 +22,9 @@
 const (
 	storeTimeout     = 4 * time.Second
 	peerFetchTimeout = 2 * time.Second
-	// fetchPeerCount is the number of random peers asked for a newer configuration,
-	// in total or per data centre, or for the instance list.
+	// fetchPeerCount is the number of random peers that are asked for a newer
+	// configuration or for the instance list. A node without a configuration asks
+	// this many in each data centre for a configuration.
 	fetchPeerCount = 3
 )
 
@@ -45,7 +46,7 @@
 
 // fetch fetches the newest configuration, from peers first if the effect says
 // so, otherwise from the store. If the store fails and no peer was asked before,
-// it asks peers as a fallback. It always posts FetchDone at the end.
+// it asks peers as a fallback. In every case it posts view.FetchDone at the end.
 func (n *Node) fetch(ctx context.Context, effect view.Fetch) {
 	err := error(errNoNewerConfiguration)
 	if effect.PeersFirst {
--- a/server/node/exchange.go
+++ b/server/node/exchange.go
@@ -40,7 +40,7 @@
 }
 
 // exchangePerDataCentre starts an exchange with one peer in each of the data
-// centres, or with one peer anywhere if none is given.
+// centres, or with one peer in any data centre if none is given.
 func (n *Node) exchangePerDataCentre(ctx context.Context, dataCentres []string) {
 	if len(dataCentres) == 0 {
 		n.startExchanges(ctx, n.peersIn(""), 1)
@@ -69,7 +69,8 @@
 	return peers
 }
 
-// configuredPeers returns the peers from the settings.
+// configuredPeers returns the peers that are listed in the settings, of which only
+// the control addresses are known.
 func (n *Node) configuredPeers() []ports.Instance {
 	var peers []ports.Instance
 	for _, address := range n.options.Peers {
@@ -93,8 +94,8 @@
 	}
 }
 
-// exchange calls the peer and posts its revision and evidence to the control
-// loop.
+// exchange calls the peer and posts the peer's revision, and its evidence that
+// this revision is the newest, to the control loop.
 func (n *Node) exchange(ctx context.Context, peer ports.Instance) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -135,8 +136,8 @@
 	forEach(entries, func(peer ports.Instance) { _ = n.exchange(ctx, peer) })
 }
 
-// announceStart announces the node once its instance list is not empty, and asks
-// the configured peers for their lists until then.
+// announceStart announces the node once its instance list is not empty. Until
+// then it asks the peers from the settings for their instance lists.
 func (n *Node) announceStart(ctx context.Context) {
 	for ctx.Err() == nil {
 		if len(n.members.list()) > 0 {
@@ -148,7 +149,7 @@
 	}
 }
 
-// fetchInstances fetches the instance list from a configured peer while this
+// fetchInstances fetches the instance list from a peer in the settings while this
 // node knows no instance, because it has not read the platform's list yet.
 func (n *Node) fetchInstances(ctx context.Context) {
 	if len(n.members.list()) > 0 {
--- a/server/node/members.go
+++ b/server/node/members.go
@@ -17,16 +17,16 @@
 // processes report about themselves. For an instance in both, the report takes
 // precedence; the list adds the instances that have not reported.
 type members struct {
-	selfID string // Own instance ID, which peers leaves out.
+	selfID string // ID of this instance, which is not among its own peers.
 
 	mu       sync.Mutex
-	listed   []ports.Instance
+	listed   []ports.Instance // The platform's instance list as last read.
 	listedAt time.Time
-	reported map[string]reportedInstance // By instance ID.
-	merged   []ports.Instance            // Never modified; nil after a change.
+	reported map[string]reportedInstance // Instances as reported by their processes, by instance ID.
+	merged   []ports.Instance            // Cached result of merge, which is never modified; nil if listed or reported has changed since.
 }
 
-// reportedInstance is an instance as reported by its process, directly or
+// reportedInstance is an instance as last reported by its process, directly or
 // through a peer.
 type reportedInstance struct {
 	instance ports.Instance
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -42,11 +42,11 @@
 	StoreURL string
 	Traffic  string      // host:port at which other processes reach the traffic server.
 	Peers    []string    // Control addresses of peers to ask while no instance or configuration is known.
-	Keys     keys.Source // TLS keys for connections between the system's processes; nil for plain TCP.
+	Keys     keys.Source // TLS keys for the connections between the system's processes; nil for plain TCP.
 	Log      *logrus.Entry
 }
 
-// Node runs the control loop of one process.
+// Node runs the control loop and the control RPC server of one process.
 type Node struct {
 	options        Options
 	Loop           *loop.Loop[control.State, control.State]
@@ -59,7 +59,7 @@
 	executors     []func(context.Context, reduce.Effect) bool
 	receivers     map[string]any
 	members       *members
-	snapshotCache recentSnapshots
+	snapshotCache recentSnapshots        // Recent configurations, from which differences for peers are computed.
 	newerPeerID   atomic.Pointer[string] // ID of the peer that last reported a newer revision.
 	runContext    context.Context
 }
@@ -133,7 +133,7 @@
 	return *state
 }
 
-// Stamp returns the stamp for the node's messages.
+// Stamp returns the stamp that identifies the node as the sender of a message.
 func (n *Node) Stamp() wire.Stamp {
 	self := n.options.Self
 	return wire.Stamp{From: self.ID, Role: self.Role, DataCentre: self.DataCentre, Revision: n.State().View.Revision()}
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxRecentSnapshots is the number of snapshots kept, so that peers can be sent
-	// only what changed since them.
+	// maxRecentSnapshots is the number of configuration snapshots kept. A peer that
+	// has one of them is sent only the differences from it.
 	maxRecentSnapshots = 4
 	// maxOfferBytes bounds the file texts in an offer. The offer of a larger change
 	// carries only its revision, and the receivers fetch the change.
@@ -26,7 +26,7 @@
 	reportTimeout = 2 * time.Second
 )
 
-// recentSnapshots keeps the most recently installed snapshots.
+// recentSnapshots keeps the most recently installed configuration snapshots.
 type recentSnapshots struct {
 	mu        sync.Mutex
 	snapshots []*config.Snapshot
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// deltaFor returns the snapshot as splices for a process that already has the
-// file texts with the digests in have.
+// deltaFor returns the snapshot as edits for a process that already has the file
+// texts whose digests, by file name, are in have.
 func (r *recentSnapshots) deltaFor(snapshot *config.Snapshot, have map[string]string) wire.Configuration {
 	delta := wire.Configuration{Revision: snapshot.Revision, Versions: snapshot.Versions, Splices: map[string]config.Splice{}}
 	for name, version := range snapshot.Versions {
@@ -66,8 +66,10 @@
 	return delta
 }
 
-// offer sends the snapshot to all other processes. It closes the connections
-// that it opens, because a permanent full mesh would be too many connections.
+// offer sends the snapshot to all other processes. It closes the connections that
+// it opens: at the size aimed at, 330 entries and 1,900 agents, connections kept
+// between all processes do not fit the limits that a process has for control, 256 MB
+// of memory and 26 KB of traffic a second.
 func (n *Node) offer(ctx context.Context, old, snapshot *config.Snapshot) (reached, total int) {
 	request := wire.OfferRequest{Stamp: n.Stamp(), Configuration: n.snapshotCache.deltaFor(snapshot, digests(old))}
 	request.Stamp.Revision = snapshot.Revision
@@ -133,8 +135,8 @@
 // peerReceiver serves the RPC calls of other processes of the system.
 type peerReceiver struct{ node *Node }
 
-// Exchange returns this node's revision and evidence, and records the caller's
-// stamp and instance.
+// Exchange returns this node's revision and its evidence that the revision is the
+// newest, and records the caller's stamp and instance.
 func (r *peerReceiver) Exchange(request wire.ExchangeRequest, reply *wire.ExchangeReply) error {
 	r.node.ObserveStamp(request.Stamp)
 	r.node.members.addReported(request.Instance, time.Now())
--- a/server/once/rows.go
+++ b/server/once/rows.go
@@ -21,7 +21,7 @@
 const (
 	storeTimeout    = 2 * time.Second
 	delayedReadWait = 200 * time.Millisecond
-	maxInlineBytes  = 4 << 10 // Larger answers go to the object store.
+	maxInlineBytes  = 4 << 10 // Larger answers are kept in the object store.
 	objectPrefix    = "once-answers/"
 )
 
@@ -38,7 +38,7 @@
 	Objects Objects
 }
 
-// record is the JSON encoding of a row.
+// record is the JSON form in which a row is stored.
 type record struct {
 	State       once.State     `json:"state"`
 	Epoch       uint64         `json:"epoch"`
--- a/server/once/sweep.go
+++ b/server/once/sweep.go
@@ -18,20 +18,20 @@
 
 	shardCount   = 256
 	rowsPerPage  = 100
-	pageInterval = 10 * time.Second // Between two list requests of one sweeper.
+	pageInterval = 10 * time.Second // Time between two list requests of one sweeper.
 	sweepTimeout = 10 * time.Second
 )
 
-// Sweeper removes expired rows and their stored answers. The keys are divided
+// Sweeper removes the expired rows of idempotency keys and their stored answers. The keys are divided
 // into shards, and each shard is swept by one of the live entries. Entries whose
 // lists of live entries differ may sweep the same shard. That is safe: a row is
 // removed by compare-and-set, only if it was not written since it was read.
 type Sweeper struct {
 	Rows      *Rows
-	Self      string          // Instance ID.
+	Self      string          // Instance ID of this entry.
 	Entries   func() []string // Returns the instance IDs of the live entries.
-	OnRemoved func(rows int)
-	OnError   func(error)
+	OnRemoved func(rows int)  // Called with the number of rows removed.
+	OnError   func(error)     // Called when rows could not be read or removed.
 }
 
 // Run sweeps all shards repeatedly until ctx is done.
--- a/server/ports/httpapi/client.go
+++ b/server/ports/httpapi/client.go
@@ -1,4 +1,4 @@
-// Package httpapi holds the HTTP adapters of the platform's ports.
+// Package httpapi implements the interfaces of package ports over HTTP.
 package httpapi
 
 import (
@@ -37,7 +37,7 @@
 	}
 }
 
-// client sends requests to one base URL.
+// client sends requests to the server at one base URL.
 type client struct {
 	base string
 	http *http.Client
@@ -117,8 +117,8 @@
 	return answer, nil
 }
 
-// callJSON sends in as JSON, if not nil, and decodes the answer into out, if not
-// nil.
+// callJSON sends one request with in as its JSON body and decodes the JSON answer
+// into out. A nil in sends no body; with a nil out, the answer is ignored.
 func (c client) callJSON(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
--- a/server/ports/httpapi/engine.go
+++ b/server/ports/httpapi/engine.go
@@ -12,10 +12,10 @@
 	"persimmonwind.dev/server/stream"
 )
 
-// Engine is the adapter of one model engine.
+// Engine implements ports.Engine and ports.RankEngine for one model engine.
 type Engine struct{ client client }
 
-// NewEngine returns the adapter of the engine at the base URL.
+// NewEngine returns an Engine for the model engine at the base URL.
 func NewEngine(base string, transport http.RoundTripper) *Engine {
 	return &Engine{client: newClient(base, transport)}
 }
--- a/server/ports/httpapi/instances.go
+++ b/server/ports/httpapi/instances.go
@@ -11,8 +11,8 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// Instances is the adapter of the instance list. If the platform's answers carry
-// an ETag, the list is transferred again only after a change.
+// Instances implements ports.Instances. If the platform's answers carry an ETag,
+// the instance list is transferred again only after a change.
 type Instances struct {
 	client client
 
@@ -41,8 +41,8 @@
 	return list, nil
 }
 
-// getIfChanged reads the path. The answer has status 304 if the path still has
-// the ETag.
+// getIfChanged reads the path. The answer has status 304 and no body if the
+// content at the path still has the ETag.
 func (c client) getIfChanged(ctx context.Context, path, etag string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
--- a/server/ports/httpapi/service.go
+++ b/server/ports/httpapi/service.go
@@ -14,10 +14,10 @@
 // returns it, of the call that an answer belongs to.
 const HeaderRequestID = "Request-Id"
 
-// Service is the adapter of one plain service.
+// Service implements ports.Service for one plain service.
 type Service struct{ client client }
 
-// NewService returns the adapter of the plain service at the base URL.
+// NewService returns a Service for the plain service at the base URL.
 func NewService(base string, transport http.RoundTripper) *Service {
 	return &Service{client: newClient(base, transport)}
 }
--- a/server/ports/httpapi/store.go
+++ b/server/ports/httpapi/store.go
@@ -9,14 +9,14 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// Store is the adapter of the table service, the object store, the instance
-// list and the weight store.
+// Store implements ports.Table and ports.Weights, and gives access to the object
+// store and the instance list of the same platform.
 type Store struct {
 	client    client
 	instances *Instances
 }
 
-// NewStore returns the adapter of the platform at the base URL.
+// NewStore returns a Store for the platform at the base URL.
 func NewStore(base string, transport http.RoundTripper) *Store {
 	c := newClient(base, transport)
 	return &Store{client: c, instances: &Instances{client: c}}
@@ -39,13 +39,13 @@
 	return s.client.callJSON(ctx, http.MethodPost, "/table/commit", tx, nil)
 }
 
-// Objects returns the adapter of the object store.
+// Objects returns the platform's object store.
 func (s *Store) Objects() *Objects { return &Objects{client: s.client} }
 
-// Instances returns the adapter of the instance list.
+// Instances returns the platform's instance list.
 func (s *Store) Instances() *Instances { return s.instances }
 
-// Objects is the adapter of the object store.
+// Objects implements ports.Objects, with an additional Delete method.
 type Objects struct{ client client }
 
 func (o *Objects) Put(ctx context.Context, name string, body []byte) error {
--- a/server/ports/ports.go
+++ b/server/ports/ports.go
@@ -98,7 +98,7 @@
 	List(ctx context.Context) ([]Instance, error)
 }
 
-// Weights is the platform's rate-limited weight store.
+// Weights is the platform's rate-limited store of model weights.
 type Weights interface {
 	// Fetch loads the named weights, which have the given size in bytes, and
 	// returns when they are present.
@@ -113,10 +113,11 @@
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Priority  int    `json:"priority"`
-	From      int    `json:"from,omitempty"` // Number of tokens already sent, for a continuation.
+	From      int    `json:"from,omitempty"` // Number of tokens already delivered, when the generation continues an answer.
 }
 
-// EngineLoad is an engine's report of its own load, which lags behind.
+// EngineLoad is an engine's report of its own load, which lags behind the actual
+// load.
 type EngineLoad struct {
 	BootID       string    `json:"boot_id"`
 	Running      int       `json:"running"`
@@ -126,8 +127,8 @@
 	At           time.Time `json:"at"`
 }
 
-// CacheEvent reports that a prefix block was added to or removed from an engine's
-// cache. A gap in Seq means that events were lost.
+// CacheEvent reports that a block of prompt tokens was added to or removed from an
+// engine's prefix cache. A gap in Seq means that events were lost.
 type CacheEvent struct {
 	Seq   uint64 `json:"seq"`
 	Block uint64 `json:"block"`
@@ -189,7 +190,7 @@
 type RankReport struct {
 	State      expertmap.EngineState `json:"state"`
 	Shape      planner.Shape         `json:"shape"`
-	Popularity [][]float64           `json:"popularity"` // Tokens per step by layer and expert; lags behind. A nil layer was not observed.
+	Popularity [][]float64           `json:"popularity"` // Tokens per step by layer and expert, with a lag. The slice of a layer that was not observed is nil.
 	Slowness   []float64             `json:"slowness"`   // By rank: relative time for one unit of load; 1 is the usual time.
 }
 
--- a/server/rpc/rpc.go
+++ b/server/rpc/rpc.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Pool keeps one connection to each peer.
+// Pool keeps one connection to each peer that is called, by control address.
 type Pool struct {
 	tls *tls.Config // Nil for plain TCP.
 
--- a/server/standin/engine/cache.go
+++ b/server/standin/engine/cache.go
@@ -11,10 +11,11 @@
 // further behind sees a gap.
 const maxCacheEvents = 4096
 
-// blockCache is a set of prefix blocks that evicts the least recently used one.
+// blockCache is a set of prefix blocks. When it is full, it evicts the least
+// recently used block.
 type blockCache struct {
 	capacity int
-	recency  *list.List
+	recency  *list.List // Blocks, most recently used first.
 	blocks   map[uint64]*list.Element
 	events   []ports.CacheEvent
 	seq      uint64
@@ -46,7 +47,8 @@
 	c.publish(block, false)
 }
 
-// touch inserts or refreshes the block; it reports whether it was present.
+// touch inserts the block or marks it as the most recently used one. It reports
+// whether the block was present.
 func (c *blockCache) touch(block uint64) bool {
 	if element, ok := c.blocks[block]; ok {
 		c.recency.MoveToFront(element)
--- a/server/standin/engine/engine.go
+++ b/server/standin/engine/engine.go
@@ -1,6 +1,7 @@
 // Package engine is the stand-in for a model engine: it runs generations
-// concurrently, caches prompt prefixes, turns cold, and crashes when it is
-// overloaded in cold start.
+// concurrently and caches prompt prefixes. Like a real engine, it can turn cold:
+// in cold start it is slower until it has completed some generations, and crashes
+// when it runs more of them at once than its cold limit.
 package engine
 
 import (
@@ -22,14 +23,14 @@
 
 // Options configure an engine's behaviour.
 type Options struct {
-	FullLimit      int           `json:"full_limit"`       // Concurrent generations when warm.
+	FullLimit      int           `json:"full_limit"`       // Concurrent generations when warm; further ones wait.
 	ColdLimit      int           `json:"cold_limit"`       // Concurrent generations that were started in cold start; one more crashes the engine.
 	WarmAfter      int           `json:"warm_after"`       // Completed generations until warm.
 	TokenTime      time.Duration `json:"token_time"`       // Time of one decode step.
 	PrefillTime    time.Duration `json:"prefill_time"`     // Time for each prompt token that is not cached.
 	ColdDelay      time.Duration `json:"cold_delay"`       // Time before the prefill in cold start.
 	TokensPerPiece int           `json:"tokens_per_piece"` // Tokens in one piece of the stream.
-	CacheBlocks    int           `json:"cache_blocks"`     // Prefix blocks kept.
+	CacheBlocks    int           `json:"cache_blocks"`     // Capacity of the prefix cache, in blocks.
 	ReportLag      time.Duration `json:"report_lag"`       // Age of the load report.
 	IgnoreFence    bool          `json:"ignore_fence"`     // Accept orders with outdated fencing numbers.
 }
@@ -49,7 +50,7 @@
 	}
 }
 
-// Engine is one stand-in engine.
+// Engine simulates one model engine in memory.
 type Engine struct {
 	Faults  fault.Injector
 	options Options
@@ -58,11 +59,11 @@
 	bootID           string
 	cold             bool
 	coldEpoch        int // Number of calls to TurnCold.
-	completed        int
-	startedCount     int // Generations submitted.
-	overloadCount    int // Times the engine crashed from overload in cold start.
+	completed        int // Generations completed since the start or the last call to TurnCold.
+	startedCount     int // Number of generations submitted.
+	overloadCount    int // Number of crashes from overload in cold start.
 	runningCount     int
-	coldRunningCount int // Those of running that were started in cold start.
+	coldRunningCount int // Running generations that were started in the current cold start.
 	slotFreed        *sync.Cond
 	waitingCount     int
 	stalled          bool
@@ -76,7 +77,7 @@
 	sentPieceCount atomic.Int64
 }
 
-// New returns a cold engine.
+// New returns an engine in cold start.
 func New(options Options) *Engine {
 	e := &Engine{options: options, generations: map[string]*generation{}}
 	e.slotFreed = sync.NewCond(&e.mu)
@@ -91,7 +92,7 @@
 	e.cache = newBlockCache(e.options.CacheBlocks)
 }
 
-// TurnCold makes the engine cold without notice to its clients.
+// TurnCold puts the engine into cold start without notice to its clients.
 func (e *Engine) TurnCold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,7 +110,8 @@
 	e.stalled = stalled
 }
 
-// Restart ends every generation and restarts the engine, which is then cold.
+// Restart ends every generation and restarts the engine, which is then in cold
+// start.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -178,8 +180,8 @@
 	return append([]ports.Order(nil), e.orders...)
 }
 
-// acquire waits for a slot. In cold start with ColdLimit generations it crashes
-// the engine and fails.
+// acquire waits for a slot. If ColdLimit generations are already running in cold
+// start, it crashes the engine and fails.
 func (e *Engine) acquire(g *generation) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/server/standin/engine/generation.go
+++ b/server/standin/engine/generation.go
@@ -30,9 +30,9 @@
 	request ports.Generation
 
 	// Guarded by Engine.mu:
-	bootID       string // Engine.bootID when it took its slot.
-	epochAtStart int    // Engine.coldEpoch when it took its slot.
-	cold         bool   // Whether it was started in cold start.
+	bootID       string // Engine.bootID when the generation took its slot.
+	epochAtStart int    // Engine.coldEpoch when the generation took its slot.
+	cold         bool   // Whether the generation was started in cold start.
 
 	mu      sync.Mutex
 	changed chan struct{} // Closed and replaced at every change.
@@ -87,8 +87,8 @@
 	return nil, g.changed, g.err
 }
 
-// follow passes the pieces with tokens after from to write until the generation
-// has ended.
+// follow passes the pieces to write until the generation has ended. It skips the
+// pieces that contain only the first from tokens.
 func (g *generation) follow(ctx context.Context, from int, write func(stream.Piece) error) error {
 	for index := 0; ; {
 		pieces, changed, err := g.piecesFrom(index)
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -10,8 +10,8 @@
 
 var errCutByFault = errors.New("stream cut by an injected fault")
 
-// StreamFaults describes faults in the pieces that the engine sends. Pieces are
-// counted over all streams; zero means never.
+// StreamFaults describes faults to inject into the pieces that the engine sends.
+// Each fault affects every n-th piece, counted over all streams; zero disables it.
 type StreamFaults struct {
 	CutEvery       int `json:"cut_every"`       // Cut the connection at every n-th piece.
 	DuplicateEvery int `json:"duplicate_every"` // Send every n-th piece twice.
@@ -19,8 +19,8 @@
 	ForeignEvery   int `json:"foreign_every"`   // Send a piece of another answer in place of every n-th.
 }
 
-// SetStreamFaults replaces the faults. Streams that have already started keep
-// theirs.
+// SetStreamFaults replaces the stream faults. Streams that have already started
+// keep the faults that they started with.
 func (e *Engine) SetStreamFaults(faults StreamFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/server/standin/fault/fault.go
+++ b/server/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault injects faults into a stand-in: it can be slow or down, or lose
-// answers. Faults are set through PUT /faults on every stand-in.
+// Package fault injects faults into a stand-in: the stand-in can be slow or down,
+// or lose answers. Faults are set through PUT /faults on every stand-in.
 package fault
 
 import (
@@ -12,7 +12,7 @@
 // Faults describes the faults of a stand-in. The zero value has none.
 type Faults struct {
 	Down        bool `json:"down"`         // Refuse every request, without effect.
-	SlowMS      int  `json:"slow_ms"`      // Delay every request.
+	SlowMS      int  `json:"slow_ms"`      // Delay every request by this many milliseconds.
 	LoseAnswers int  `json:"lose_answers"` // For this many writes, take effect but drop the connection without an answer.
 }
 
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -36,27 +36,28 @@
 	state   expertmap.EngineState
 	fence   uint64
 	stalled bool
-	engine  *engine.Engine // Handles everything but the expert map.
+	engine  *engine.Engine // Serves all requests except those about the expert map.
 }
 
-// Group is one stand-in group.
+// Group simulates a model group whose ranks run every step together and use an
+// expert map.
 type Group struct {
 	options Options
 
 	mu           sync.Mutex
 	ranks        []rank
 	popularity   [][]float64
-	lostMapCount int // Times that all ranks were without a map.
+	lostMapCount int // Number of times that a restart left all ranks without a map.
 	oracle       Oracle
-	mapByStep    map[uint64]expertmap.Change // Map used by each step of this generation.
+	mapByStep    map[uint64]expertmap.Change // Map used by each step since all ranks were last without a map.
 }
 
-// Oracle holds the observations of the group's steps.
+// Oracle holds what the test oracle observed of the group's steps.
 type Oracle struct {
-	Steps      int              `json:"steps"`      // Steps of all ranks together.
-	Violations []string         `json:"violations"` // Steps in which ranks used different maps.
-	Maps       []string         `json:"maps"`       // Maps in the order of their first use.
-	InForce    expertmap.Change `json:"in_force"`   // Map of rank 0.
+	Steps      int              `json:"steps"`      // Number of steps run, summed over all ranks.
+	Violations []string         `json:"violations"` // One message for each step of a rank whose map differs from that of another rank at the same step.
+	Maps       []string         `json:"maps"`       // IDs of the maps that the steps used, in order and without consecutive repeats.
+	InForce    expertmap.Change `json:"in_force"`   // Map in force at rank 0.
 }
 
 // New returns a group whose engines have no map.
--- a/server/standin/service/service.go
+++ b/server/standin/service/service.go
@@ -24,7 +24,7 @@
 	Body      string `json:"body"`
 }
 
-// Service records and answers calls.
+// Service simulates a plain service: it records and answers calls.
 type Service struct {
 	Faults   fault.Injector
 	WorkTime time.Duration // Time that each run takes.
--- a/server/standin/store/store.go
+++ b/server/standin/store/store.go
@@ -41,7 +41,7 @@
 	Writes int `json:"writes"`
 }
 
-// Counts returns the numbers of requests served so far.
+// Counts returns the numbers of requests that the table service has served so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/standin/store/weights.go
+++ b/server/standin/store/weights.go
@@ -10,8 +10,8 @@
 // weightsBytesPerSecond is the throughput of the weight store.
 const weightsBytesPerSecond = 8e9
 
-// weightLimiter limits the weight store's throughput by delivering to one caller
-// after another.
+// weightLimiter limits the weight store's throughput: it delivers weights to one
+// caller after another.
 type weightLimiter struct {
 	mu        sync.Mutex
 	busyUntil time.Time // When all reserved bytes will have been delivered.
--- a/server/wait/wait.go
+++ b/server/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait provides the one cancellable sleep that traffic goroutines use.
+// Package wait provides the cancellable sleep of goroutines that serve traffic.
 package wait
 
 import (
--- a/server/wire/configuration.go
+++ b/server/wire/configuration.go
@@ -14,11 +14,12 @@
 	Instance ports.Instance
 }
 
-// ExchangeReply answers ExchangeRequest.
+// ExchangeReply returns the peer's revision, in its stamp, and the evidence that
+// this revision is the newest.
 type ExchangeReply struct {
 	Stamp   Stamp
 	Current bool          // Whether the peer knows a time at which its revision was the newest.
-	Age     time.Duration // Time since then.
+	Age     time.Duration // Time since the latest time at which that was known; set if Current is.
 	Started bool          // Whether the peer has passed its start-up check.
 }
 
@@ -26,17 +27,18 @@
 // already has some of its files or earlier versions of them.
 type Configuration struct {
 	Revision uint64
-	Versions map[string]config.FileVersion // Of every file.
-	Splices  map[string]config.Splice      // Edits that produce the files that the receiver lacks.
+	Versions map[string]config.FileVersion // Version of each file, by file name.
+	Splices  map[string]config.Splice      // By file name: edits that turn the text that the receiver has into the new one; none for unchanged files.
 }
 
 // ConfigurationRequest asks a peer for its configuration.
 type ConfigurationRequest struct {
 	Stamp Stamp
-	Have  map[string]string // Digests of the file contents that the sender has, by file.
+	Have  map[string]string // Digest of each file text that the sender has, by file name.
 }
 
-// ConfigurationReply answers ConfigurationRequest.
+// ConfigurationReply returns the peer's configuration. It is the zero value if
+// the peer's revision is not newer than the sender's.
 type ConfigurationReply struct {
 	Stamp         Stamp
 	Configuration Configuration
@@ -48,25 +50,25 @@
 	Configuration Configuration
 }
 
-// OfferReply answers OfferRequest.
+// OfferReply acknowledges an OfferRequest.
 type OfferReply struct{ Stamp Stamp }
 
 // ReportRequest asks a process which configuration it has in force.
 type ReportRequest struct{ Stamp Stamp }
 
-// ReportReply answers ReportRequest.
+// ReportReply describes a process and the configuration that it has in force.
 type ReportReply struct {
 	Stamp    Stamp
 	Instance ports.Instance
-	Versions map[string]config.FileVersion // In force, by file.
-	Current  bool
-	Age      time.Duration // Time since the revision was known to be the newest.
+	Versions map[string]config.FileVersion // Version of each file in force, by file name.
+	Current  bool                          // Whether the process knows a time at which its revision was the newest.
+	Age      time.Duration                 // Time since the latest time at which that was known; set if Current is.
 }
 
 // InstancesRequest asks a peer for its instance list.
 type InstancesRequest struct{ Stamp Stamp }
 
-// InstancesReply answers InstancesRequest.
+// InstancesReply returns the peer itself and the instances that it knows.
 type InstancesReply struct {
 	Stamp     Stamp
 	Instances []ports.Instance
--- a/server/wire/execution.go
+++ b/server/wire/execution.go
@@ -9,7 +9,7 @@
 	WaitMS    int64 // Maximum time to wait for the execution to end.
 }
 
-// ExecutionReply answers ExecutionRequest.
+// ExecutionReply returns the progress of an execution.
 type ExecutionReply struct {
 	Stamp    Stamp
 	Progress once.Progress
--- a/server/wire/expertmap.go
+++ b/server/wire/expertmap.go
@@ -8,7 +8,7 @@
 	Order expertmap.Order
 }
 
-// MapReply answers MapOrder with the state of the rank's engine.
+// MapReply answers a MapOrder with the state of the rank's engine.
 type MapReply struct {
 	Stamp   Stamp
 	State   expertmap.EngineState
--- a/server/wire/share.go
+++ b/server/wire/share.go
@@ -1,7 +1,8 @@
 package wire
 
-// ShareRequest asks the home entry of an organisation for a share of its limits;
-// see package share.
+// ShareRequest asks the home entry of an organisation, which keeps the account of
+// the organisation's limits, for a lease of rate tokens and concurrency slots; see
+// package share.
 type ShareRequest struct {
 	Stamp  Stamp
 	Org    string
@@ -11,10 +12,10 @@
 	InUse  int // Slots in use by requests in flight.
 }
 
-// ShareReply answers ShareRequest.
+// ShareReply grants rate tokens and concurrency slots.
 type ShareReply struct {
 	Stamp        Stamp
 	Tokens       int
 	Slots        int
-	RetryAfterMS int64
+	RetryAfterMS int64 // Set when no token or slot was free.
 }
--- a/server/wire/wire.go
+++ b/server/wire/wire.go
@@ -13,7 +13,7 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// HeaderWork carries a Work on every request from an entry to an agent.
+// HeaderWork carries an encoded Work on every request from an entry to an agent.
 const HeaderWork = "Persimmonwind-Work"
 
 // HeaderRequestID carries Work.AnswerID on the agent's answer.
@@ -53,7 +53,7 @@
 	Operation  string    `json:"operation,omitempty"`
 	Idempotent bool      `json:"idempotent"`
 	Key        string    `json:"key,omitempty"`   // Key of the table row that holds the idempotency key; see policy/once.
-	Epoch      uint64    `json:"epoch,omitempty"` // Epoch of that row.
+	Epoch      uint64    `json:"epoch,omitempty"` // Epoch of the table row when the attempt was sent.
 }
 
 // AnswerID returns the ID of this attempt's answer. It differs between attempts,
@@ -110,7 +110,7 @@
 	Model   string
 	Adapter string
 	Tokens  int      // Length of the prompt.
-	Blocks  int      // Full blocks of the prompt.
+	Blocks  int      // Number of full blocks in the prompt.
 	Prefix  []uint64 // Sample of the chained hashes of the prompt's blocks; see prefix.Sample.
 }
 
@@ -118,12 +118,12 @@
 type ProbeReply struct {
 	Stamp          Stamp
 	BackendServer  string
-	Headroom       int // Requests that it could admit now.
+	Headroom       int // Free slots of the agent minus its queued requests; may be negative.
 	Queued         int
 	Running        int
-	Cold           bool
+	Cold           bool        // Whether the agent considers the backend server to be in cold start.
 	Refuses        result.Code // OK, or the reason why it accepts no new work.
 	RetryAfterMS   int64
-	CachedBlocks   int
+	CachedBlocks   int     // Leading blocks of the prompt that the backend server has cached.
 	ExpectedWaitMS float64 // Expected time to first token.
 }
