--- a/server/once/sweep.go
+++ b/server/once/sweep.go
@@ -22,10 +22,11 @@
 	sweepTimeout = 10 * time.Second
 )
 
-// Sweeper removes the expired rows of idempotency keys and their stored answers. The keys are divided
-// into shards, and each shard is swept by one of the live entries. Entries whose
-// lists of live entries differ may sweep the same shard. That is safe: a row is
-// removed by compare-and-set, only if it was not written since it was read.
+// Sweeper removes the expired rows of idempotency keys and their stored answers.
+// The keys are divided into shards, and each shard is swept by one of the live
+// entries. Entries whose lists of live entries differ may sweep the same shard.
+// That is safe: a row is removed by compare-and-set, only if it was not written
+// since it was read.
 type Sweeper struct {
 	Rows      *Rows
 	Self      string          // Instance ID of this entry.
