--- a/server/admin/admin.go
+++ b/server/admin/admin.go
@@ -35,7 +35,7 @@
 // API serves the administration API.
 type API struct {
 	node      *node.Node
-	operators map[string]adminapi.Operator // By hex SHA-256 of the token, in lower case.
+	operators map[string]adminapi.Operator // Operators by the SHA-256 of their tokens, in lower-case hex.
 }
 
 // New returns an API for the operators that works through the node.
--- a/server/agent/admitter.go
+++ b/server/agent/admitter.go
@@ -78,7 +78,7 @@
 	ticket := a.lastTicket.Add(1)
 	decision := a.addPending(ticket)
 	a.node.Loop.Post(admission.Asked{
-		Ticket: ticket, Org: work.Org, Weight: a.weight(work.Org), Priority: work.Priority, Deadline: work.Deadline,
+		Ticket: ticket, Org: work.Org, Weight: a.orgWeight(work.Org), Priority: work.Priority, Deadline: work.Deadline,
 		Prompt: prompt,
 	})
 	select {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (a *admitter) weight(org string) float64 {
+func (a *admitter) orgWeight(org string) float64 {
 	if snapshot := a.node.State().View.InForce; snapshot != nil {
 		return snapshot.Organisations[org].Weight
 	}
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -40,9 +40,9 @@
 	settings settings.Agent
 	node     *node.Node
 	admitter *admitter
-	engine   ports.Engine  // Nil for a plain service.
-	service  ports.Service // Nil for a model engine.
-	group    *group.Group  // Nil for a plain service.
+	engine   ports.Engine  // Client of the model engine; nil if the backend server is a plain service.
+	service  ports.Service // Client of the plain service; nil if the backend server is a model engine.
+	group    *group.Group  // Expert map protocol of the engine's group; nil if the backend server is a plain service.
 	traffic  net.Listener
 	health   net.Listener
 	server   *http.Server
@@ -81,7 +81,7 @@
 	return a
 }
 
-// Node returns the agent's node.
+// Node returns the node that runs the agent's control loop.
 func (a *Agent) Node() *node.Node { return a.node }
 
 // Run serves until ctx ends, then drains.
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -23,7 +23,7 @@
 
 const (
 	maxExecutions      = 4096 // Limit on concurrent executions.
-	storeWait          = 2 * time.Second
+	maxStoreWait       = 2 * time.Second
 	defaultCallTimeout = 60 * time.Second
 	maxExecutionWait   = 5 * time.Second
 )
@@ -206,12 +206,12 @@
 	return complete
 }
 
-// awaitStored waits for the answer to be stored, at most storeWait, so that a
+// awaitStored waits for the answer to be stored, at most maxStoreWait, so that a
 // slow store does not hold up the answer.
 func (x *execution) awaitStored() {
 	select {
 	case <-x.ended:
-	case <-time.After(storeWait):
+	case <-time.After(maxStoreWait):
 		logevent.Write(x.owner.node.Log(), logevent.AnswerNotStored, logrus.Fields{"request": x.work.RequestID})
 	}
 }
--- a/server/configstore/apply.go
+++ b/server/configstore/apply.go
@@ -20,7 +20,7 @@
 	maxInlineChanges = 100
 )
 
-// Kinds of changes.
+// Kinds of configuration changes.
 const (
 	KindApply    = "apply"
 	KindRollback = "rollback"
--- a/server/configstore/configstore.go
+++ b/server/configstore/configstore.go
@@ -99,7 +99,8 @@
 	return files, nil
 }
 
-// text reads the text of a file version and checks its digest.
+// text reads the text of a file version from the object store and checks its
+// digest.
 func (s *Store) text(ctx context.Context, name string, version config.FileVersion) ([]byte, error) {
 	text, err := s.Objects.Get(ctx, objectName(name, version.Digest))
 	if err != nil {
--- a/server/entry/attempt/agent_client.go
+++ b/server/entry/attempt/agent_client.go
@@ -23,7 +23,7 @@
 	maxRefusalBytes = 64 << 10
 )
 
-// agentClient sends work to agents.
+// agentClient sends attempts of requests to agents over HTTP.
 type agentClient struct {
 	scheme string
 	http   *http.Client
--- a/server/entry/attempt/execution.go
+++ b/server/entry/attempt/execution.go
@@ -13,7 +13,7 @@
 
 const (
 	queryRetryPause = 500 * time.Millisecond
-	queryWait       = 5 * time.Second // Longest time that the agent waits for news before it replies.
+	maxQueryWait    = 5 * time.Second // Longest time that the agent waits for news before it replies.
 )
 
 var errAgentNotListed = errors.New("the execution's agent is not in the instance list")
@@ -28,17 +28,17 @@
 }
 
 // queryExecution asks an execution's agent for its progress; the agent replies
-// once there is news, or after queryWait.
+// once there is news, or after maxQueryWait.
 func (r *Runner) queryExecution(ctx context.Context, execution policy.Execution) (*wire.ExecutionReply, error) {
 	control, ok := r.controlAddress(execution.Agent)
 	if !ok {
 		return nil, errAgentNotListed
 	}
-	ctx, wd := newWatchdog(ctx, queryWait+heartbeatTimeout)
+	ctx, wd := newWatchdog(ctx, maxQueryWait+heartbeatTimeout)
 	defer wd.stop()
 	defer r.liveness.watch(control, wd)()
 	reply := new(wire.ExecutionReply)
-	request := wire.ExecutionRequest{Stamp: r.node.Stamp(), Execution: execution, WaitMS: queryWait.Milliseconds()}
+	request := wire.ExecutionRequest{Stamp: r.node.Stamp(), Execution: execution, WaitMS: maxQueryWait.Milliseconds()}
 	if err := r.node.Pool.Call(ctx, control, "Execution.Wait", request, reply); err != nil {
 		return nil, err
 	}
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -61,7 +61,7 @@
 	request   Request
 	sink      Sink
 	assembler answer.Assembler[stream.Piece]
-	sinkErr   error // Set once the caller can't be reached.
+	sinkErr   error // Error of the sink; set once the caller can't be reached.
 }
 
 // continuable reports whether the answer may be continued on another backend
--- a/server/entry/attempt/request.go
+++ b/server/entry/attempt/request.go
@@ -15,7 +15,7 @@
 	Org      string
 	Priority int
 	Deadline time.Time
-	Key      string // Idempotency key.
+	Key      string // Idempotency key of a non-idempotent call.
 
 	// KeyGenerated reports that the entry generated Key, so that nobody else
 	// knows it.
@@ -37,7 +37,7 @@
 	failedServers []string // Backend servers whose attempt failed after the work may have run.
 }
 
-// Sink takes the pieces of a generation in order, each exactly once.
+// Sink receives the pieces of a generation's answer in order, each exactly once.
 type Sink func(stream.Piece) error
 
 // Answer is a plain service's complete answer.
--- a/server/entry/attempt/runner.go
+++ b/server/entry/attempt/runner.go
@@ -14,7 +14,7 @@
 	"persimmonwind.dev/server/wire"
 )
 
-// Runner runs callers' requests.
+// Runner runs callers' requests by sending attempts to agents.
 type Runner struct {
 	node        *node.Node
 	router      *route.Router
@@ -26,7 +26,8 @@
 	cancelWriter *cancelWriter
 }
 
-// NewRunner returns a runner that uses the node.
+// NewRunner returns a runner that uses the node's configuration, instance list and
+// connections.
 func NewRunner(n *node.Node) *Runner {
 	rows := &once.Rows{Table: n.Store, Objects: n.Store.Objects()}
 	return &Runner{
--- a/server/entry/attempt/watchdog.go
+++ b/server/entry/attempt/watchdog.go
@@ -12,8 +12,8 @@
 	nextPieceTimeout  = 5 * time.Second
 )
 
-// errAgentTimeout is the cause with which an attempt is cancelled whose agent
-// sent nothing for too long.
+// errAgentTimeout is the cause with which an attempt is cancelled if its agent
+// sends nothing for too long.
 var errAgentTimeout = errors.New("agent sent nothing before the timeout")
 
 // watchdog cancels an attempt whose agent stops sending.
--- a/server/entry/body.go
+++ b/server/entry/body.go
@@ -23,7 +23,7 @@
 const (
 	defaultDeadline      = time.Minute
 	maxDeadline          = 10 * time.Minute
-	requestTimeoutHeader = "Request-Timeout" // In seconds, as a decimal number.
+	requestTimeoutHeader = "Request-Timeout" // Request header with the timeout in seconds, as a decimal number.
 )
 
 // readBody reads the request body within maxBodyBytes and bodyTimeout.
--- a/server/entry/entry.go
+++ b/server/entry/entry.go
@@ -35,7 +35,7 @@
 	Keys    keys.Source // TLS keys for Control and the connections to agents; nil for plain TCP.
 }
 
-// Entry is one entry instance.
+// Entry serves callers, operators and other processes as one entry instance.
 type Entry struct {
 	settings  settings.Entry
 	node      *node.Node
@@ -71,7 +71,7 @@
 	}
 }
 
-// Node returns the entry's node.
+// Node returns the node that runs the entry's control loop.
 func (e *Entry) Node() *node.Node { return e.node }
 
 // Run serves until ctx ends, then drains.
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -155,16 +155,16 @@
 func (l *Limiter) admitLocally(org string, limits share.Limits) (release func(), err *result.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	decision, err := l.localShare(org).AdmitLocally(time.Now(), limits, len(l.entryIDs), l.rank(org))
+	decision, err := l.localShare(org).AdmitLocally(time.Now(), limits, len(l.entryIDs), l.rendezvousRank(org))
 	if decision != share.Admitted {
 		return nil, err
 	}
 	return func() { l.releaseSlot(org) }, nil
 }
 
-// rank returns this entry's position in the rendezvous order of all entries for
-// the organisation.
-func (l *Limiter) rank(org string) int {
+// rendezvousRank returns this entry's position among all entries in the
+// rendezvous hashing order of the organisation.
+func (l *Limiter) rendezvousRank(org string) int {
 	order := choose.Rendezvous(l.entryIDs, choose.RendezvousKey(org), len(l.entryIDs))
 	return slices.Index(order, slices.Index(l.entryIDs, l.selfID))
 }
--- a/server/entry/middleware.go
+++ b/server/entry/middleware.go
@@ -15,7 +15,7 @@
 // responseWriter records when the first byte of the response was written.
 type responseWriter struct {
 	http.ResponseWriter
-	firstByteAt time.Time // Zero before the first byte.
+	firstByteAt time.Time // Time of the first byte; zero before it.
 }
 
 // Unwrap lets http.ResponseController reach the connection.
--- a/server/entry/openai/openai.go
+++ b/server/entry/openai/openai.go
@@ -101,7 +101,7 @@
 	return fallback
 }
 
-// Usage holds the token counts of a response.
+// Usage contains the token counts that a response reports.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -128,9 +128,9 @@
 // Choice is one generated answer; a response has at most one.
 type Choice struct {
 	Index        int       `json:"index"`
-	Message      *ChatText `json:"message,omitempty"` // In complete chat responses.
-	Delta        *ChatText `json:"delta,omitempty"`   // In chat streams.
-	Text         *string   `json:"text,omitempty"`    // In text completions.
+	Message      *ChatText `json:"message,omitempty"` // Set in complete chat responses.
+	Delta        *ChatText `json:"delta,omitempty"`   // Set in the events of a chat stream.
+	Text         *string   `json:"text,omitempty"`    // Set in text completions, complete or streamed.
 	FinishReason *string   `json:"finish_reason"`
 }
 
--- a/server/entry/route/gather.go
+++ b/server/entry/route/gather.go
@@ -12,7 +12,7 @@
 // only for a fraction of the expected time to first token, so that a dead or
 // slow agent among those probed does not delay the work.
 const (
-	minOfferWait     = 2 * time.Millisecond // Longer than a round trip within a region.
+	minOfferWait     = 2 * time.Millisecond // Lower bound of the wait; longer than a round trip within a region.
 	offerWaitDivisor = 20                   // The wait is the expected time to first token divided by this.
 )
 
@@ -29,9 +29,9 @@
 	timedOut bool             // The agent may be alive, but did not answer in time.
 }
 
-// gather probes all targets concurrently. It returns those that answered before
-// the timeout, or before the wait for better offers ended, and those that did
-// not answer within the whole timeout.
+// gather probes all targets concurrently. It returns the targets that answered
+// before the timeout, or before the wait for better offers ended, and those that
+// did not answer within the whole timeout.
 func gather(ctx context.Context, timeout time.Duration, targets []Target, probe func(context.Context, Target) probeResult) (answered, timedOut []Target) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -20,10 +20,10 @@
 
 const (
 	retryAfter  = time.Second
-	probeRounds = 2 // Rounds of probes, each of other agents, before the work is refused.
+	probeRounds = 2 // Rounds of probes, each sent to agents not probed before, until the request is refused.
 )
 
-// Query describes the work that needs a backend server.
+// Query describes the request that needs a backend server.
 type Query struct {
 	Model           string // Empty for a plain service.
 	Adapter         string
@@ -34,7 +34,7 @@
 	RequestID       string
 }
 
-// Target is the chosen backend server's agent.
+// Target is a backend server that may be chosen, with the addresses of its agent.
 type Target struct {
 	BackendServer string
 	Traffic       string          // host:port of the agent's traffic server.
@@ -42,7 +42,7 @@
 	Probe         wire.ProbeReply // The agent's offer; set once it has answered a probe.
 }
 
-// Router chooses backend servers.
+// Router chooses the backend server for each attempt of a request.
 type Router struct {
 	node     *node.Node
 	suspects *suspects
--- a/server/loop/loop.go
+++ b/server/loop/loop.go
@@ -54,7 +54,7 @@
 // View returns the latest published view, or nil before Run.
 func (l *Loop[S, V]) View() *V { return l.publishedView.Load() }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that is closed when the loop has ended.
 func (l *Loop[S, V]) Done() <-chan struct{} { return l.done }
 
 // Run reduces events until ctx ends, starting with state, and adds a tick event
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -75,14 +75,14 @@
 	if snapshot == nil {
 		return fmt.Errorf("the store contains no configuration")
 	}
-	n.install(snapshot)
+	n.installIfNewer(snapshot)
 	n.Loop.Post(view.StoreRead{Revision: snapshot.Revision, BeganAt: began})
 	return nil
 }
 
-// install posts the snapshot to the control loop if it is newer than the one in
-// force.
-func (n *Node) install(snapshot *config.Snapshot) {
+// installIfNewer posts the snapshot to the control loop if it is newer than the
+// one in force.
+func (n *Node) installIfNewer(snapshot *config.Snapshot) {
 	if snapshot.Revision <= n.State().View.Revision() {
 		return
 	}
@@ -96,8 +96,8 @@
 // received the offer and the number of all other processes.
 func (n *Node) Install(ctx context.Context, snapshot *config.Snapshot) (reached, total int) {
 	old := n.State().View.InForce
-	n.install(snapshot)
-	return n.offer(ctx, old, snapshot)
+	n.installIfNewer(snapshot)
+	return n.offerToPeers(ctx, old, snapshot)
 }
 
 // fetchFromPeers asks several peers concurrently and installs the newest
@@ -128,7 +128,7 @@
 	if newest == nil {
 		return errNoNewerConfiguration
 	}
-	n.install(newest)
+	n.installIfNewer(newest)
 	return nil
 }
 
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -53,8 +53,8 @@
 	Store          *httpapi.Store
 	ConfigStore    *configstore.Store
 	Pool           *rpc.Pool
-	Transport      *http.Transport // For the platform and the backend server.
-	AgentTransport *http.Transport // For the agents' traffic servers.
+	Transport      *http.Transport // HTTP transport for the platform and the backend server.
+	AgentTransport *http.Transport // HTTP transport for the agents' traffic servers.
 
 	executors     []func(context.Context, reduce.Effect) bool
 	receivers     map[string]any
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -66,11 +66,11 @@
 	return delta
 }
 
-// offer sends the snapshot to all other processes. It closes the connections that
-// it opens: at the size aimed at, 330 entries and 1,900 agents, connections kept
-// between all processes do not fit the limits that a process has for control, 256 MB
-// of memory and 26 KB of traffic a second.
-func (n *Node) offer(ctx context.Context, old, snapshot *config.Snapshot) (reached, total int) {
+// offerToPeers sends the snapshot to all other processes. It closes the
+// connections that it opens: at the size aimed at, 330 entries and 1,900 agents,
+// connections kept between all processes do not fit the limits that a process has
+// for control, 256 MB of memory and 26 KB of traffic a second.
+func (n *Node) offerToPeers(ctx context.Context, old, snapshot *config.Snapshot) (reached, total int) {
 	request := wire.OfferRequest{Stamp: n.Stamp(), Configuration: n.snapshotCache.deltaFor(snapshot, digests(old))}
 	request.Stamp.Revision = snapshot.Revision
 	if insertedBytes(request.Configuration) > maxOfferBytes {
@@ -169,7 +169,7 @@
 func (r *peerReceiver) Offer(request wire.OfferRequest, reply *wire.OfferReply) error {
 	snapshot, err := buildSnapshot(r.node.State().View.InForce, request.Configuration)
 	if err == nil && snapshot != nil {
-		r.node.install(snapshot)
+		r.node.installIfNewer(snapshot)
 	}
 	if err != nil {
 		logevent.Write(r.node.Log(), logevent.OfferIncomplete, logrus.Fields{"from": request.Stamp.From, "error": err.Error()})
--- a/server/ports/httpapi/instances.go
+++ b/server/ports/httpapi/instances.go
@@ -17,7 +17,7 @@
 	client client
 
 	mu   sync.Mutex
-	etag string // ETag of list; empty if it has none.
+	etag string // ETag of the cached list; empty if it has none.
 	list []ports.Instance
 }
 
--- a/server/ports/ports.go
+++ b/server/ports/ports.go
@@ -37,14 +37,14 @@
 	Version uint64
 }
 
-// Condition requires that the row has exactly this version; 0 requires that it
-// does not exist.
+// Condition requires that a row has exactly the version when a transaction is
+// applied; version 0 requires that the row does not exist.
 type Condition struct {
 	Key     string
 	Version uint64
 }
 
-// Write sets or deletes one row.
+// Write sets or deletes one row in a transaction.
 type Write struct {
 	Key    string
 	Value  []byte
@@ -87,7 +87,7 @@
 	ID            string `json:"id"`
 	Role          string `json:"role"`
 	DataCentre    string `json:"data_centre"`
-	BackendServer string `json:"backend_server,omitempty"` // Agents only.
+	BackendServer string `json:"backend_server,omitempty"` // Backend server of an agent; empty for an entry.
 	Control       string `json:"control"`                  // host:port of the control RPC.
 	Traffic       string `json:"traffic"`                  // host:port of the traffic HTTP server.
 	Leaving       bool   `json:"leaving"`
@@ -105,7 +105,7 @@
 	Fetch(ctx context.Context, name string, bytes int64) error
 }
 
-// Generation is one request to a model engine.
+// Generation is a request to a model engine to generate tokens.
 type Generation struct {
 	ID        string `json:"id"`
 	Model     string `json:"model"`
@@ -150,7 +150,7 @@
 	Body  []byte `json:"body"`
 }
 
-// Engine is one model engine.
+// Engine is the interface to a model engine, which generates tokens.
 type Engine interface {
 	Submit(ctx context.Context, generation Generation) (*stream.Reader, error)
 	// Resume continues the stream of a generation after its first from tokens. It
@@ -179,7 +179,8 @@
 	Body        []byte
 }
 
-// Service is one plain service.
+// Service is the interface to a plain service, a backend server that answers calls
+// and is not a model engine.
 type Service interface {
 	// Call fails with ErrUnavailable if the call had no effect, and otherwise with
 	// ErrUnknownOutcome.
--- a/server/rpc/rpc.go
+++ b/server/rpc/rpc.go
@@ -59,7 +59,7 @@
 
 // Pool keeps one connection to each peer that is called, by control address.
 type Pool struct {
-	tls *tls.Config // Nil for plain TCP.
+	tls *tls.Config // TLS configuration of outgoing connections; nil for plain TCP.
 
 	mu      sync.Mutex
 	clients map[string]*rpc.Client
--- a/server/standin/engine/generation.go
+++ b/server/standin/engine/generation.go
@@ -35,7 +35,7 @@
 	cold         bool   // Whether the generation was started in cold start.
 
 	mu      sync.Mutex
-	changed chan struct{} // Closed and replaced at every change.
+	changed chan struct{} // Closed and replaced whenever pieces or err changes.
 	pieces  []stream.Piece
 	err     error
 }
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -43,7 +43,7 @@
 	e.SetStreamFaults(faults)
 }
 
-func isNth(count, every int) bool { return every > 0 && count%every == 0 }
+func isEveryNth(count, every int) bool { return every > 0 && count%every == 0 }
 
 // withStreamFaults returns a function that applies the current faults to write.
 func (e *Engine) withStreamFaults(write func(stream.Piece) error) func(stream.Piece) error {
@@ -67,20 +67,20 @@
 
 func (s *faultyWriter) writePiece(piece stream.Piece) error {
 	count := int(s.engine.sentPieceCount.Add(1))
-	if isNth(count, s.faults.CutEvery) {
+	if isEveryNth(count, s.faults.CutEvery) {
 		return errCutByFault
 	}
-	if isNth(count, s.faults.ForeignEvery) {
+	if isEveryNth(count, s.faults.ForeignEvery) {
 		return s.write(stream.Piece{ID: "foreign", From: piece.From, Tokens: piece.Tokens, Text: "foreign "})
 	}
-	if isNth(count, s.faults.SwapEvery) && s.delayedPiece == nil && !piece.End {
+	if isEveryNth(count, s.faults.SwapEvery) && s.delayedPiece == nil && !piece.End {
 		s.delayedPiece = &piece
 		return nil
 	}
 	if err := s.write(piece); err != nil {
 		return err
 	}
-	if isNth(count, s.faults.DuplicateEvery) {
+	if isEveryNth(count, s.faults.DuplicateEvery) {
 		if err := s.write(piece); err != nil {
 			return err
 		}
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -19,7 +19,7 @@
 	"persimmonwind.dev/server/standin/engine"
 )
 
-// Options configure a group's behaviour.
+// Options configure a simulated group.
 type Options struct {
 	Shape       planner.Shape
 	StepTime    time.Duration
@@ -31,7 +31,7 @@
 	return Options{Shape: planner.Shape{Ranks: 4, Slots: 5, Experts: 16, Layers: 2}, StepTime: 5 * time.Millisecond}
 }
 
-// rank is the engine of one rank.
+// rank is the simulated engine of one rank of the group.
 type rank struct {
 	state   expertmap.EngineState
 	fence   uint64
@@ -77,7 +77,7 @@
 	return g
 }
 
-// Run runs steps until ctx ends.
+// Run runs steps of the ranks until ctx ends.
 func (g *Group) Run(ctx context.Context) {
 	ticker := time.NewTicker(g.options.StepTime)
 	defer ticker.Stop()
--- a/server/standin/service/service.go
+++ b/server/standin/service/service.go
@@ -15,7 +15,7 @@
 	"persimmonwind.dev/server/standin/fault"
 )
 
-// Run is one execution of an operation.
+// Run records one execution of an operation.
 type Run struct {
 	RunID     string `json:"run_id"`
 	RequestID string `json:"request_id"`
--- a/server/wire/share.go
+++ b/server/wire/share.go
@@ -6,9 +6,9 @@
 type ShareRequest struct {
 	Stamp  Stamp
 	Org    string
-	Want   int // Tokens requested.
-	Unused int // Unused tokens of the last grant, which are returned.
-	Slots  int // Total slots that the entry wants to hold from now on.
+	Want   int // Rate tokens requested, each of which admits one request.
+	Unused int // Unused rate tokens of the last grant, which are returned.
+	Slots  int // Total concurrency slots that the entry wants to hold from now on.
 	InUse  int // Slots in use by requests in flight.
 }
 
--- a/server/wire/wire.go
+++ b/server/wire/wire.go
@@ -35,7 +35,7 @@
 // Stamp identifies the sender of a message. Every message between processes
 // carries one.
 type Stamp struct {
-	From       string // Instance ID.
+	From       string // Instance ID of the sender.
 	Role       string
 	DataCentre string
 	Revision   uint64 // Configuration revision in force at the sender.
@@ -45,7 +45,7 @@
 type Work struct {
 	Stamp      Stamp     `json:"stamp"`
 	RequestID  string    `json:"request_id"`
-	Attempt    int       `json:"attempt"`
+	Attempt    int       `json:"attempt"` // Number of the attempt within the request; the first is 1.
 	Org        string    `json:"org"`
 	Priority   int       `json:"priority"`
 	Deadline   time.Time `json:"deadline"`
@@ -109,7 +109,7 @@
 	Stamp   Stamp
 	Model   string
 	Adapter string
-	Tokens  int      // Length of the prompt.
+	Tokens  int      // Length of the prompt in tokens.
 	Blocks  int      // Number of full blocks in the prompt.
 	Prefix  []uint64 // Sample of the chained hashes of the prompt's blocks; see prefix.Sample.
 }
