--- a/server/agent/generate_test.go
+++ b/server/agent/generate_test.go
@@ -20,8 +20,8 @@
 
 const testTokens = 40
 
-// relayOnce relays one generation from a stand-in engine with the faults,
-// without its first from tokens.
+// relayOnce relays one generation from a stand-in engine that injects the faults.
+// The generation continues an answer after its first from tokens.
 func relayOnce(from int, faults engine.StreamFaults) (text string, ended bool, err error) {
 	options := engine.DefaultOptions()
 	options.TokenTime = 0
--- a/server/configstore/apply_test.go
+++ b/server/configstore/apply_test.go
@@ -87,13 +87,13 @@
 		})
 
 		Convey("an outage before the commit is reported as unavailable", func() {
-			table.faults = []commitFault{refused}
+			table.faults = []commitFault{commitRefused}
 			_, err := s.Submit(ctx, change("second", 1, dataCentres("s", false)))
 			So(result.From(err).Code, ShouldEqual, result.StoreUnavailable)
 		})
 
 		Convey("an outage after a commit with an unknown outcome is reported as unknown", func() {
-			table.faults = []commitFault{delayed, refused, refused, refused, refused, refused, refused, refused}
+			table.faults = []commitFault{commitDelayed, commitRefused, commitRefused, commitRefused, commitRefused, commitRefused, commitRefused, commitRefused}
 			_, err := s.Submit(withTimeout(t, 300*time.Millisecond), change("second", 1, dataCentres("s", false)))
 			So(result.From(err).Code, ShouldEqual, result.ApplyUnknown)
 			table.applyDelayed()
@@ -218,7 +218,7 @@
 				id = fmt.Sprint("apply-", rapid.IntRange(0, step).Draw(t, "which"))
 			}
 			base := head.Revision - min(head.Revision, rapid.Uint64Range(0, 1).Draw(t, "behind"))
-			table.faults = rapid.SliceOfN(rapid.SampledFrom([]commitFault{noFault, refused, replyLost, requestLost, delayed}), 0, 3).Draw(t, "fates")
+			table.faults = rapid.SliceOfN(rapid.SampledFrom([]commitFault{noFault, commitRefused, replyLost, requestLost, commitDelayed}), 0, 3).Draw(t, "fates")
 			if rapid.Bool().Draw(t, "rival") {
 				table.afterCommit = func() {
 					table.afterCommit = nil
--- a/server/configstore/faults_test.go
+++ b/server/configstore/faults_test.go
@@ -21,15 +21,15 @@
 type commitFault int
 
 const (
-	noFault     commitFault = iota
-	refused                 // No effect; reported as unavailable.
-	replyLost               // Takes effect; reported as unknown.
-	requestLost             // No effect; reported as unknown.
-	delayed                 // Takes effect later, by applyDelayed; reported as unknown.
+	noFault       commitFault = iota
+	commitRefused             // The commit has no effect and is reported as unavailable.
+	replyLost                 // The commit takes effect, but its outcome is reported as unknown.
+	requestLost               // The commit has no effect, but its outcome is reported as unknown.
+	commitDelayed             // The commit takes effect in applyDelayed; its outcome is reported as unknown.
 )
 
-// faultyTable is a table service that injects the faults into its commits, in
-// order.
+// faultyTable is a table service that injects the faults into its commits, one for
+// each commit, in order.
 type faultyTable struct {
 	ports.Table
 	faults      []commitFault
@@ -46,14 +46,14 @@
 		fault, f.faults = f.faults[0], f.faults[1:]
 	}
 	switch fault {
-	case refused:
+	case commitRefused:
 		return ports.ErrUnavailable
 	case replyLost:
 		_ = f.Table.Commit(ctx, tx)
 		return ports.ErrUnknownOutcome
 	case requestLost:
 		return ports.ErrUnknownOutcome
-	case delayed:
+	case commitDelayed:
 		f.delayedTxs = append(f.delayedTxs, tx)
 		return ports.ErrUnknownOutcome
 	}
@@ -68,7 +68,8 @@
 	f.delayedTxs = nil
 }
 
-// newFaultyStore returns a store and its faulty table.
+// newFaultyStore returns a configuration store and the table service below it, into
+// which the test injects faults.
 func newFaultyStore() (*Store, *faultyTable) {
 	standIn := store.New()
 	table := &faultyTable{Table: standIn}
--- a/server/entry/attempt/cancels_test.go
+++ b/server/entry/attempt/cancels_test.go
@@ -38,7 +38,7 @@
 		go func() { first <- write() }()
 		<-commits
 
-		Convey("equal cancellations join it even beyond the budget", func() {
+		Convey("equal cancellations join that write even if the token bucket is empty", func() {
 			for range 100 {
 				w, leader := c.join("once/1/0/body")
 				So(w, ShouldNotBeNil)
@@ -50,7 +50,7 @@
 		})
 	})
 
-	Convey("Given cancellations of many keys, the budget skips most writes", t, func() {
+	Convey("Most of many cancellations of different keys are skipped for lack of tokens", t, func() {
 		table := store.New()
 		c := newCancelWriter(&once.Rows{Table: table}, func() int { return 330 })
 		skipped := 0
--- a/server/entry/attempt/generation_test.go
+++ b/server/entry/attempt/generation_test.go
@@ -14,7 +14,7 @@
 	rows := []struct {
 		name       string
 		code       result.Code
-		delivered  int // Tokens.
+		delivered  int // Tokens delivered before.
 		idempotent bool
 		want       bool
 	}{
--- a/server/once/fuzz_test.go
+++ b/server/once/fuzz_test.go
@@ -47,18 +47,18 @@
 
 const (
 	noFault          tableFault = iota
-	refused                     // Rejected with status 503; has no effect.
+	requestRefused              // Rejected with status 503; has no effect.
 	abortBeforeApply            // Connection closed; the request has no effect.
 	abortAfterApply             // Connection closed after the request took effect.
 	applyDelayed                // Connection closed; the request takes effect later.
-	faultKinds                  // Number of kinds.
+	faultKinds                  // Number of kinds of faults.
 )
 
 // faultyStore injects the faults in order, one for each table request for the
 // row of a key.
 type faultyStore struct {
 	next  http.Handler
-	delay time.Duration // Of applyDelayed.
+	delay time.Duration // Delay of the requests with the fault applyDelayed.
 
 	mu     sync.Mutex
 	faults []tableFault
@@ -94,7 +94,7 @@
 		fault = s.nextFault()
 	}
 	switch fault {
-	case refused:
+	case requestRefused:
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 	case abortBeforeApply:
 		panic(http.ErrAbortHandler)
@@ -115,7 +115,7 @@
 	next http.Handler
 
 	mu    sync.Mutex
-	reads map[string]int // By row key.
+	reads map[string]int // Number of reads, by row key.
 }
 
 func (p *countingProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -141,8 +141,8 @@
 	store    *store.Store
 	faulty   *faultyStore
 	services []*service.Service
-	entries  []string         // Base URLs.
-	proxies  []*countingProxy // By entry.
+	entries  []string         // Base URLs of the entries.
+	proxies  []*countingProxy // Proxy of each entry, in the order of entries.
 	storeURL string
 	log      *logrus.Entry
 }
@@ -252,7 +252,7 @@
 	entry   int
 	key     string
 	body    string
-	timeout time.Duration // The caller disconnects after it.
+	timeout time.Duration // Time after which the caller disconnects.
 	// sendIndex is the position in which the calls were started. The goroutines
 	// that send them may run in a different order.
 	sendIndex int
@@ -331,8 +331,8 @@
 }
 
 // laterCall reports whether another call with the key may have reached an entry
-// after the given call. Calls with a higher sendIndex may have, and so may earlier
-// ones that are not known to have arrived.
+// after the given call. That is possible for calls with a higher sendIndex, and for
+// earlier calls that are not known to have arrived.
 func laterCall(outcomes []outcome, o outcome) bool {
 	for _, other := range outcomes {
 		if other.sendIndex > o.sendIndex || (other.sendIndex < o.sendIndex && !other.arrived.Load()) {
@@ -342,8 +342,8 @@
 	return false
 }
 
-// awaitArrival waits until the entry has read the row for the call, which shows
-// as more than the given number of reads. It returns false after a timeout.
+// awaitArrival waits until the entry has read the row for the call, that is, until
+// it has read the row more often than reads. It returns false after a timeout.
 func (s *testSystem) awaitArrival(c call, reads int) bool {
 	for range 200 {
 		if s.proxies[c.entry].count(c.key) > reads {
--- a/server/rpc/rpc_test.go
+++ b/server/rpc/rpc_test.go
@@ -10,11 +10,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// failingListener fails the first Accepts, as in a process that has run out of
-// file descriptors.
+// failingListener fails its first calls of Accept, as a listener does in a process
+// that has run out of file descriptors.
 type failingListener struct {
 	net.Listener
-	failures int
+	failures int // Number of calls of Accept that still fail.
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
