--- a/ctl/experiment/datacentre/datacentre.go
+++ b/ctl/experiment/datacentre/datacentre.go
@@ -200,7 +200,7 @@
 		time.Sleep(changeDelay)
 		took, err := change(ctx)
 		time.Sleep(maxTakeOutDelay)
-		changed <- outcome{took, err, engine.Started()}
+		changed <- outcome{took, err, engine.StartedGenerations()}
 	}()
 	result, err := load.Run(ctx, r.loadOptions(duration), nil)
 	changeOutcome := <-changed
@@ -209,7 +209,7 @@
 	}
 	started := ""
 	if name == "leaves" {
-		started = fmt.Sprint(engine.Started() - changeOutcome.after)
+		started = fmt.Sprint(engine.StartedGenerations() - changeOutcome.after)
 	}
 	entryResult := result.Entry
 	lost := entryResult.Requests - entryResult.Outcomes[load.Whole] - entryResult.Outcomes[load.Refused]
@@ -237,7 +237,7 @@
 func (r *testRun) overloads() int {
 	total := 0
 	for _, engine := range r.system.Engines {
-		total += engine.Overloads()
+		total += engine.OverloadCrashes()
 	}
 	return total
 }
--- a/server/agent/generate_test.go
+++ b/server/agent/generate_test.go
@@ -110,12 +110,12 @@
 		So(err, ShouldBeNil)
 		_, err = pieces.Next()
 		So(err, ShouldBeNil)
-		So(standIn.Running(), ShouldEqual, 1)
+		So(standIn.RunningGenerations(), ShouldEqual, 1)
 		disconnect()
 		a.cancel("a")
-		for deadline := time.Now().Add(30 * time.Second); standIn.Running() > 0 && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(30 * time.Second); standIn.RunningGenerations() > 0 && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
-		So(standIn.Running(), ShouldEqual, 0)
+		So(standIn.RunningGenerations(), ShouldEqual, 0)
 	})
 }
--- a/server/boundedlog/boundedlog.go
+++ b/server/boundedlog/boundedlog.go
@@ -45,8 +45,8 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines dropped so far.
-func (w *Writer) Dropped() int64 { return w.droppedLines.Load() }
+// DroppedLines returns the number of lines dropped so far.
+func (w *Writer) DroppedLines() int64 { return w.droppedLines.Load() }
 
 // Close writes the queued lines and stops the writer.
 func (w *Writer) Close() {
--- a/server/boundedlog/boundedlog_test.go
+++ b/server/boundedlog/boundedlog_test.go
@@ -51,7 +51,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatal("Write blocked for 10 seconds")
 		}
-		So(w.Dropped(), ShouldBeGreaterThan, 0)
+		So(w.DroppedLines(), ShouldBeGreaterThan, 0)
 		close(out.release)
 		w.Close()
 		So(out.buffer.String(), ShouldContainSubstring, `"name":"log_dropped"`)
--- a/server/standin/engine/engine.go
+++ b/server/standin/engine/engine.go
@@ -128,15 +128,15 @@
 	e.boot()
 }
 
-// Started returns how many generations were submitted.
-func (e *Engine) Started() int {
+// StartedGenerations returns how many generations were submitted.
+func (e *Engine) StartedGenerations() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.startedCount
 }
 
-// Overloads returns how often the engine crashed from overload in cold start.
-func (e *Engine) Overloads() int {
+// OverloadCrashes returns how often the engine crashed from overload in cold start.
+func (e *Engine) OverloadCrashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.overloadCount
--- a/server/standin/engine/http.go
+++ b/server/standin/engine/http.go
@@ -33,9 +33,9 @@
 	outer.HandleFunc("POST /test/stall", func(http.ResponseWriter, *http.Request) { e.Stall(true) })
 	outer.HandleFunc("DELETE /test/stall", func(http.ResponseWriter, *http.Request) { e.Stall(false) })
 	outer.HandleFunc("PUT /test/stream", e.serveStreamFaults)
-	outer.HandleFunc("GET /test/running", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Running()) })
-	outer.HandleFunc("GET /test/started", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Started()) })
-	outer.HandleFunc("GET /test/overloads", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Overloads()) })
+	outer.HandleFunc("GET /test/running", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.RunningGenerations()) })
+	outer.HandleFunc("GET /test/started", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.StartedGenerations()) })
+	outer.HandleFunc("GET /test/overloads", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.OverloadCrashes()) })
 	outer.Handle("/", e.Faults.Wrap(mux))
 	return outer
 }
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -27,8 +27,8 @@
 	e.streamFaults = faults
 }
 
-// Running returns the number of generations that hold a slot.
-func (e *Engine) Running() int {
+// RunningGenerations returns the number of generations that hold a slot.
+func (e *Engine) RunningGenerations() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runningCount
