--- a/server/agent/admitter.go
+++ b/server/agent/admitter.go
@@ -22,14 +22,14 @@
 	node       *node.Node
 	lastTicket atomic.Uint64
 
-	mu      sync.Mutex
-	pending map[uint64]chan *result.Error
-	probes  map[uint64]chan admission.Offer
+	mu               sync.Mutex
+	pendingDecisions map[uint64]chan *result.Error
+	pendingProbes    map[uint64]chan admission.Offer
 }
 
 func newAdmitter(n *node.Node) *admitter {
 	a := &admitter{
-		node: n, pending: map[uint64]chan *result.Error{}, probes: map[uint64]chan admission.Offer{},
+		node: n, pendingDecisions: map[uint64]chan *result.Error{}, pendingProbes: map[uint64]chan admission.Offer{},
 	}
 	n.AddExecutor(a.execute)
 	return a
@@ -119,7 +119,7 @@
 	decision := make(chan *result.Error, 1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pending[ticket] = decision
+	a.pendingDecisions[ticket] = decision
 	return decision
 }
 
@@ -140,24 +140,24 @@
 func (a *admitter) resolve(ticket uint64, err *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	decision, ok := a.pending[ticket]
+	decision, ok := a.pendingDecisions[ticket]
 	if !ok {
 		return
 	}
-	delete(a.pending, ticket)
+	delete(a.pendingDecisions, ticket)
 	decision <- err
 }
 
 // probe asks the control loop whether and how soon the agent could serve a request.
 func (a *admitter) probe(event admission.Probed) (admission.Offer, *result.Error) {
 	event.Ticket = a.lastTicket.Add(1)
-	answered := make(chan admission.Offer, 1)
+	reply := make(chan admission.Offer, 1)
 	a.mu.Lock()
-	a.probes[event.Ticket] = answered
+	a.pendingProbes[event.Ticket] = reply
 	a.mu.Unlock()
 	a.node.Loop.Post(event)
 	select {
-	case offer := <-answered:
+	case offer := <-reply:
 		return offer, nil
 	case <-a.node.Loop.Done():
 		return admission.Offer{}, result.Errorf(result.Leaving, "the agent has stopped")
@@ -167,8 +167,8 @@
 func (a *admitter) deliverOffer(offer admission.Offer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if answered, ok := a.probes[offer.Ticket]; ok {
-		delete(a.probes, offer.Ticket)
-		answered <- offer
+	if reply, ok := a.pendingProbes[offer.Ticket]; ok {
+		delete(a.pendingProbes, offer.Ticket)
+		reply <- offer
 	}
 }
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -42,7 +42,7 @@
 	admitter *admitter
 	engine   ports.Engine  // Client of the model engine; nil if the backend server is a plain service.
 	service  ports.Service // Client of the plain service; nil if the backend server is a model engine.
-	group    *group.Group  // Expert map protocol of the engine's group; nil if the backend server is a plain service.
+	group    *group.Group  // Carries out changes of the group's expert map; nil if the backend server is a plain service.
 	traffic  net.Listener
 	health   net.Listener
 	server   *http.Server
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -38,15 +38,15 @@
 	service ports.Service
 	rows    *once.Rows
 
-	mu     sync.Mutex
-	active map[string]*execution // By the nonce in the execution's ID.
+	mu               sync.Mutex
+	activeExecutions map[string]*execution // Active executions, by the nonce in their IDs.
 }
 
 func newExecutions(agent string, n *node.Node, service ports.Service) *executions {
 	return &executions{
 		agent: agent, boot: uuid.NewString(), node: n, service: service,
-		rows:   &once.Rows{Table: n.Store, Objects: n.Store.Objects()},
-		active: map[string]*execution{},
+		rows:             &once.Rows{Table: n.Store, Objects: n.Store.Objects()},
+		activeExecutions: map[string]*execution{},
 	}
 }
 
@@ -71,24 +71,24 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.active) >= maxExecutions {
-		return nil, result.Errorf(result.StoreUnavailable, "%d answers wait for the table service", len(e.active))
+	if len(e.activeExecutions) >= maxExecutions {
+		return nil, result.Errorf(result.StoreUnavailable, "%d answers wait for the table service", len(e.activeExecutions))
 	}
-	e.active[x.id.Nonce] = x
+	e.activeExecutions[x.id.Nonce] = x
 	return x, nil
 }
 
 func (e *executions) end(x *execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.active, x.id.Nonce)
+	delete(e.activeExecutions, x.id.Nonce)
 	close(x.ended)
 }
 
 func (e *executions) find(nonce string) *execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.active[nonce]
+	return e.activeExecutions[nonce]
 }
 
 // run runs the execution to its end. It does not depend on a caller's context:
@@ -231,7 +231,7 @@
 	return true
 }
 
-// executionReceiver answers entries' queries about executions.
+// executionReceiver serves the RPC calls with which entries query executions.
 type executionReceiver struct{ executions *executions }
 
 // Wait returns the progress of an execution once it has ended or its answer is
--- a/server/agent/observer.go
+++ b/server/agent/observer.go
@@ -14,7 +14,7 @@
 	slot *slot
 }
 
-// next returns the next piece; see stream.Reader.
+// next returns the next piece of the answer; see stream.Reader.Next.
 func (o *observer) next(ctx context.Context, pieces *stream.Reader) (stream.Piece, error) {
 	piece, err := pieces.Next()
 	if errors.Is(err, io.EOF) {
--- a/server/cmd/persimmonwind/deployed.go
+++ b/server/cmd/persimmonwind/deployed.go
@@ -109,14 +109,14 @@
 // SIGHUP, and logs the outcome. Settings that a running process can't change, such
 // as its addresses, take effect at the next start.
 func watchSettings(ctx context.Context, path string, current platform.Settings, log *logrus.Entry) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
 		select {
-		case <-hangups:
+		case <-sighups:
 			signalled = true
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/server/configstore/apply.go
+++ b/server/configstore/apply.go
@@ -134,7 +134,7 @@
 		return nil
 	}
 	allTakenOutBefore := p.current.AllTakenOut()
-	if !allTakenOutBefore && p.current.DataCentres[change.DataCentre].TakenOut && takesOut(p.current, p.next) {
+	if !allTakenOutBefore && p.current.DataCentres[change.DataCentre].TakenOut && hasNewTakeOut(p.current, p.next) {
 		return result.Errorf(result.ChangeFromTakenOut, "data centre %q is taken out; take out others through an entry in another data centre", change.DataCentre)
 	}
 	if !allTakenOutBefore && p.next.AllTakenOut() && !change.AllowLastDataCentre {
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// takesOut reports whether a data centre or backend server is taken out in next
+// hasNewTakeOut reports whether a data centre or backend server is taken out in next
 // that is not taken out in current.
-func takesOut(current, next *config.Snapshot) bool {
+func hasNewTakeOut(current, next *config.Snapshot) bool {
 	for name, dataCentre := range next.DataCentres {
 		if dataCentre.TakenOut && !current.DataCentres[name].TakenOut {
 			return true
--- a/server/configstore/apply_test.go
+++ b/server/configstore/apply_test.go
@@ -169,30 +169,30 @@
 			So(err, ShouldBeNil)
 			So(s.Table.Commit(ctx, ports.Tx{Writes: []ports.Write{{Key: recordKey(record.Revision), Value: value}}}), ShouldBeNil)
 		}
-		expectBroken := func() {
+		expectAuditBroken := func() {
 			_, err := s.VerifyAudit(ctx)
 			So(result.From(err).Code, ShouldEqual, result.AuditBroken)
 		}
 		Convey("an altered record is detected", func() {
 			records[1].Operator = "nobody"
 			rewrite(records[1])
-			expectBroken()
+			expectAuditBroken()
 		})
 		Convey("an altered record with a recomputed hash is detected", func() {
 			records[1].Operator = "nobody"
 			records[1].Hash = records[1].hash()
 			rewrite(records[1])
-			expectBroken()
+			expectAuditBroken()
 		})
 		Convey("an altered last record with a recomputed hash is detected", func() {
 			records[2].Operator = "nobody"
 			records[2].Hash = records[2].hash()
 			rewrite(records[2])
-			expectBroken()
+			expectAuditBroken()
 		})
 		Convey("a removed record is detected", func() {
 			So(s.Table.Commit(ctx, ports.Tx{Writes: []ports.Write{{Key: recordKey(2), Delete: true}}}), ShouldBeNil)
-			expectBroken()
+			expectAuditBroken()
 		})
 	})
 }
--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -67,8 +67,8 @@
 type Entry struct {
 	*entry.Entry
 	DataCentre string
-	Callers    string // host:port
-	Admin      string // host:port
+	Callers    string // host:port for callers.
+	Admin      string // host:port for operators.
 }
 
 // addEntries adds an entry in each data centre; the first one listens on the
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -37,7 +37,7 @@
 		if deadlineErr := deadlineError(ctx, err); deadlineErr != nil {
 			return deadlineErr
 		}
-		if !g.continuable(err) || continuation == maxContinuations {
+		if !g.canContinue(err) || continuation == maxContinuations {
 			return g.finalError(err)
 		}
 		if err.NotRun() {
@@ -64,9 +64,9 @@
 	sinkErr   error // Error of the sink; set once the caller can't be reached.
 }
 
-// continuable reports whether the answer may be continued on another backend
+// canContinue reports whether the answer may be continued on another backend
 // server after err.
-func (g *generation) continuable(err *result.Error) bool {
+func (g *generation) canContinue(err *result.Error) bool {
 	if g.sinkErr != nil || !g.request.Idempotent {
 		return false
 	}
@@ -109,7 +109,8 @@
 	return g.assembler.Delivered() > before, refusal
 }
 
-// remaining returns the generation without the tokens already delivered.
+// remaining returns the generation that continues the answer after the tokens
+// already delivered.
 func (g *generation) remaining() ports.Generation {
 	return ports.Generation{
 		Model: g.request.Model, Adapter: g.request.Adapter, Prompt: g.request.Prompt,
--- a/server/entry/attempt/generation_test.go
+++ b/server/entry/attempt/generation_test.go
@@ -29,7 +29,7 @@
 		for _, row := range rows {
 			Convey(row.name, func() {
 				g := &generation{request: Request{Idempotent: row.idempotent}, assembler: answer.ResumeAt[stream.Piece](row.delivered)}
-				So(g.continuable(&result.Error{Code: row.code}), ShouldEqual, row.want)
+				So(g.canContinue(&result.Error{Code: row.code}), ShouldEqual, row.want)
 			})
 		}
 	})
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -58,16 +58,16 @@
 			return Answer{}, c.refuse(end)
 		}
 		event := c.execute(ctx, effect)
-		if ctx.Err() != nil && !conclusive(event) {
+		if ctx.Err() != nil && !isConclusive(event) {
 			event = policy.Expired{}
 		}
 		machine, effect = machine.Step(event)
 	}
 }
 
-// conclusive reports whether the event may end the request even though the
+// isConclusive reports whether the event may end the request even though the
 // deadline has passed.
-func conclusive(event reduce.Event) bool {
+func isConclusive(event reduce.Event) bool {
 	switch event.(type) {
 	case policy.Answered, policy.WriteSucceeded:
 		return true
--- a/server/entry/attempt/liveness.go
+++ b/server/entry/attempt/liveness.go
@@ -30,7 +30,7 @@
 	agents map[string]*watchedAgent
 }
 
-// watchedAgent is one agent with its attempts in flight.
+// watchedAgent holds the attempts in flight at one agent.
 type watchedAgent struct {
 	attempts map[*watchdog]struct{}
 	stop     context.CancelFunc
@@ -88,7 +88,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if !l.anySilent(agent) || l.alive(ctx, address) {
+		if !l.hasSilentAttempt(agent) || l.alive(ctx, address) {
 			missed = 0
 		} else {
 			missed++
@@ -103,7 +103,7 @@
 	return l.heartbeat(ctx, address) == nil
 }
 
-func (l *liveness) anySilent(agent *watchedAgent) bool {
+func (l *liveness) hasSilentAttempt(agent *watchedAgent) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for attempt := range agent.attempts {
--- a/server/entry/attempt/liveness_test.go
+++ b/server/entry/attempt/liveness_test.go
@@ -21,7 +21,7 @@
 	}
 	ctx, attempt := newWatchdog(context.Background(), time.Hour)
 	defer attempt.stop()
-	attempt.lastHeard.Store(0)
+	attempt.lastReceivedAt.Store(0)
 	defer l.watch("agent", attempt)()
 	select {
 	case <-ctx.Done():
--- a/server/entry/attempt/request.go
+++ b/server/entry/attempt/request.go
@@ -21,13 +21,13 @@
 	// knows it.
 	KeyGenerated bool
 
-	// For a model's generation:
+	// Set for a generation by a model:
 	Model     string
 	Adapter   string
 	Prompt    string
 	MaxTokens int
 
-	// For a plain service's call:
+	// Set for a call of a plain service:
 	Service    string
 	Operation  string
 	Idempotent bool
--- a/server/entry/attempt/watchdog.go
+++ b/server/entry/attempt/watchdog.go
@@ -18,9 +18,9 @@
 
 // watchdog cancels an attempt whose agent stops sending.
 type watchdog struct {
-	timer     *time.Timer
-	cancel    context.CancelCauseFunc
-	lastHeard atomic.Int64 // Time at which the agent last sent something, in Unix nanoseconds.
+	timer          *time.Timer
+	cancel         context.CancelCauseFunc
+	lastReceivedAt atomic.Int64 // Time at which the agent last sent something, in Unix nanoseconds.
 }
 
 // newWatchdog returns a context that is cancelled with errAgentTimeout unless
@@ -29,18 +29,18 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(timeout, func() { cancel(errAgentTimeout) })
 	w := &watchdog{timer: timer, cancel: cancel}
-	w.lastHeard.Store(time.Now().UnixNano())
+	w.lastReceivedAt.Store(time.Now().UnixNano())
 	return ctx, w
 }
 
 func (w *watchdog) reset(timeout time.Duration) {
-	w.lastHeard.Store(time.Now().UnixNano())
+	w.lastReceivedAt.Store(time.Now().UnixNano())
 	w.timer.Reset(timeout)
 }
 
 // idleTime returns the time since the agent last sent something.
 func (w *watchdog) idleTime() time.Duration {
-	return time.Since(time.Unix(0, w.lastHeard.Load()))
+	return time.Since(time.Unix(0, w.lastReceivedAt.Load()))
 }
 
 func (w *watchdog) stop() {
--- a/server/entry/body.go
+++ b/server/entry/body.go
@@ -19,7 +19,7 @@
 	responseGrace  = 5 * time.Second
 )
 
-// Bounds on the time that a caller may give a request.
+// Default and maximum of the timeout that a caller may set for a request.
 const (
 	defaultDeadline      = time.Minute
 	maxDeadline          = 10 * time.Minute
--- a/server/entry/generation.go
+++ b/server/entry/generation.go
@@ -190,7 +190,7 @@
 
 func (e *eventWriter) flush() error { return http.NewResponseController(e.w).Flush() }
 
-// done marks the stream as complete.
+// done sends the [DONE] event, which marks the stream as complete.
 func (e *eventWriter) done() {
 	_, _ = fmt.Fprint(e.w, "data: [DONE]\n\n")
 	_ = e.flush()
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -38,7 +38,7 @@
 	entryIDs     []string              // IDs of the live entries at the last tick.
 }
 
-// New returns the limiter of the entry with the ID self and registers it for
+// New returns the limiter of the entry with the ID selfID and registers it for
 // lease requests of other entries. It must be called before the node runs.
 func New(n *node.Node, selfID string) *Limiter {
 	l := &Limiter{
@@ -95,8 +95,8 @@
 	return share.Limits{Rate: org.RequestsPerSecond, Concurrency: org.Concurrency}
 }
 
-// localShare returns this entry's share of the organisation's limits; l.mu must be
-// held.
+// localShare returns the share of the organisation's limits that this entry has
+// leased; l.mu must be held.
 func (l *Limiter) localShare(org string) *share.Local {
 	localShare := l.localShares[org]
 	if localShare == nil {
@@ -181,7 +181,8 @@
 	request := wire.ShareRequest{
 		Stamp: l.node.Stamp(), Org: lease.Org, Want: lease.Want, Unused: lease.Unused, Slots: lease.Slots, InUse: lease.InUse,
 	}
-	// An abandoned call may still write to its reply later.
+	// Each call needs a reply of its own, since an abandoned call may still write to
+	// it later.
 	reply := new(wire.ShareReply)
 	if err := l.node.Pool.Call(ctx, address, "Share.Ask", request, reply); err != nil {
 		return share.Grant{}, err
@@ -266,7 +267,7 @@
 // receiver answers lease requests of other entries.
 type receiver struct{ limiter *Limiter }
 
-// Ask grants a lease.
+// Ask grants another entry a lease of an organisation's limits.
 func (r *receiver) Ask(request wire.ShareRequest, reply *wire.ShareReply) error {
 	r.limiter.node.ObserveStamp(request.Stamp)
 	grant := r.limiter.grant(share.Ask{
--- a/server/entry/route/gather.go
+++ b/server/entry/route/gather.go
@@ -16,13 +16,13 @@
 	offerWaitDivisor = 20                   // The wait is the expected time to first token divided by this.
 )
 
-// offerWait returns how long to wait for better offers than this one.
+// offerWait returns how long to wait for better offers than the given one.
 func offerWait(offer *wire.ProbeReply) time.Duration {
 	expected := time.Duration(offer.ExpectedWaitMS * float64(time.Millisecond))
 	return max(minOfferWait, expected/offerWaitDivisor)
 }
 
-// probeResult is the outcome of one probe.
+// probeResult is the outcome of probing one agent.
 type probeResult struct {
 	target   Target
 	reply    *wire.ProbeReply // Nil if the agent did not answer.
--- a/server/entry/route/probe.go
+++ b/server/entry/route/probe.go
@@ -28,7 +28,8 @@
 func (r *Router) probe(ctx context.Context, target Target, request wire.ProbeRequest) probeResult {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	// An abandoned call may still write to its reply later.
+	// Each call needs a reply of its own, since an abandoned call may still write to
+	// it later.
 	reply := new(wire.ProbeReply)
 	err := r.node.Pool.Call(ctx, target.Control, "Agent.Probe", request, reply)
 	if err != nil {
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -56,17 +56,17 @@
 // accept the work.
 func (r *Router) Pick(ctx context.Context, query Query) (Target, *result.Error) {
 	prompt := prefix.NewPrompt(query.Prompt)
-	trusted, suspected := r.suspects.split(r.candidates(query), time.Now())
+	trustedTargets, suspectedTargets := r.suspects.split(r.candidates(query), time.Now())
 	var refusal *result.Error
 	var allTimedOut []Target
 	for range probeRounds {
-		if len(trusted) == 0 {
-			trusted, suspected = suspected, nil
+		if len(trustedTargets) == 0 {
+			trustedTargets, suspectedTargets = suspectedTargets, nil
 		}
-		if len(trusted) == 0 {
+		if len(trustedTargets) == 0 {
 			break
 		}
-		sampled, rest := r.sampleCandidates(trusted, query, prompt)
+		sampled, rest := r.sampleCandidates(trustedTargets, query, prompt)
 		answered, timedOut := r.probeAll(ctx, sampled, prompt, query)
 		allTimedOut = append(allTimedOut, timedOut...)
 		if len(answered) > 0 {
@@ -76,7 +76,7 @@
 			}
 			refusal = preferredRefusal(refusal, err)
 		}
-		trusted = rest
+		trustedTargets = rest
 	}
 	return fallback(allTimedOut, refusal)
 }
@@ -146,14 +146,14 @@
 		if !ok || instance.Leaving || query.ExcludedServers[server.Name] {
 			continue
 		}
-		if serves(server, query) && !snapshot.TakenOut(server) {
+		if canServe(server, query) && !snapshot.TakenOut(server) {
 			targets = append(targets, targetOf(instance))
 		}
 	}
 	return targets
 }
 
-func serves(server config.BackendServer, query Query) bool {
+func canServe(server config.BackendServer, query Query) bool {
 	if query.Service != "" {
 		return server.Service == query.Service
 	}
--- a/server/entry/route/suspects.go
+++ b/server/entry/route/suspects.go
@@ -32,7 +32,8 @@
 	delete(s.suspectedUntil, name)
 }
 
-// split returns the targets that are not suspected, and those that are.
+// split splits the targets into those whose agents are not suspected and those
+// whose agents are.
 func (s *suspects) split(targets []Target, now time.Time) (trusted, suspected []Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/keys/keys.go
+++ b/server/keys/keys.go
@@ -56,7 +56,7 @@
 	mu         sync.Mutex
 	keys       *Keys
 	modifiedAt [3]time.Time // Modification times of the loaded files.
-	checkedAt  time.Time    // Time of the last check for changes.
+	checkedAt  time.Time    // Time of the last check for changed files.
 }
 
 // NewReloader loads the files and returns a Reloader for them. The error names
--- a/server/keys/keys_test.go
+++ b/server/keys/keys_test.go
@@ -56,23 +56,23 @@
 }
 
 func TestPeerAuthentication(t *testing.T) {
-	ours, others := staticSource(t, generateKeys(t)), staticSource(t, generateKeys(t))
+	ownSource, foreignSource := staticSource(t, generateKeys(t)), staticSource(t, generateKeys(t))
 	Convey("Given two authorities", t, func() {
 		Convey("a client and a server of the same authority connect", func() {
-			So(connect(ServerConfig(ours), ClientConfig(ours)), ShouldBeNil)
+			So(connect(ServerConfig(ownSource), ClientConfig(ownSource)), ShouldBeNil)
 		})
 		Convey("a client of another authority is refused", func() {
-			foreignClient := ClientConfig(others)
+			foreignClient := ClientConfig(foreignSource)
 			foreignClient.VerifyConnection = nil
-			So(connect(ServerConfig(ours), foreignClient), ShouldNotBeNil)
+			So(connect(ServerConfig(ownSource), foreignClient), ShouldNotBeNil)
 		})
 		Convey("a client without a certificate is refused", func() {
 			anonymousClient := &tls.Config{InsecureSkipVerify: true}
-			So(connect(ServerConfig(ours), anonymousClient), ShouldNotBeNil)
+			So(connect(ServerConfig(ownSource), anonymousClient), ShouldNotBeNil)
 		})
 		Convey("a server of another authority is refused", func() {
-			client := ClientConfig(ours)
-			server := ServerConfig(others)
+			client := ClientConfig(ownSource)
+			server := ServerConfig(foreignSource)
 			So(connect(server, client), ShouldNotBeNil)
 		})
 	})
--- a/server/leave/leave.go
+++ b/server/leave/leave.go
@@ -15,7 +15,7 @@
 	idle  chan struct{} // Closed when count drops to zero; nil if no goroutine waits for that.
 }
 
-// Wrap returns a handler that counts the requests in next.
+// Wrap returns a handler that counts the requests that next is serving.
 func (f *InFlightCounter) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.begin()
@@ -34,7 +34,7 @@
 // Wait returns once no request is in flight, or with the error of ctx.
 func (f *InFlightCounter) Wait(ctx context.Context) error {
 	select {
-	case <-f.whenIdle():
+	case <-f.idleChannel():
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -57,7 +57,7 @@
 	}
 }
 
-func (f *InFlightCounter) whenIdle() <-chan struct{} {
+func (f *InFlightCounter) idleChannel() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.count == 0 {
--- a/server/metrics/metrics.go
+++ b/server/metrics/metrics.go
@@ -17,7 +17,7 @@
 
 const namespace = "persimmonwind"
 
-// latencyBuckets are upper bounds in seconds.
+// latencyBuckets are the upper bounds of the histogram buckets, in seconds.
 var latencyBuckets = []float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.83, 1, 2.5, 5, 10, 30, 60}
 
 // Metrics holds the metrics of one process in a registry of their own.
@@ -91,7 +91,7 @@
 	))
 }
 
-// Registry returns the registry, for further metrics.
+// Registry returns the registry, to which callers may add further metrics.
 func (m *Metrics) Registry() *prometheus.Registry { return m.registry }
 
 // ObserveFirstByte records the time from a request to the first byte of its
@@ -107,7 +107,7 @@
 	m.requestSeconds.WithLabelValues(route).Observe(elapsed.Seconds())
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that serves the metrics to Prometheus.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -91,8 +91,8 @@
 	n.Loop.Post(view.Fetched{Snapshot: snapshot})
 }
 
-// Install puts a snapshot in force that was just accepted through this process
-// and offers it to all other processes. It returns the number of processes that
+// Install puts a newly accepted configuration in force in this process and offers
+// it to all other processes. It returns the number of processes that
 // received the offer and the number of all other processes.
 func (n *Node) Install(ctx context.Context, snapshot *config.Snapshot) (reached, total int) {
 	old := n.State().View.InForce
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -164,8 +164,8 @@
 }
 
 // Offer installs a newly accepted configuration. If the offer can't be applied
-// to the configuration in force, the stamp still reports the new revision, and
-// the control loop fetches it.
+// to the configuration in force, the stamp of the request still reports the new
+// revision, and the control loop fetches it.
 func (r *peerReceiver) Offer(request wire.OfferRequest, reply *wire.OfferReply) error {
 	snapshot, err := buildSnapshot(r.node.State().View.InForce, request.Configuration)
 	if err == nil && snapshot != nil {
--- a/server/once/fuzz_test.go
+++ b/server/once/fuzz_test.go
@@ -51,7 +51,7 @@
 	abortBeforeApply            // Connection closed; the request has no effect.
 	abortAfterApply             // Connection closed after the request took effect.
 	applyDelayed                // Connection closed; the request takes effect later.
-	faultKinds                  // Number of kinds of faults.
+	faultKindCount              // Number of kinds of faults.
 )
 
 // faultyStore injects the faults in order, one for each table request for the
@@ -413,10 +413,10 @@
 }
 
 func drawFaults(rt *rapid.T) []tableFault {
-	drawn := rapid.SliceOfN(rapid.IntRange(0, 2*int(faultKinds)-1), 0, 14).Draw(rt, "faults")
+	drawn := rapid.SliceOfN(rapid.IntRange(0, 2*int(faultKindCount)-1), 0, 14).Draw(rt, "faults")
 	faults := make([]tableFault, len(drawn))
 	for index, fault := range drawn {
-		if fault < int(faultKinds) {
+		if fault < int(faultKindCount) {
 			faults[index] = tableFault(fault)
 		}
 	}
--- a/server/once/sweep.go
+++ b/server/once/sweep.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// Retention is how long a key's row is kept after its last write.
+	// Retention is how long the row of an idempotency key is kept after its last
+	// write.
 	Retention = 24 * time.Hour
 
 	shardCount   = 256
--- a/server/standin/engine/engine.go
+++ b/server/standin/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine is the stand-in for a model engine: it runs generations
-// concurrently and caches prompt prefixes. Like a real engine, it can turn cold:
-// in cold start it is slower until it has completed some generations, and crashes
-// when it runs more of them at once than its cold limit.
+// concurrently and caches prompt prefixes. It can turn cold: in cold start it is
+// slower until it has completed some generations, and crashes when it runs more of
+// them at once than its cold limit.
 package engine
 
 import (
@@ -25,13 +25,13 @@
 type Options struct {
 	FullLimit      int           `json:"full_limit"`       // Concurrent generations when warm; further ones wait.
 	ColdLimit      int           `json:"cold_limit"`       // Concurrent generations that were started in cold start; one more crashes the engine.
-	WarmAfter      int           `json:"warm_after"`       // Completed generations until warm.
+	WarmAfter      int           `json:"warm_after"`       // Completed generations after which the engine is warm.
 	TokenTime      time.Duration `json:"token_time"`       // Time of one decode step.
 	PrefillTime    time.Duration `json:"prefill_time"`     // Time for each prompt token that is not cached.
 	ColdDelay      time.Duration `json:"cold_delay"`       // Time before the prefill in cold start.
-	TokensPerPiece int           `json:"tokens_per_piece"` // Tokens in one piece of the stream.
+	TokensPerPiece int           `json:"tokens_per_piece"` // Tokens in one piece of an answer's stream.
 	CacheBlocks    int           `json:"cache_blocks"`     // Capacity of the prefix cache, in blocks.
-	ReportLag      time.Duration `json:"report_lag"`       // Age of the load report.
+	ReportLag      time.Duration `json:"report_lag"`       // Age of the load that the load reports show.
 	IgnoreFence    bool          `json:"ignore_fence"`     // Accept orders with outdated fencing numbers.
 }
 
--- a/server/standin/fault/fault.go
+++ b/server/standin/fault/fault.go
@@ -11,9 +11,9 @@
 
 // Faults describes the faults of a stand-in. The zero value has none.
 type Faults struct {
-	Down        bool `json:"down"`         // Refuse every request, without effect.
+	Down        bool `json:"down"`         // Refuse every request, which then has no effect.
 	SlowMS      int  `json:"slow_ms"`      // Delay every request by this many milliseconds.
-	LoseAnswers int  `json:"lose_answers"` // For this many writes, take effect but drop the connection without an answer.
+	LoseAnswers int  `json:"lose_answers"` // Number of writes that take effect but whose connection is closed without an answer.
 }
 
 // Injector applies faults to an HTTP handler.
@@ -72,16 +72,16 @@
 			return
 		}
 		if r.Method != http.MethodGet && i.consumeLostAnswer() {
-			next.ServeHTTP(discard{}, r)
+			next.ServeHTTP(discardWriter{}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// discard is an http.ResponseWriter that drops the answer.
-type discard struct{}
+// discardWriter is an http.ResponseWriter that drops the answer.
+type discardWriter struct{}
 
-func (discard) Header() http.Header         { return http.Header{} }
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
-func (discard) WriteHeader(int)             {}
+func (discardWriter) Header() http.Header         { return http.Header{} }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) WriteHeader(int)             {}
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -158,8 +158,8 @@
 	return oracle
 }
 
-// order applies the order to the rank. It returns false if the engine refuses the
-// order's fencing number.
+// order applies the order to the rank. It returns false if the rank's engine
+// refuses the order because its fencing number is outdated.
 func (g *Group) order(i int, order ports.RankOrder) (expertmap.EngineState, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/server/standin/store/http.go
+++ b/server/standin/store/http.go
@@ -88,7 +88,7 @@
 	_, _ = w.Write(body)
 }
 
-// serveInstances answers with the list, or with status 304 if the caller already
+// serveInstances answers with the instance list, or with status 304 if the caller already
 // has the current one according to its ETag.
 func (s *Store) serveInstances(w http.ResponseWriter, r *http.Request) {
 	body, err := json.Marshal(s.Instances())
--- a/server/wire/wire.go
+++ b/server/wire/wire.go
@@ -16,7 +16,8 @@
 // HeaderWork carries an encoded Work on every request from an entry to an agent.
 const HeaderWork = "Persimmonwind-Work"
 
-// HeaderRequestID carries Work.AnswerID on the agent's answer.
+// HeaderRequestID carries Work.AnswerID on the agent's answer, which identifies
+// the attempt that the answer belongs to.
 const HeaderRequestID = "Persimmonwind-Request-Id"
 
 // HeaderRevision carries the sender's configuration revision on the agent's
