--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -95,8 +95,8 @@
 	return share.Limits{Rate: org.RequestsPerSecond, Concurrency: org.Concurrency}
 }
 
-// localShare returns the share of the organisation's limits that this entry has
-// leased; l.mu must be held.
+// localShare returns this entry's share of the organisation's limits; l.mu must be
+// held.
 func (l *Limiter) localShare(org string) *share.Local {
 	localShare := l.localShares[org]
 	if localShare == nil {
