--- a/server/admin/admin.go
+++ b/server/admin/admin.go
@@ -35,7 +35,7 @@
 // API serves the administration API.
 type API struct {
 	node      *node.Node
-	operators map[string]adminapi.Operator // By hex SHA-256 of the token, in lower case.
+	operators map[string]adminapi.Operator // Operators by the SHA-256 of their tokens, in lower-case hex.
 }
 
 // New returns an API for the operators that works through the node.
@@ -118,7 +118,7 @@
 func (a *API) logError(r *http.Request, operator adminapi.Operator, err error) {
 	event := logevent.OrderRefused
 	if result.From(err).Code == result.ApplyUnknown {
-		event = logevent.OrderUnknown
+		event = logevent.OrderOutcomeUnknown
 	}
 	logevent.Write(a.node.Log(), event, logrus.Fields{
 		"operator": operator.Name, "request": r.Method + " " + r.URL.Path, "error": err.Error(),
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// setRevision sets the ETag header to the revision.
+// setRevision sets the ETag header of the response to the configuration revision.
 func setRevision(w http.ResponseWriter, revision uint64) {
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(revision, 10)))
 }
--- a/server/admin/change.go
+++ b/server/admin/change.go
@@ -80,8 +80,8 @@
 	return a.submit(w, r, operator, change)
 }
 
-// newChange returns a change by the operator through this entry. It generates an
-// ID if id is empty.
+// newChange returns a change that the operator submits through this entry. It
+// generates an ID if id is empty.
 func (a *API) newChange(id, kind string, operator adminapi.Operator) configstore.Change {
 	if id == "" {
 		id = uuid.NewString()
@@ -122,8 +122,8 @@
 
 // answer puts the accepted change in force in this process, offers it to the
 // others and answers the operator.
-func (a *API) answer(w http.ResponseWriter, operator adminapi.Operator, change configstore.Change, accepted configstore.Accepted) error {
-	answer := adminapi.Accepted{Revision: accepted.Revision, Unchanged: accepted.Unchanged, Changes: accepted.Changes}
+func (a *API) answer(w http.ResponseWriter, operator adminapi.Operator, change configstore.Change, accepted configstore.AcceptedChange) error {
+	answer := adminapi.AcceptedChange{Revision: accepted.Revision, Unchanged: accepted.Unchanged, Changes: accepted.Changes}
 	logevent.Write(a.node.Log(), logevent.OrderAccepted, logrus.Fields{
 		"operator": operator.Name, "kind": change.Kind, "revision": accepted.Revision, "apply_id": change.ID,
 	})
@@ -149,14 +149,14 @@
 	if !found {
 		return result.Errorf(result.UnknownApply, "no change with the ID %q was accepted", id)
 	}
-	return writeJSON(w, adminapi.Accepted{Revision: accepted.Revision, Changes: accepted.Changes})
+	return writeJSON(w, adminapi.AcceptedChange{Revision: accepted.Revision, Changes: accepted.Changes})
 }
 
 // targetKind is a kind of object that can be taken out and returned.
 type targetKind struct {
 	path string // Prefix of the API paths.
-	name string // For messages.
-	file string // Configuration file, and the list in it, that contains the targets.
+	name string // Name in error messages.
+	file string // Configuration file that contains the targets, in a list of the same name.
 }
 
 var targetKinds = []targetKind{
--- a/server/agent/admitter.go
+++ b/server/agent/admitter.go
@@ -16,31 +16,33 @@
 )
 
 // admitter requests slots from the control loop on behalf of the goroutines
-// that serve traffic.
+// that serve traffic. A ticket is the number that identifies a request in the
+// control loop's events and effects.
 type admitter struct {
 	node       *node.Node
 	lastTicket atomic.Uint64
 
-	mu      sync.Mutex
-	pending map[uint64]chan *result.Error
-	probes  map[uint64]chan admission.Offer
+	mu               sync.Mutex
+	pendingDecisions map[uint64]chan *result.Error
+	pendingProbes    map[uint64]chan admission.Offer
 }
 
 func newAdmitter(n *node.Node) *admitter {
 	a := &admitter{
-		node: n, pending: map[uint64]chan *result.Error{}, probes: map[uint64]chan admission.Offer{},
+		node: n, pendingDecisions: map[uint64]chan *result.Error{}, pendingProbes: map[uint64]chan admission.Offer{},
 	}
 	n.AddExecutor(a.execute)
 	return a
 }
 
-// slot is the permission to run one piece of work; release returns it.
+// slot is the permission to run one request on the backend server; release
+// returns it.
 type slot struct {
-	admitter    *admitter
-	ticket      uint64
-	broken      bool // The backend server failed during the work.
-	startOnce   sync.Once
-	releaseOnce sync.Once
+	admitter      *admitter
+	ticket        uint64
+	backendFailed bool // The backend server failed during the request.
+	startOnce     sync.Once
+	releaseOnce   sync.Once
 }
 
 // markStarted reports that the backend server has sent the first piece of the
@@ -55,17 +57,17 @@
 // was complete.
 func (s *slot) release(completed bool) {
 	s.releaseOnce.Do(func() {
-		s.admitter.node.Loop.Post(admission.Released{Ticket: s.ticket, Completed: completed, Broken: s.broken})
+		s.admitter.node.Loop.Post(admission.Released{Ticket: s.ticket, Completed: completed, Broken: s.backendFailed})
 	})
 }
 
-// fail records an error of the backend server, unless ctx has ended: the work
-// counts as broken, and the server as unreachable if it refused the connection.
+// fail records a failed call of the backend server, and reports the server as
+// unreachable if the call did not reach it. It does nothing if ctx has ended.
 func (s *slot) fail(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	s.broken = true
+	s.backendFailed = true
 	if errors.Is(err, ports.ErrUnavailable) {
 		s.admitter.node.Loop.Post(admission.Unreachable{})
 	}
@@ -76,7 +78,7 @@
 	ticket := a.lastTicket.Add(1)
 	decision := a.addPending(ticket)
 	a.node.Loop.Post(admission.SlotRequested{
-		Ticket: ticket, Org: work.Org, Weight: a.weight(work.Org), Priority: work.Priority, Deadline: work.Deadline,
+		Ticket: ticket, Org: work.Org, Weight: a.orgWeight(work.Org), Priority: work.Priority, Deadline: work.Deadline,
 		Prompt: prompt,
 	})
 	select {
@@ -93,15 +95,15 @@
 	}
 }
 
-func (a *admitter) weight(org string) float64 {
+func (a *admitter) orgWeight(org string) float64 {
 	if snapshot := a.node.State().View.InForce; snapshot != nil {
 		return snapshot.Organisations[org].Weight
 	}
 	return 0
 }
 
-// abandon removes the request from the queue, and returns the slot if it was
-// granted in the meantime.
+// abandon withdraws a request for a slot, and returns the slot if it was granted in
+// the meantime.
 func (a *admitter) abandon(ticket uint64, decision <-chan *result.Error) {
 	a.node.Loop.Post(admission.Left{Ticket: ticket})
 	select {
@@ -117,7 +119,7 @@
 	decision := make(chan *result.Error, 1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pending[ticket] = decision
+	a.pendingDecisions[ticket] = decision
 	return decision
 }
 
@@ -138,24 +140,24 @@
 func (a *admitter) resolve(ticket uint64, err *result.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	decision, ok := a.pending[ticket]
+	decision, ok := a.pendingDecisions[ticket]
 	if !ok {
 		return
 	}
-	delete(a.pending, ticket)
+	delete(a.pendingDecisions, ticket)
 	decision <- err
 }
 
-// probe asks the control loop what work the agent could take.
+// probe asks the control loop whether and how soon the agent could serve a request.
 func (a *admitter) probe(event admission.Probed) (admission.Offer, *result.Error) {
 	event.Ticket = a.lastTicket.Add(1)
-	answered := make(chan admission.Offer, 1)
+	reply := make(chan admission.Offer, 1)
 	a.mu.Lock()
-	a.probes[event.Ticket] = answered
+	a.pendingProbes[event.Ticket] = reply
 	a.mu.Unlock()
 	a.node.Loop.Post(event)
 	select {
-	case offer := <-answered:
+	case offer := <-reply:
 		return offer, nil
 	case <-a.node.Loop.Done():
 		return admission.Offer{}, result.Errorf(result.Leaving, "the agent has stopped")
@@ -165,8 +167,8 @@
 func (a *admitter) deliverOffer(offer admission.Offer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if answered, ok := a.probes[offer.Ticket]; ok {
-		delete(a.probes, offer.Ticket)
-		answered <- offer
+	if reply, ok := a.pendingProbes[offer.Ticket]; ok {
+		delete(a.pendingProbes, offer.Ticket)
+		reply <- offer
 	}
 }
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -1,5 +1,6 @@
 // Package agent implements the process that runs beside each backend server and
-// is the only way to reach it. It admits, forwards and cancels work.
+// is the only way to reach it. It admits requests, forwards them to the backend
+// server and cancels those that nobody waits for.
 package agent
 
 import (
@@ -34,18 +35,18 @@
 	Keys    keys.Source  // TLS keys for Control and Traffic; nil for plain TCP.
 }
 
-// Agent is the agent of one backend server.
+// Agent serves the requests of entries for one backend server.
 type Agent struct {
 	settings settings.Agent
 	node     *node.Node
 	admitter *admitter
-	engine   ports.Engine  // Nil for a plain service.
-	service  ports.Service // Nil for a model engine.
-	group    *group.Group  // Nil for a plain service.
+	engine   ports.Engine  // Client of the model engine; nil if the backend server is a plain service.
+	service  ports.Service // Client of the plain service; nil if the backend server is a model engine.
+	group    *group.Group  // Carries out changes of the group's expert map; nil if the backend server is a plain service.
 	traffic  net.Listener
 	health   net.Listener
 	server   *http.Server
-	inFlight leave.InFlight
+	inFlight leave.InFlightCounter
 	metrics  *metrics.Metrics
 
 	executions *executions
@@ -80,7 +81,7 @@
 	return a
 }
 
-// Node returns the agent's node.
+// Node returns the node that runs the agent's control loop.
 func (a *Agent) Node() *node.Node { return a.node }
 
 // Run serves until ctx ends, then drains.
@@ -111,7 +112,7 @@
 	}
 	a.node.Leave()
 	delayEnd := time.Now().Add(a.settings.LeaveDelay())
-	drain, cancel := context.WithTimeout(runCtx, leave.MaxDrain)
+	drain, cancel := context.WithTimeout(runCtx, leave.DrainTimeout)
 	defer cancel()
 	if err := a.inFlight.Wait(drain); err != nil {
 		return fmt.Errorf("drain: %w", err)
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	maxExecutions      = 4096 // Active at a time.
-	storeWait          = 2 * time.Second
+	maxExecutions      = 4096 // Limit on concurrent executions.
+	maxStoreWait       = 2 * time.Second
 	defaultCallTimeout = 60 * time.Second
 	maxExecutionWait   = 5 * time.Second
 )
 
-// executions runs non-idempotent work at most once per key. It holds every
-// active execution of this boot, that is, of this agent process; any other
+// executions runs non-idempotent calls at most once per idempotency key. It holds
+// every active execution of this boot, that is, of this agent process; any other
 // execution of this boot was abandoned or has its answer stored.
 type executions struct {
 	agent   string
@@ -38,19 +38,19 @@
 	service ports.Service
 	rows    *once.Rows
 
-	mu     sync.Mutex
-	active map[string]*execution // By nonce.
+	mu               sync.Mutex
+	activeExecutions map[string]*execution // Active executions, by the nonce in their IDs.
 }
 
 func newExecutions(agent string, n *node.Node, service ports.Service) *executions {
 	return &executions{
 		agent: agent, boot: uuid.NewString(), node: n, service: service,
-		rows:   &once.Rows{Table: n.Store, Objects: n.Store.Objects()},
-		active: map[string]*execution{},
+		rows:             &once.Rows{Table: n.Store, Objects: n.Store.Objects()},
+		activeExecutions: map[string]*execution{},
 	}
 }
 
-// execution is one run of a key's work.
+// execution is one run of the call with an idempotency key.
 type execution struct {
 	owner     *executions
 	id        policy.Execution
@@ -58,7 +58,7 @@
 	body      []byte
 	onFailure func(error) // Called when the call of the backend server fails.
 	answer    policy.Answer
-	refusal   *result.Error // Set before ended is closed.
+	refusal   *result.Error // Why the call was not run, or nil; set before ended is closed.
 	answered  chan struct{} // Closed once answer is known.
 	ended     chan struct{} // Closed once the execution is inactive.
 }
@@ -71,24 +71,24 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.active) >= maxExecutions {
-		return nil, result.Errorf(result.StoreUnavailable, "%d answers wait for the table service", len(e.active))
+	if len(e.activeExecutions) >= maxExecutions {
+		return nil, result.Errorf(result.StoreUnavailable, "%d answers wait for the table service", len(e.activeExecutions))
 	}
-	e.active[x.id.Nonce] = x
+	e.activeExecutions[x.id.Nonce] = x
 	return x, nil
 }
 
 func (e *executions) end(x *execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.active, x.id.Nonce)
+	delete(e.activeExecutions, x.id.Nonce)
 	close(x.ended)
 }
 
 func (e *executions) find(nonce string) *execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.active[nonce]
+	return e.activeExecutions[nonce]
 }
 
 // run runs the execution to its end. It does not depend on a caller's context:
@@ -206,17 +206,18 @@
 	return complete
 }
 
-// awaitStored waits for the answer to be stored, at most storeWait, so that a
+// awaitStored waits for the answer to be stored, at most maxStoreWait, so that a
 // slow store does not hold up the answer.
 func (x *execution) awaitStored() {
 	select {
 	case <-x.ended:
-	case <-time.After(storeWait):
+	case <-time.After(maxStoreWait):
 		logevent.Write(x.owner.node.Log(), logevent.AnswerNotStored, logrus.Fields{"request": x.work.RequestID})
 	}
 }
 
-// writeAnswer sends the complete answer; it reports whether there is one.
+// writeAnswer sends the backend server's answer, or a refusal if there is none. It
+// reports whether there is an answer.
 func writeAnswer(w http.ResponseWriter, answer policy.Answer) bool {
 	if answer.Code != 0 {
 		refuse(w, result.Errorf(result.Code(answer.Code), "the backend server gave no answer"))
@@ -230,11 +231,11 @@
 	return true
 }
 
-// executionReceiver answers entries' queries about executions.
+// executionReceiver serves the RPC calls with which entries query executions.
 type executionReceiver struct{ executions *executions }
 
-// Wait returns the progress of an execution, after waiting for its end or
-// answer.
+// Wait returns the progress of an execution once it has ended or its answer is
+// known, or after the time that the request gives.
 func (r *executionReceiver) Wait(request wire.ExecutionRequest, reply *wire.ExecutionReply) error {
 	e := r.executions
 	e.node.ObserveStamp(request.Stamp)
--- a/server/configstore/apply.go
+++ b/server/configstore/apply.go
@@ -20,7 +20,7 @@
 	maxInlineChanges = 100
 )
 
-// Kinds of changes.
+// Kinds of configuration changes.
 const (
 	KindApply    = "apply"
 	KindRollback = "rollback"
@@ -43,8 +43,8 @@
 	AllowLastDataCentre bool
 }
 
-// Accepted is the outcome of an accepted change.
-type Accepted struct {
+// AcceptedChange is the outcome of an accepted change.
+type AcceptedChange struct {
 	Revision uint64          `json:"revision"`
 	Changes  []config.Change `json:"changes"`
 	// Unchanged reports that the files are already in force and that no revision
@@ -59,43 +59,44 @@
 // jsonfile.Problems or *result.Error, unless stored data can't be decoded. After
 // an error with the code ApplyUnknown, and only then, the change may have been
 // accepted.
-func (s *Store) Submit(ctx context.Context, change Change) (Accepted, error) {
+func (s *Store) Submit(ctx context.Context, change Change) (AcceptedChange, error) {
 	if earlier, found, err := s.Outcome(ctx, change.ID); err != nil || found {
 		return earlier, err
 	}
 	head, version, err := s.Head(ctx)
 	if err != nil {
-		return Accepted{}, unavailableError(err)
+		return AcceptedChange{}, unavailableError(err)
 	}
 	if head.Revision != change.Base {
-		return Accepted{}, conflictError(head, change)
+		return AcceptedChange{}, conflictError(head, change)
 	}
 	p, err := s.prepare(ctx, head, change)
 	if err != nil {
-		return Accepted{}, err
+		return AcceptedChange{}, err
 	}
-	accepted := Accepted{Revision: p.next.Revision, Changes: p.changes, Snapshot: p.next}
+	accepted := AcceptedChange{Revision: p.next.Revision, Changes: p.changes, Snapshot: p.next}
 	if len(p.changed) == 0 {
-		return Accepted{Revision: head.Revision, Unchanged: true, Snapshot: p.current}, nil
+		return AcceptedChange{Revision: head.Revision, Unchanged: true, Snapshot: p.current}, nil
 	}
 	tx, err := s.buildTx(ctx, head, version, change, p)
 	if err != nil {
-		return Accepted{}, err
+		return AcceptedChange{}, err
 	}
 	return accepted, s.commit(ctx, tx, change)
 }
 
-// prepared is a validated change.
-type prepared struct {
+// preparedChange is a validated change.
+type preparedChange struct {
 	current *config.Snapshot // Nil before the first revision.
 	next    *config.Snapshot
-	changed []string // Names of the files whose text differs.
+	changed []string // Names of the files whose text differs from the current one.
 	changes []config.Change
 }
 
-// prepare validates the change against the head.
-func (s *Store) prepare(ctx context.Context, head Head, change Change) (prepared, error) {
-	var p prepared
+// prepare validates the change together with the configuration that the head
+// describes.
+func (s *Store) prepare(ctx context.Context, head Head, change Change) (preparedChange, error) {
+	var p preparedChange
 	var err error
 	if head.Revision > 0 {
 		if p.current, err = s.snapshot(ctx, head, nil); err != nil {
@@ -125,14 +126,15 @@
 
 // checkTakeOuts refuses changes that are valid but dangerous. An entry in a data
 // centre that is taken out may not take out anything else, because agents in
-// other data centres don't ask there whether their configuration is current.
+// other data centres don't ask the processes of that data centre whether their
+// configuration is current.
 // Leaving no data centre in service requires AllowLastDataCentre.
-func checkTakeOuts(p prepared, change Change) error {
+func checkTakeOuts(p preparedChange, change Change) error {
 	if p.current == nil {
 		return nil
 	}
 	allTakenOutBefore := p.current.AllTakenOut()
-	if !allTakenOutBefore && p.current.DataCentres[change.DataCentre].TakenOut && takesOut(p.current, p.next) {
+	if !allTakenOutBefore && p.current.DataCentres[change.DataCentre].TakenOut && hasNewTakeOut(p.current, p.next) {
 		return result.Errorf(result.ChangeFromTakenOut, "data centre %q is taken out; take out others through an entry in another data centre", change.DataCentre)
 	}
 	if !allTakenOutBefore && p.next.AllTakenOut() && !change.AllowLastDataCentre {
@@ -141,9 +143,9 @@
 	return nil
 }
 
-// takesOut reports whether a data centre or backend server is taken out in next
+// hasNewTakeOut reports whether a data centre or backend server is taken out in next
 // that is not taken out in current.
-func takesOut(current, next *config.Snapshot) bool {
+func hasNewTakeOut(current, next *config.Snapshot) bool {
 	for name, dataCentre := range next.DataCentres {
 		if dataCentre.TakenOut && !current.DataCentres[name].TakenOut {
 			return true
@@ -159,7 +161,7 @@
 
 // buildTx stores the file texts, and a long list of changes, in the object store
 // and returns the transaction that accepts the change.
-func (s *Store) buildTx(ctx context.Context, head Head, version uint64, change Change, p prepared) (ports.Tx, error) {
+func (s *Store) buildTx(ctx context.Context, head Head, version uint64, change Change, p preparedChange) (ports.Tx, error) {
 	for _, name := range p.changed {
 		object := objectName(name, p.next.Versions[name].Digest)
 		if err := s.putObject(ctx, object, p.next.Files[name]); err != nil {
@@ -191,8 +193,9 @@
 	}
 }
 
-// acceptTx returns the transaction that writes the head, the audit record and
-// the revision under the change's ID, if the head still has the given version.
+// acceptTx returns the transaction that accepts a change: if the row of the head
+// still has the given version, it writes the head, the audit record and, under the
+// change's ID, the revision.
 func acceptTx(next Head, version uint64, record Record) (ports.Tx, error) {
 	headValue, err := json.Marshal(next)
 	if err != nil {
@@ -220,7 +223,7 @@
 // Sending it again is safe: all copies require the same version of the head, so
 // at most one of them takes effect.
 func (s *Store) commit(ctx context.Context, tx ports.Tx, change Change) error {
-	uncertain := false // Whether an earlier copy may have taken effect.
+	uncertain := false // Whether an earlier copy of the transaction may have taken effect.
 	for {
 		err := s.Table.Commit(ctx, tx)
 		switch {
@@ -283,7 +286,7 @@
 
 // Outcome returns the outcome of an earlier Submit with the ID. found is false
 // if no change with the ID was accepted.
-func (s *Store) Outcome(ctx context.Context, id string) (accepted Accepted, found bool, err error) {
+func (s *Store) Outcome(ctx context.Context, id string) (accepted AcceptedChange, found bool, err error) {
 	row, err := s.Table.Get(ctx, applyKey(id))
 	if err != nil {
 		return accepted, false, unavailableError(fmt.Errorf("read apply %q: %w", id, err))
--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -63,12 +63,12 @@
 	return standIn.Handler(), settings.KindEngine
 }
 
-// Entry is one entry instance of the system with its addresses.
+// Entry is one entry instance of the development system with its addresses.
 type Entry struct {
 	*entry.Entry
 	DataCentre string
-	Callers    string // host:port
-	Admin      string // host:port
+	Callers    string // host:port for callers.
+	Admin      string // host:port for operators.
 }
 
 // addEntries adds an entry in each data centre; the first one listens on the
@@ -95,14 +95,14 @@
 		Control: listeners.Control.Addr().String(), Traffic: listeners.Callers.Addr().String(),
 	})
 	process := settings.Process{ID: id, DataCentre: dataCentre, Store: s.storeURL}
-	added := Entry{
+	newEntry := Entry{
 		Entry:      entry.New(settings.Entry{Process: process, Operators: operators()}, listeners, s.options.Log.WithField("process", id)),
 		DataCentre: dataCentre,
 		Callers:    listeners.Callers.Addr().String(),
 		Admin:      listeners.Admin.Addr().String(),
 	}
-	s.Entries = append(s.Entries, added)
-	s.addProcess(added.Run)
+	s.Entries = append(s.Entries, newEntry)
+	s.addProcess(newEntry.Run)
 	return nil
 }
 
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -17,7 +17,7 @@
 
 const (
 	maxContinuations  = 4
-	continuationPause = 200 * time.Millisecond // After a refusal.
+	continuationPause = 200 * time.Millisecond // Pause before the next continuation after a refusal.
 )
 
 // Generate runs a model's generation and passes its pieces to sink. An answer
@@ -37,7 +37,7 @@
 		if deadlineErr := deadlineError(ctx, err); deadlineErr != nil {
 			return deadlineErr
 		}
-		if !g.continuable(err) || continuation == maxContinuations {
+		if !g.canContinue(err) || continuation == maxContinuations {
 			return g.finalError(err)
 		}
 		if err.NotRun() {
@@ -55,18 +55,18 @@
 	return result.Errorf(result.DeadlineExceeded, "%s", err.Detail)
 }
 
-// generation is one answer across all its attempts.
+// generation is the state of one request for a generation across all its attempts.
 type generation struct {
 	runner    *Runner
 	request   Request
 	sink      Sink
 	assembler answer.Assembler[stream.Piece]
-	sinkErr   error // Set once the caller can't be reached.
+	sinkErr   error // Error of the sink; set once the caller can't be reached.
 }
 
-// continuable reports whether the answer may be continued on another backend
+// canContinue reports whether the answer may be continued on another backend
 // server after err.
-func (g *generation) continuable(err *result.Error) bool {
+func (g *generation) canContinue(err *result.Error) bool {
 	if g.sinkErr != nil || !g.request.Idempotent {
 		return false
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// finalError returns the result of an answer that is not continued. Once a part
-// has been delivered, the work has run and the answer is cut.
+// finalError returns the result of an answer that is not continued. Once tokens
+// have been delivered, the work has run and the answer is reported as cut off.
 func (g *generation) finalError(err *result.Error) *result.Error {
 	if g.assembler.Delivered() == 0 {
 		return err
@@ -90,7 +90,7 @@
 }
 
 // attempt makes one attempt; started reports to the retry loop that the attempt
-// delivered a part of the answer, which then has to be continued.
+// delivered tokens of the answer, which can then only be continued.
 func (g *generation) attempt(ctx context.Context, target route.Target, work wire.Work) (started bool, refusal *result.Error) {
 	g.request.priorAttempts = max(g.request.priorAttempts, work.Attempt)
 	before := g.assembler.Delivered()
@@ -109,7 +109,8 @@
 	return g.assembler.Delivered() > before, refusal
 }
 
-// remaining returns the generation without the tokens already delivered.
+// remaining returns the generation that continues the answer after the tokens
+// already delivered.
 func (g *generation) remaining() ports.Generation {
 	return ports.Generation{
 		Model: g.request.Model, Adapter: g.request.Adapter, Prompt: g.request.Prompt,
--- a/server/entry/attempt/keyed.go
+++ b/server/entry/attempt/keyed.go
@@ -18,7 +18,7 @@
 const (
 	maxKeyLength      = 255
 	defaultRetryAfter = time.Second
-	answerMargin      = time.Second // Kept for returning the answer before the deadline.
+	answerMargin      = time.Second // Time reserved for returning the answer before the deadline.
 	minAttemptTime    = 50 * time.Millisecond
 )
 
@@ -28,16 +28,16 @@
 	runner       *Runner
 	request      Request
 	rowKey       string // Key of the row in the table service.
-	fingerprint  string // Of service, operation and body.
+	fingerprint  string // Hash of service, operation and body.
 	query        route.Query
-	attempts     int           // Attempts sent.
+	attemptCount int           // Number of attempts sent.
 	retryAfter   time.Duration // Retry-After of the latest refusal.
 	lastDetail   string
-	lastCode     result.Code // Of the latest refusal.
-	budgetExempt bool        // A retry is free, as the latest attempt reached no backend server.
+	lastCode     result.Code // Code of the latest refusal.
+	budgetExempt bool        // The next retry is not charged to the retry budget, as the latest attempt reached no backend server.
 }
 
-// callKeyed runs a non-idempotent call at most once.
+// callKeyed runs a non-idempotent call at most once per idempotency key.
 func (r *Runner) callKeyed(ctx context.Context, request Request) (Answer, *result.Error) {
 	if len(request.Key) > maxKeyLength {
 		return Answer{}, result.Errorf(result.BadRequest, "the Idempotency-Key header has %d characters; the limit is %d", len(request.Key), maxKeyLength)
@@ -58,16 +58,16 @@
 			return Answer{}, c.refuse(end)
 		}
 		event := c.execute(ctx, effect)
-		if ctx.Err() != nil && !conclusive(event) {
+		if ctx.Err() != nil && !isConclusive(event) {
 			event = policy.Expired{}
 		}
 		machine, effect = machine.Step(event)
 	}
 }
 
-// conclusive reports whether the event may end the request even though the
+// isConclusive reports whether the event may end the request even though the
 // deadline has passed.
-func conclusive(event reduce.Event) bool {
+func isConclusive(event reduce.Event) bool {
 	switch event.(type) {
 	case policy.Answered, policy.WriteSucceeded:
 		return true
@@ -90,7 +90,7 @@
 		err.RetryAfter = c.retryAfter
 	}
 	if !err.NotRun() && end.Code != result.KeyReused {
-		logevent.Write(c.runner.node.Log(), logevent.KeyRefusedWeaker, logrus.Fields{"request": c.request.ID, "code": int(end.Code)})
+		logevent.Write(c.runner.node.Log(), logevent.KeyRefusedOutcomeUnknown, logrus.Fields{"request": c.request.ID, "code": int(end.Code)})
 	}
 	return err
 }
@@ -115,7 +115,7 @@
 	}
 	event := c.runner.rows.Write(ctx, c.rowKey, effect)
 	if _, ok := event.(policy.WriteSucceeded); ok {
-		logevent.Write(c.runner.node.Log(), logevent.AttemptMovedOn, logrus.Fields{"request": c.request.ID, "epoch": effect.Row.Epoch})
+		logevent.Write(c.runner.node.Log(), logevent.AttemptCancelled, logrus.Fields{"request": c.request.ID, "epoch": effect.Row.Epoch})
 	}
 	return event
 }
@@ -132,9 +132,9 @@
 	if time.Until(c.request.Deadline) < minAttemptTime {
 		return policy.NoTarget{Code: result.DeadlineTooShort}
 	}
-	c.attempts++
-	c.query.Excluded[target.BackendServer] = true
-	work := c.runner.work(c.request, c.attempts)
+	c.attemptCount++
+	c.query.ExcludedServers[target.BackendServer] = true
+	work := c.runner.work(c.request, c.attemptCount)
 	work.Key, work.Epoch = c.rowKey, epoch
 	c.budgetExempt = false
 	answer, err := c.runner.sendWatched(ctx, target, work, c.request.Body)
@@ -151,17 +151,18 @@
 	return policy.NoReply{}
 }
 
-// chargeAttempt reports whether another attempt may be made. The first one adds
-// to the retry budget; each further one is taken from it, unless it is exempt.
+// chargeAttempt reports whether another attempt may be made. The first attempt
+// adds to the retry budget; each further attempt is charged to it, unless it is
+// exempt.
 func (c *keyedCall) chargeAttempt() bool {
-	if c.attempts == 0 {
+	if c.attemptCount == 0 {
 		c.runner.retryBudget.request()
 		return true
 	}
 	return c.budgetExempt || c.runner.retryBudget.withdraw()
 }
 
-// recordRefusal stores a refusal and returns the code to report.
+// recordRefusal stores a refusal and returns the code to report to the caller.
 func (c *keyedCall) recordRefusal(err *result.Error) result.Code {
 	c.lastCode = refusalCode(err)
 	c.lastDetail = err.Detail
--- a/server/entry/body.go
+++ b/server/entry/body.go
@@ -19,11 +19,11 @@
 	responseGrace  = 5 * time.Second
 )
 
-// Bounds on the time that a caller may give a request.
+// Default and maximum of the timeout that a caller may set for a request.
 const (
 	defaultDeadline      = time.Minute
 	maxDeadline          = 10 * time.Minute
-	requestTimeoutHeader = "Request-Timeout" // In seconds, as a decimal number.
+	requestTimeoutHeader = "Request-Timeout" // Request header with the timeout in seconds, as a decimal number.
 )
 
 // readBody reads the request body within maxBodyBytes and bodyTimeout.
--- a/server/entry/entry.go
+++ b/server/entry/entry.go
@@ -35,12 +35,12 @@
 	Keys    keys.Source // TLS keys for Control and the connections to agents; nil for plain TCP.
 }
 
-// Entry is one entry instance.
+// Entry serves callers, operators and other processes as one entry instance.
 type Entry struct {
 	settings  settings.Entry
 	node      *node.Node
 	metrics   *metrics.Metrics
-	inFlight  leave.InFlight
+	inFlight  leave.InFlightCounter
 	runner    *attempt.Runner
 	limiter   *limit.Limiter
 	listeners Listeners
@@ -71,7 +71,7 @@
 	}
 }
 
-// Node returns the entry's node.
+// Node returns the node that runs the entry's control loop.
 func (e *Entry) Node() *node.Node { return e.node }
 
 // Run serves until ctx ends, then drains.
@@ -98,7 +98,7 @@
 	}
 	e.node.Leave()
 	e.callers.SetKeepAlivesEnabled(false)
-	drain, cancel := context.WithTimeout(runCtx, leave.MaxDrain)
+	drain, cancel := context.WithTimeout(runCtx, leave.DrainTimeout)
 	defer cancel()
 	wait.For(drain, e.settings.LeaveDelay())
 	return e.callers.Shutdown(drain)
--- a/server/entry/openai/openai.go
+++ b/server/entry/openai/openai.go
@@ -101,7 +101,7 @@
 	return fallback
 }
 
-// Usage holds the token counts of a response.
+// Usage contains the token counts that a response reports.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -125,12 +125,12 @@
 	Content string `json:"content"`
 }
 
-// Choice is the only choice of a response.
+// Choice is one generated answer; a response has at most one.
 type Choice struct {
 	Index        int       `json:"index"`
-	Message      *ChatText `json:"message,omitempty"` // In complete chat responses.
-	Delta        *ChatText `json:"delta,omitempty"`   // In chat streams.
-	Text         *string   `json:"text,omitempty"`    // In text completions.
+	Message      *ChatText `json:"message,omitempty"` // Set in complete chat responses.
+	Delta        *ChatText `json:"delta,omitempty"`   // Set in the events of a chat stream.
+	Text         *string   `json:"text,omitempty"`    // Set in text completions, complete or streamed.
 	FinishReason *string   `json:"finish_reason"`
 }
 
@@ -163,7 +163,8 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes one error. NotRun guarantees that the work did not run.
+// ErrorDetail describes one error. If NotRun is set, the work is guaranteed not to
+// have run.
 type ErrorDetail struct {
 	Message      string `json:"message"`
 	Type         string `json:"type"`
--- a/server/entry/route/gather.go
+++ b/server/entry/route/gather.go
@@ -12,27 +12,27 @@
 // only for a fraction of the expected time to first token, so that a dead or
 // slow agent among those probed does not delay the work.
 const (
-	minOfferWait     = 2 * time.Millisecond // Longer than a round trip within a region.
+	minOfferWait     = 2 * time.Millisecond // Lower bound of the wait; longer than a round trip within a region.
 	offerWaitDivisor = 20                   // The wait is the expected time to first token divided by this.
 )
 
-// offerWait returns how long to wait for better offers than this one.
+// offerWait returns how long to wait for better offers than the given one.
 func offerWait(offer *wire.ProbeReply) time.Duration {
 	expected := time.Duration(offer.ExpectedWaitMS * float64(time.Millisecond))
 	return max(minOfferWait, expected/offerWaitDivisor)
 }
 
-// probeResult is the outcome of one probe.
+// probeResult is the outcome of probing one agent.
 type probeResult struct {
 	target   Target
 	reply    *wire.ProbeReply // Nil if the agent did not answer.
 	timedOut bool             // The agent may be alive, but did not answer in time.
 }
 
-// gather probes all targets concurrently. It returns those that answered before
-// the timeout, or before the wait for better offers ended, and those that did
-// not answer within the whole timeout.
-func gather(ctx context.Context, timeout time.Duration, targets []Target, probe func(context.Context, Target) probeResult) (live, timedOut []Target) {
+// gather probes all targets concurrently. It returns the targets that answered
+// before the timeout, or before the wait for better offers ended, and those that
+// did not answer within the whole timeout.
+func gather(ctx context.Context, timeout time.Duration, targets []Target, probe func(context.Context, Target) probeResult) (answered, timedOut []Target) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	results := make(chan probeResult, len(targets))
@@ -50,13 +50,13 @@
 				continue
 			}
 			probed.target.Probe = *probed.reply
-			live = append(live, probed.target)
+			answered = append(answered, probed.target)
 			if offerDeadline == nil && probed.reply.Refuses == result.OK {
 				offerDeadline = time.After(offerWait(probed.reply))
 			}
 		case <-offerDeadline:
-			return live, timedOut
+			return answered, timedOut
 		}
 	}
-	return live, timedOut
+	return answered, timedOut
 }
--- a/server/entry/route/probe.go
+++ b/server/entry/route/probe.go
@@ -13,7 +13,7 @@
 
 // probeAll probes the targets and returns those that answered and those that
 // timed out.
-func (r *Router) probeAll(ctx context.Context, targets []Target, prompt prefix.Prompt, query Query) (live, timedOut []Target) {
+func (r *Router) probeAll(ctx context.Context, targets []Target, prompt prefix.Prompt, query Query) (answered, timedOut []Target) {
 	request := wire.ProbeRequest{
 		Stamp: r.node.Stamp(), Model: query.Model, Adapter: query.Adapter,
 		Tokens: prompt.Tokens, Blocks: len(prompt.Blocks), Prefix: prefix.Sample(prompt.Blocks),
@@ -28,7 +28,8 @@
 func (r *Router) probe(ctx context.Context, target Target, request wire.ProbeRequest) probeResult {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	// An abandoned call may still write to its reply later.
+	// Each call needs a reply of its own, since an abandoned call may still write to
+	// it later.
 	reply := new(wire.ProbeReply)
 	err := r.node.Pool.Call(ctx, target.Control, "Agent.Probe", request, reply)
 	if err != nil {
--- a/server/entry/route/route.go
+++ b/server/entry/route/route.go
@@ -20,29 +20,29 @@
 
 const (
 	retryAfter  = time.Second
-	probeRounds = 2 // Rounds of probes, each of other agents, before the work is refused.
+	probeRounds = 2 // Rounds of probes, each sent to agents not probed before, until the request is refused.
 )
 
-// Query describes the work that needs a backend server.
+// Query describes the request that needs a backend server.
 type Query struct {
-	Model     string // Empty for a plain service.
-	Adapter   string
-	Service   string // Empty for a model.
-	Prompt    string
-	Excluded  map[string]bool // Backend servers not to choose.
-	Deadline  time.Time
-	RequestID string
+	Model           string // Empty for a plain service.
+	Adapter         string
+	Service         string // Empty for a model.
+	Prompt          string
+	ExcludedServers map[string]bool // Backend servers not to choose.
+	Deadline        time.Time
+	RequestID       string
 }
 
-// Target is the chosen backend server's agent.
+// Target is a backend server that may be chosen, with the addresses of its agent.
 type Target struct {
 	BackendServer string
-	Traffic       string // host:port of the agent's traffic server.
-	Control       string
-	Probe         wire.ProbeReply
+	Traffic       string          // host:port of the agent's traffic server.
+	Control       string          // host:port of the agent's control RPC.
+	Probe         wire.ProbeReply // The agent's offer; set once it has answered a probe.
 }
 
-// Router chooses backend servers.
+// Router chooses the backend server for each attempt of a request.
 type Router struct {
 	node     *node.Node
 	suspects *suspects
@@ -51,42 +51,42 @@
 // New returns a router over the node's configuration and instance list.
 func New(n *node.Node) *Router { return &Router{node: n, suspects: newSuspects()} }
 
-// Pick returns the backend server for one attempt. If no agent answers in time,
-// it is one of those that timed out: the agent itself decides whether to accept
-// the work.
+// Pick returns the backend server for one attempt. If no agent answers its probe
+// in time, Pick returns one that timed out: the agent itself decides whether to
+// accept the work.
 func (r *Router) Pick(ctx context.Context, query Query) (Target, *result.Error) {
 	prompt := prefix.NewPrompt(query.Prompt)
-	trusted, suspected := r.suspects.split(r.candidates(query), time.Now())
+	trustedTargets, suspectedTargets := r.suspects.split(r.candidates(query), time.Now())
 	var refusal *result.Error
-	var unanswered []Target
+	var allTimedOut []Target
 	for range probeRounds {
-		if len(trusted) == 0 {
-			trusted, suspected = suspected, nil
+		if len(trustedTargets) == 0 {
+			trustedTargets, suspectedTargets = suspectedTargets, nil
 		}
-		if len(trusted) == 0 {
+		if len(trustedTargets) == 0 {
 			break
 		}
-		sampled, rest := r.sampleCandidates(trusted, query, prompt)
-		live, timedOut := r.probeAll(ctx, sampled, prompt, query)
-		unanswered = append(unanswered, timedOut...)
-		if len(live) > 0 {
-			target, err := r.best(live, query)
+		sampled, rest := r.sampleCandidates(trustedTargets, query, prompt)
+		answered, timedOut := r.probeAll(ctx, sampled, prompt, query)
+		allTimedOut = append(allTimedOut, timedOut...)
+		if len(answered) > 0 {
+			target, err := r.best(answered, query)
 			if err == nil {
 				return target, nil
 			}
 			refusal = preferredRefusal(refusal, err)
 		}
-		trusted = rest
+		trustedTargets = rest
 	}
-	return fallback(unanswered, refusal)
+	return fallback(allTimedOut, refusal)
 }
 
 // fallback returns the result when no agent made an offer. A refusal because of
 // load is assumed to hold for the agents that timed out too, and is returned;
 // any other refusal says nothing about them, so one of them is chosen.
-func fallback(unanswered []Target, refusal *result.Error) (Target, *result.Error) {
-	if len(unanswered) > 0 && (refusal == nil || !retry.IsLoadRefusal(refusal.Code)) {
-		return unanswered[rand.IntN(len(unanswered))], nil
+func fallback(timedOut []Target, refusal *result.Error) (Target, *result.Error) {
+	if len(timedOut) > 0 && (refusal == nil || !retry.IsLoadRefusal(refusal.Code)) {
+		return timedOut[rand.IntN(len(timedOut))], nil
 	}
 	if refusal != nil {
 		return Target{}, refusal
@@ -133,8 +133,8 @@
 	return sampled, rest
 }
 
-// candidates returns the targets in the configuration and the instance list
-// that may serve the query.
+// candidates returns the backend servers in both the configuration and the
+// instance list that may serve the query.
 func (r *Router) candidates(query Query) []Target {
 	snapshot := r.node.State().View.InForce
 	if snapshot == nil {
@@ -143,17 +143,17 @@
 	var targets []Target
 	for _, instance := range r.node.Instances() {
 		server, ok := snapshot.BackendServers[instance.BackendServer]
-		if !ok || instance.Leaving || query.Excluded[server.Name] {
+		if !ok || instance.Leaving || query.ExcludedServers[server.Name] {
 			continue
 		}
-		if serves(server, query) && !snapshot.TakenOut(server) {
+		if canServe(server, query) && !snapshot.TakenOut(server) {
 			targets = append(targets, targetOf(instance))
 		}
 	}
 	return targets
 }
 
-func serves(server config.BackendServer, query Query) bool {
+func canServe(server config.BackendServer, query Query) bool {
 	if query.Service != "" {
 		return server.Service == query.Service
 	}
@@ -164,7 +164,8 @@
 	return Target{BackendServer: instance.BackendServer, Traffic: instance.Traffic, Control: instance.Control}
 }
 
-// best returns the target with the least expected time to first token.
+// best returns the target with the best offer: the least expected delay, and among
+// about equal ones the most headroom; see choose.Best.
 func (r *Router) best(targets []Target, query Query) (Target, *result.Error) {
 	state := r.node.State()
 	offers := make([]choose.Offer, len(targets))
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -98,9 +98,9 @@
 
 // logNotice logs a change of phase, or the ranks for which the change waits.
 func (g *Group) logNotice(n expertmap.Notice) {
-	event := logevent.MapPhase
+	event := logevent.MapPhaseEntered
 	if len(n.Ranks) > 0 {
-		event = logevent.MapWaiting
+		event = logevent.MapWaitingForRanks
 	}
 	if n.Phase == expertmap.Querying {
 		return // This phase recurs every few seconds, so it is not logged.
--- a/server/keys/keys_test.go
+++ b/server/keys/keys_test.go
@@ -37,7 +37,7 @@
 	return err
 }
 
-func generateKeys(t *testing.T) Generated {
+func generateKeys(t *testing.T) GeneratedKeys {
 	t.Helper()
 	g, err := Generate()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return g
 }
 
-func staticSource(t *testing.T, g Generated) StaticSource {
+func staticSource(t *testing.T, g GeneratedKeys) StaticSource {
 	t.Helper()
 	k, err := g.Keys()
 	if err != nil {
@@ -56,23 +56,23 @@
 }
 
 func TestPeerAuthentication(t *testing.T) {
-	ours, others := staticSource(t, generateKeys(t)), staticSource(t, generateKeys(t))
+	ownSource, foreignSource := staticSource(t, generateKeys(t)), staticSource(t, generateKeys(t))
 	Convey("Given two authorities", t, func() {
 		Convey("a client and a server of the same authority connect", func() {
-			So(connect(ServerConfig(ours), ClientConfig(ours)), ShouldBeNil)
+			So(connect(ServerConfig(ownSource), ClientConfig(ownSource)), ShouldBeNil)
 		})
 		Convey("a client of another authority is refused", func() {
-			foreignClient := ClientConfig(others)
+			foreignClient := ClientConfig(foreignSource)
 			foreignClient.VerifyConnection = nil
-			So(connect(ServerConfig(ours), foreignClient), ShouldNotBeNil)
+			So(connect(ServerConfig(ownSource), foreignClient), ShouldNotBeNil)
 		})
 		Convey("a client without a certificate is refused", func() {
 			anonymousClient := &tls.Config{InsecureSkipVerify: true}
-			So(connect(ServerConfig(ours), anonymousClient), ShouldNotBeNil)
+			So(connect(ServerConfig(ownSource), anonymousClient), ShouldNotBeNil)
 		})
 		Convey("a server of another authority is refused", func() {
-			client := ClientConfig(ours)
-			server := ServerConfig(others)
+			client := ClientConfig(ownSource)
+			server := ServerConfig(foreignSource)
 			So(connect(server, client), ShouldNotBeNil)
 		})
 	})
@@ -92,7 +92,7 @@
 			So(err, ShouldBeNil)
 			later := time.Now().Add(time.Minute)
 			So(os.Chtimes(files.Certificate, later, later), ShouldBeNil)
-			source.checked = time.Time{}
+			source.checkedAt = time.Time{}
 			after, _ := source.Current()
 			So(after, ShouldNotEqual, before)
 		})
@@ -101,7 +101,7 @@
 			So(os.WriteFile(files.Certificate, []byte("broken"), 0o600), ShouldBeNil)
 			later := time.Now().Add(time.Minute)
 			So(os.Chtimes(files.Certificate, later, later), ShouldBeNil)
-			source.checked = time.Time{}
+			source.checkedAt = time.Time{}
 			after, _ := source.Current()
 			So(after, ShouldEqual, before)
 		})
--- a/server/loop/loop.go
+++ b/server/loop/loop.go
@@ -15,18 +15,20 @@
 // queueCapacity is the number of events that can wait before Post blocks.
 const queueCapacity = 4096
 
-// Step is a reducer. The caller must not use the state that it passed in again.
+// Step is a reducer: it applies an input to the state and returns the new state and
+// the effects to execute. The caller must not use the state that it passed in
+// again.
 type Step[S any] func(state S, input reduce.Input) (S, []reduce.Effect)
 
 // Loop owns the control state S and publishes the view V of it.
 type Loop[S, V any] struct {
-	step      Step[S]
-	view      func(S) V
-	execute   func(reduce.Effect)
-	record    func(reduce.Input)
-	queue     chan reduce.Event
-	done      chan struct{}
-	published atomic.Pointer[V]
+	step          Step[S]
+	view          func(S) V
+	execute       func(reduce.Effect)
+	record        func(reduce.Input)
+	queue         chan reduce.Event
+	done          chan struct{}
+	publishedView atomic.Pointer[V]
 }
 
 // New returns a loop. view derives the view to publish from a state. execute is
@@ -50,9 +52,9 @@
 }
 
 // View returns the latest published view, or nil before Run.
-func (l *Loop[S, V]) View() *V { return l.published.Load() }
+func (l *Loop[S, V]) View() *V { return l.publishedView.Load() }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that is closed when the loop has ended.
 func (l *Loop[S, V]) Done() <-chan struct{} { return l.done }
 
 // Run reduces events until ctx ends, starting with state, and adds a tick event
@@ -90,5 +92,5 @@
 
 func (l *Loop[S, V]) publish(state S) {
 	view := l.view(state)
-	l.published.Store(&view)
+	l.publishedView.Store(&view)
 }
--- a/server/node/configuration.go
+++ b/server/node/configuration.go
@@ -22,8 +22,9 @@
 const (
 	storeTimeout     = 4 * time.Second
 	peerFetchTimeout = 2 * time.Second
-	// fetchPeerCount is the number of random peers asked for a newer configuration,
-	// in total or per data centre, or for the instance list.
+	// fetchPeerCount is the number of random peers that are asked for a newer
+	// configuration or for the instance list. A node without a configuration asks
+	// this many in each data centre for a configuration.
 	fetchPeerCount = 3
 )
 
@@ -45,7 +46,7 @@
 
 // fetch fetches the newest configuration, from peers first if the effect says
 // so, otherwise from the store. If the store fails and no peer was asked before,
-// it asks peers as a fallback. It always posts FetchDone at the end.
+// it asks peers as a fallback. In every case it posts view.FetchDone at the end.
 func (n *Node) fetch(ctx context.Context, effect view.Fetch) {
 	err := error(errNoNewerConfiguration)
 	if effect.PeersFirst {
@@ -74,29 +75,29 @@
 	if snapshot == nil {
 		return fmt.Errorf("the store contains no configuration")
 	}
-	n.install(snapshot)
+	n.installIfNewer(snapshot)
 	n.Loop.Post(view.StoreRead{Revision: snapshot.Revision, BeganAt: began})
 	return nil
 }
 
-// install posts the snapshot to the control loop if it is newer than the one in
-// force.
-func (n *Node) install(snapshot *config.Snapshot) {
+// installIfNewer posts the snapshot to the control loop if it is newer than the
+// one in force.
+func (n *Node) installIfNewer(snapshot *config.Snapshot) {
 	if snapshot.Revision <= n.State().View.Revision() {
 		return
 	}
-	n.recent.add(snapshot)
+	n.snapshotCache.add(snapshot)
 	logevent.Write(n.Log(), logevent.ConfigInstalled, logrus.Fields{"revision": snapshot.Revision})
 	n.Loop.Post(view.Fetched{Snapshot: snapshot})
 }
 
-// Install puts a snapshot in force that was just accepted through this process
-// and offers it to all other processes. It returns the number of processes that
+// Install puts a newly accepted configuration in force in this process and offers
+// it to all other processes. It returns the number of processes that
 // received the offer and the number of all other processes.
 func (n *Node) Install(ctx context.Context, snapshot *config.Snapshot) (reached, total int) {
 	old := n.State().View.InForce
-	n.install(snapshot)
-	return n.offer(ctx, old, snapshot)
+	n.installIfNewer(snapshot)
+	return n.offerToPeers(ctx, old, snapshot)
 }
 
 // fetchFromPeers asks several peers concurrently and installs the newest
@@ -106,7 +107,7 @@
 	defer cancel()
 	current := n.State().View.InForce
 	peers := n.fetchCandidates(current)
-	found := make(chan *config.Snapshot, len(peers))
+	snapshots := make(chan *config.Snapshot, len(peers))
 	forEach(peers, func(peer ports.Instance) {
 		snapshot, err := n.requestConfiguration(ctx, peer, current)
 		if err != nil {
@@ -114,12 +115,12 @@
 			return
 		}
 		if snapshot != nil {
-			found <- snapshot
+			snapshots <- snapshot
 		}
 	})
-	close(found)
+	close(snapshots)
 	var newest *config.Snapshot
-	for snapshot := range found {
+	for snapshot := range snapshots {
 		if newest == nil || snapshot.Revision > newest.Revision {
 			newest = snapshot
 		}
@@ -127,7 +128,7 @@
 	if newest == nil {
 		return errNoNewerConfiguration
 	}
-	n.install(newest)
+	n.installIfNewer(newest)
 	return nil
 }
 
--- a/server/ports/ports.go
+++ b/server/ports/ports.go
@@ -37,14 +37,14 @@
 	Version uint64
 }
 
-// Condition requires that the row has exactly this version; 0 requires that it
-// does not exist.
+// Condition requires that a row has exactly the version when a transaction is
+// applied; version 0 requires that the row does not exist.
 type Condition struct {
 	Key     string
 	Version uint64
 }
 
-// Write sets or deletes one row.
+// Write sets or deletes one row in a transaction.
 type Write struct {
 	Key    string
 	Value  []byte
@@ -87,7 +87,7 @@
 	ID            string `json:"id"`
 	Role          string `json:"role"`
 	DataCentre    string `json:"data_centre"`
-	BackendServer string `json:"backend_server,omitempty"` // Agents only.
+	BackendServer string `json:"backend_server,omitempty"` // Backend server of an agent; empty for an entry.
 	Control       string `json:"control"`                  // host:port of the control RPC.
 	Traffic       string `json:"traffic"`                  // host:port of the traffic HTTP server.
 	Leaving       bool   `json:"leaving"`
@@ -98,14 +98,14 @@
 	List(ctx context.Context) ([]Instance, error)
 }
 
-// Weights is the platform's rate-limited weight store.
+// Weights is the platform's rate-limited store of model weights.
 type Weights interface {
 	// Fetch loads the named weights, which have the given size in bytes, and
 	// returns when they are present.
 	Fetch(ctx context.Context, name string, bytes int64) error
 }
 
-// Generation is one request to a model engine.
+// Generation is a request to a model engine to generate tokens.
 type Generation struct {
 	ID        string `json:"id"`
 	Model     string `json:"model"`
@@ -113,10 +113,11 @@
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Priority  int    `json:"priority"`
-	From      int    `json:"from,omitempty"` // Number of tokens already sent, for a continuation.
+	From      int    `json:"from,omitempty"` // Number of tokens already delivered, when the generation continues an answer.
 }
 
-// EngineLoad is an engine's report of its own load, which lags behind.
+// EngineLoad is an engine's report of its own load, which lags behind the actual
+// load.
 type EngineLoad struct {
 	BootID       string    `json:"boot_id"`
 	Running      int       `json:"running"`
@@ -126,8 +127,8 @@
 	At           time.Time `json:"at"`
 }
 
-// CacheEvent reports that a prefix block was added to or removed from an engine's
-// cache. A gap in Seq means that events were lost.
+// CacheEvent reports that a block of prompt tokens was added to or removed from an
+// engine's prefix cache. A gap in Seq means that events were lost.
 type CacheEvent struct {
 	Seq   uint64 `json:"seq"`
 	Block uint64 `json:"block"`
@@ -149,7 +150,7 @@
 	Body  []byte `json:"body"`
 }
 
-// Engine is one model engine.
+// Engine is the interface to a model engine, which generates tokens.
 type Engine interface {
 	Submit(ctx context.Context, generation Generation) (*stream.Reader, error)
 	// Resume continues the stream of a generation after its first from tokens. It
@@ -178,7 +179,8 @@
 	Body        []byte
 }
 
-// Service is one plain service.
+// Service is the interface to a plain service, a backend server that answers calls
+// and is not a model engine.
 type Service interface {
 	// Call fails with ErrUnavailable if the call had no effect, and otherwise with
 	// ErrUnknownOutcome.
@@ -189,7 +191,7 @@
 type RankReport struct {
 	State      expertmap.EngineState `json:"state"`
 	Shape      planner.Shape         `json:"shape"`
-	Popularity [][]float64           `json:"popularity"` // Tokens per step by layer and expert; lags behind. A nil layer was not observed.
+	Popularity [][]float64           `json:"popularity"` // Tokens per step by layer and expert, with a lag. The slice of a layer that was not observed is nil.
 	Slowness   []float64             `json:"slowness"`   // By rank: relative time for one unit of load; 1 is the usual time.
 }
 
--- a/server/standin/engine/engine.go
+++ b/server/standin/engine/engine.go
@@ -1,6 +1,7 @@
 // Package engine is the stand-in for a model engine: it runs generations
-// concurrently, caches prompt prefixes, turns cold, and crashes when it is
-// overloaded in cold start.
+// concurrently and caches prompt prefixes. It can turn cold: in cold start it is
+// slower until it has completed some generations, and crashes when it runs more of
+// them at once than its cold limit.
 package engine
 
 import (
@@ -22,15 +23,15 @@
 
 // Options configure an engine's behaviour.
 type Options struct {
-	FullLimit      int           `json:"full_limit"`       // Concurrent generations when warm.
+	FullLimit      int           `json:"full_limit"`       // Concurrent generations when warm; further ones wait.
 	ColdLimit      int           `json:"cold_limit"`       // Concurrent generations that were started in cold start; one more crashes the engine.
-	WarmAfter      int           `json:"warm_after"`       // Completed generations until warm.
+	WarmAfter      int           `json:"warm_after"`       // Completed generations after which the engine is warm.
 	TokenTime      time.Duration `json:"token_time"`       // Time of one decode step.
 	PrefillTime    time.Duration `json:"prefill_time"`     // Time for each prompt token that is not cached.
 	ColdDelay      time.Duration `json:"cold_delay"`       // Time before the prefill in cold start.
-	TokensPerPiece int           `json:"tokens_per_piece"` // Tokens in one piece of the stream.
-	CacheBlocks    int           `json:"cache_blocks"`     // Prefix blocks kept.
-	ReportLag      time.Duration `json:"report_lag"`       // Age of the load report.
+	TokensPerPiece int           `json:"tokens_per_piece"` // Tokens in one piece of an answer's stream.
+	CacheBlocks    int           `json:"cache_blocks"`     // Capacity of the prefix cache, in blocks.
+	ReportLag      time.Duration `json:"report_lag"`       // Age of the load that the load reports show.
 	IgnoreFence    bool          `json:"ignore_fence"`     // Accept orders with outdated fencing numbers.
 }
 
@@ -49,34 +50,34 @@
 	}
 }
 
-// Engine is one stand-in engine.
+// Engine simulates one model engine in memory.
 type Engine struct {
 	Faults  fault.Injector
 	options Options
 
-	mu          sync.Mutex
-	bootID      string
-	cold        bool
-	coldEpoch   int // Number of calls to TurnCold.
-	completed   int
-	started     int // Generations submitted.
-	overloads   int // Times the engine crashed from overload in cold start.
-	running     int
-	coldRunning int // Those of running that were started in cold start.
-	slotFreed   *sync.Cond
-	waiting     int
-	stalled     bool
-	generations map[string]*generation
-	cache       *blockCache
-	reports     []ports.EngineLoad
-	fence       uint64
-	orders      []ports.Order
-
-	streamFaults StreamFaults
-	sentPieces   atomic.Int64
-}
-
-// New returns a cold engine.
+	mu               sync.Mutex
+	bootID           string
+	cold             bool
+	coldEpoch        int // Number of calls to TurnCold.
+	completed        int // Generations completed since the start or the last call to TurnCold.
+	startedCount     int // Number of generations submitted.
+	overloadCount    int // Number of crashes from overload in cold start.
+	runningCount     int
+	coldRunningCount int // Running generations that were started in the current cold start.
+	slotFreed        *sync.Cond
+	waitingCount     int
+	stalled          bool
+	generations      map[string]*generation
+	cache            *blockCache
+	reports          []ports.EngineLoad
+	fence            uint64
+	orders           []ports.Order
+
+	streamFaults   StreamFaults
+	sentPieceCount atomic.Int64
+}
+
+// New returns an engine in cold start.
 func New(options Options) *Engine {
 	e := &Engine{options: options, generations: map[string]*generation{}}
 	e.slotFreed = sync.NewCond(&e.mu)
@@ -91,14 +92,14 @@
 	e.cache = newBlockCache(e.options.CacheBlocks)
 }
 
-// TurnCold makes the engine cold without notice to its clients.
+// TurnCold puts the engine into cold start without notice to its clients.
 func (e *Engine) TurnCold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cold = true
 	e.completed = 0
 	e.coldEpoch++
-	e.coldRunning = 0
+	e.coldRunningCount = 0
 	e.cache.clear()
 }
 
@@ -109,7 +110,8 @@
 	e.stalled = stalled
 }
 
-// Restart ends every generation and restarts the engine, which is then cold.
+// Restart ends every generation and restarts the engine, which is then in cold
+// start.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,23 +123,23 @@
 		g.fail(errCrashed)
 	}
 	e.generations = map[string]*generation{}
-	e.running, e.coldRunning = 0, 0
+	e.runningCount, e.coldRunningCount = 0, 0
 	e.slotFreed.Broadcast()
 	e.boot()
 }
 
-// Started returns how many generations were submitted.
-func (e *Engine) Started() int {
+// StartedGenerations returns how many generations were submitted.
+func (e *Engine) StartedGenerations() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.started
+	return e.startedCount
 }
 
-// Overloads returns how often the engine crashed from overload in cold start.
-func (e *Engine) Overloads() int {
+// OverloadCrashes returns how often the engine crashed from overload in cold start.
+func (e *Engine) OverloadCrashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.overloads
+	return e.overloadCount
 }
 
 // Load returns the engine's load as it was ReportLag ago.
@@ -146,16 +148,16 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	e.reports = append(e.reports, ports.EngineLoad{
-		BootID: e.bootID, Running: e.running, Waiting: e.waiting,
+		BootID: e.bootID, Running: e.runningCount, Waiting: e.waitingCount,
 		CachedTokens: e.cache.len() * prefix.BlockTokens, Cold: e.cold, At: now,
 	})
-	visible := 0
+	newestVisible := 0
 	for i, report := range e.reports {
 		if now.Sub(report.At) >= e.options.ReportLag {
-			visible = i
+			newestVisible = i
 		}
 	}
-	e.reports = e.reports[visible:]
+	e.reports = e.reports[newestVisible:]
 	return e.reports[0]
 }
 
@@ -178,30 +180,30 @@
 	return append([]ports.Order(nil), e.orders...)
 }
 
-// acquire waits for a slot. In cold start with ColdLimit generations it crashes
-// the engine and fails.
+// acquire waits for a slot. If ColdLimit generations are already running in cold
+// start, it crashes the engine and fails.
 func (e *Engine) acquire(g *generation) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cold && e.coldRunning >= e.options.ColdLimit {
-		e.overloads++
+	if e.cold && e.coldRunningCount >= e.options.ColdLimit {
+		e.overloadCount++
 		e.crash()
 		return errCrashed
 	}
-	e.waiting++
-	for e.running >= e.options.FullLimit && g.failure() == nil {
+	e.waitingCount++
+	for e.runningCount >= e.options.FullLimit && g.failure() == nil {
 		e.slotFreed.Wait()
 	}
-	e.waiting--
+	e.waitingCount--
 	if err := g.failure(); err != nil {
 		return err
 	}
-	e.running++
+	e.runningCount++
 	g.bootID = e.bootID
 	g.epochAtStart = e.coldEpoch
 	if e.cold {
 		g.cold = true
-		e.coldRunning++
+		e.coldRunningCount++
 	}
 	return nil
 }
@@ -213,9 +215,9 @@
 	if g.bootID != e.bootID {
 		return
 	}
-	e.running--
+	e.runningCount--
 	if g.cold && g.epochAtStart == e.coldEpoch {
-		e.coldRunning--
+		e.coldRunningCount--
 	}
 	e.slotFreed.Signal()
 	if !completed {
--- a/server/standin/engine/stream_faults.go
+++ b/server/standin/engine/stream_faults.go
@@ -10,8 +10,8 @@
 
 var errCutByFault = errors.New("stream cut by an injected fault")
 
-// StreamFaults describes faults in the pieces that the engine sends. Pieces are
-// counted over all streams; zero means never.
+// StreamFaults describes faults to inject into the pieces that the engine sends.
+// Each fault affects every n-th piece, counted over all streams; zero disables it.
 type StreamFaults struct {
 	CutEvery       int `json:"cut_every"`       // Cut the connection at every n-th piece.
 	DuplicateEvery int `json:"duplicate_every"` // Send every n-th piece twice.
@@ -19,19 +19,19 @@
 	ForeignEvery   int `json:"foreign_every"`   // Send a piece of another answer in place of every n-th.
 }
 
-// SetStreamFaults replaces the faults. Streams that have already started keep
-// theirs.
+// SetStreamFaults replaces the stream faults. Streams that have already started
+// keep the faults that they started with.
 func (e *Engine) SetStreamFaults(faults StreamFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.streamFaults = faults
 }
 
-// Running returns the number of generations that hold a slot.
-func (e *Engine) Running() int {
+// RunningGenerations returns the number of generations that hold a slot.
+func (e *Engine) RunningGenerations() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.running
+	return e.runningCount
 }
 
 func (e *Engine) serveStreamFaults(w http.ResponseWriter, r *http.Request) {
@@ -43,7 +43,7 @@
 	e.SetStreamFaults(faults)
 }
 
-func isNth(count, every int) bool { return every > 0 && count%every == 0 }
+func isEveryNth(count, every int) bool { return every > 0 && count%every == 0 }
 
 // withStreamFaults returns a function that applies the current faults to write.
 func (e *Engine) withStreamFaults(write func(stream.Piece) error) func(stream.Piece) error {
@@ -53,34 +53,34 @@
 	if faults == (StreamFaults{}) {
 		return write
 	}
-	sender := &faultyWriter{engine: e, faults: faults, write: write}
-	return sender.writePiece
+	writer := &faultyWriter{engine: e, faults: faults, write: write}
+	return writer.writePiece
 }
 
 // faultyWriter applies faults to one stream.
 type faultyWriter struct {
-	engine  *Engine
-	faults  StreamFaults
-	write   func(stream.Piece) error
-	delayed *stream.Piece // Piece that is held back until after its successor.
+	engine       *Engine
+	faults       StreamFaults
+	write        func(stream.Piece) error
+	delayedPiece *stream.Piece // Piece that is held back until after its successor.
 }
 
 func (s *faultyWriter) writePiece(piece stream.Piece) error {
-	count := int(s.engine.sentPieces.Add(1))
-	if isNth(count, s.faults.CutEvery) {
+	count := int(s.engine.sentPieceCount.Add(1))
+	if isEveryNth(count, s.faults.CutEvery) {
 		return errCutByFault
 	}
-	if isNth(count, s.faults.ForeignEvery) {
+	if isEveryNth(count, s.faults.ForeignEvery) {
 		return s.write(stream.Piece{ID: "foreign", From: piece.From, Tokens: piece.Tokens, Text: "foreign "})
 	}
-	if isNth(count, s.faults.SwapEvery) && s.delayed == nil && !piece.End {
-		s.delayed = &piece
+	if isEveryNth(count, s.faults.SwapEvery) && s.delayedPiece == nil && !piece.End {
+		s.delayedPiece = &piece
 		return nil
 	}
 	if err := s.write(piece); err != nil {
 		return err
 	}
-	if isNth(count, s.faults.DuplicateEvery) {
+	if isEveryNth(count, s.faults.DuplicateEvery) {
 		if err := s.write(piece); err != nil {
 			return err
 		}
@@ -89,10 +89,10 @@
 }
 
 func (s *faultyWriter) writeDelayed() error {
-	if s.delayed == nil {
+	if s.delayedPiece == nil {
 		return nil
 	}
-	delayed := *s.delayed
-	s.delayed = nil
-	return s.write(delayed)
+	delayedPiece := *s.delayedPiece
+	s.delayedPiece = nil
+	return s.write(delayedPiece)
 }
--- a/server/standin/ranks/ranks.go
+++ b/server/standin/ranks/ranks.go
@@ -19,7 +19,7 @@
 	"persimmonwind.dev/server/standin/engine"
 )
 
-// Options configure a group's behaviour.
+// Options configure a simulated group.
 type Options struct {
 	Shape       planner.Shape
 	StepTime    time.Duration
@@ -31,32 +31,33 @@
 	return Options{Shape: planner.Shape{Ranks: 4, Slots: 5, Experts: 16, Layers: 2}, StepTime: 5 * time.Millisecond}
 }
 
-// rank is the engine of one rank.
+// rank is the simulated engine of one rank of the group.
 type rank struct {
 	state   expertmap.EngineState
 	fence   uint64
 	stalled bool
-	engine  *engine.Engine // Handles everything but the expert map.
+	engine  *engine.Engine // Serves all requests except those about the expert map.
 }
 
-// Group is one stand-in group.
+// Group simulates a model group whose ranks run every step together and use an
+// expert map.
 type Group struct {
 	options Options
 
-	mu         sync.Mutex
-	ranks      []rank
-	popularity [][]float64
-	generation int // Times that all ranks were without a map.
-	oracle     Oracle
-	mapByStep  map[uint64]expertmap.Change // Map used by each step of this generation.
+	mu           sync.Mutex
+	ranks        []rank
+	popularity   [][]float64
+	lostMapCount int // Number of times that a restart left all ranks without a map.
+	oracle       Oracle
+	mapByStep    map[uint64]expertmap.Change // Map used by each step since all ranks were last without a map.
 }
 
-// Oracle holds the observations of the group's steps.
+// Oracle holds what the test oracle observed of the group's steps.
 type Oracle struct {
-	Steps      int              `json:"steps"`      // Steps of all ranks together.
-	Violations []string         `json:"violations"` // Steps in which ranks used different maps.
-	Maps       []string         `json:"maps"`       // Maps in the order of their first use.
-	InForce    expertmap.Change `json:"in_force"`   // Map of rank 0.
+	Steps      int              `json:"steps"`      // Number of steps run, summed over all ranks.
+	Violations []string         `json:"violations"` // One message for each step of a rank whose map differs from that of another rank at the same step.
+	Maps       []string         `json:"maps"`       // IDs of the maps that the steps used, in order and without consecutive repeats.
+	InForce    expertmap.Change `json:"in_force"`   // Map in force at rank 0.
 }
 
 // New returns a group whose engines have no map.
@@ -76,7 +77,7 @@
 	return g
 }
 
-// Run runs steps until ctx ends.
+// Run runs steps of the ranks until ctx ends.
 func (g *Group) Run(ctx context.Context) {
 	ticker := time.NewTicker(g.options.StepTime)
 	defer ticker.Stop()
@@ -137,7 +138,7 @@
 			return
 		}
 	}
-	g.generation++
+	g.lostMapCount++
 	g.mapByStep = map[uint64]expertmap.Change{}
 }
 
@@ -157,8 +158,8 @@
 	return oracle
 }
 
-// order applies the order to the rank. It returns false if the engine refuses the
-// order's fencing number.
+// order applies the order to the rank. It returns false if the rank's engine
+// refuses the order because its fencing number is outdated.
 func (g *Group) order(i int, order ports.RankOrder) (expertmap.EngineState, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/server/standin/service/service.go
+++ b/server/standin/service/service.go
@@ -15,7 +15,7 @@
 	"persimmonwind.dev/server/standin/fault"
 )
 
-// Run is one execution of an operation.
+// Run records one execution of an operation.
 type Run struct {
 	RunID     string `json:"run_id"`
 	RequestID string `json:"request_id"`
@@ -24,7 +24,7 @@
 	Body      string `json:"body"`
 }
 
-// Service records and answers calls.
+// Service simulates a plain service: it records and answers calls.
 type Service struct {
 	Faults   fault.Injector
 	WorkTime time.Duration // Time that each run takes.
--- a/server/wire/wire.go
+++ b/server/wire/wire.go
@@ -13,10 +13,11 @@
 	"persimmonwind.dev/policy/result"
 )
 
-// HeaderWork carries a Work on every request from an entry to an agent.
+// HeaderWork carries an encoded Work on every request from an entry to an agent.
 const HeaderWork = "Persimmonwind-Work"
 
-// HeaderRequestID carries Work.AnswerID on the agent's answer.
+// HeaderRequestID carries Work.AnswerID on the agent's answer, which identifies
+// the attempt that the answer belongs to.
 const HeaderRequestID = "Persimmonwind-Request-Id"
 
 // HeaderRevision carries the sender's configuration revision on the agent's
@@ -35,7 +36,7 @@
 // Stamp identifies the sender of a message. Every message between processes
 // carries one.
 type Stamp struct {
-	From       string // Instance ID.
+	From       string // Instance ID of the sender.
 	Role       string
 	DataCentre string
 	Revision   uint64 // Configuration revision in force at the sender.
@@ -45,7 +46,7 @@
 type Work struct {
 	Stamp      Stamp     `json:"stamp"`
 	RequestID  string    `json:"request_id"`
-	Attempt    int       `json:"attempt"`
+	Attempt    int       `json:"attempt"` // Number of the attempt within the request; the first is 1.
 	Org        string    `json:"org"`
 	Priority   int       `json:"priority"`
 	Deadline   time.Time `json:"deadline"`
@@ -53,7 +54,7 @@
 	Operation  string    `json:"operation,omitempty"`
 	Idempotent bool      `json:"idempotent"`
 	Key        string    `json:"key,omitempty"`   // Key of the table row that holds the idempotency key; see policy/once.
-	Epoch      uint64    `json:"epoch,omitempty"` // Epoch of that row.
+	Epoch      uint64    `json:"epoch,omitempty"` // Epoch of the table row when the attempt was sent.
 }
 
 // AnswerID returns the ID of this attempt's answer. It differs between attempts,
@@ -109,8 +110,8 @@
 	Stamp   Stamp
 	Model   string
 	Adapter string
-	Tokens  int      // Length of the prompt.
-	Blocks  int      // Full blocks of the prompt.
+	Tokens  int      // Length of the prompt in tokens.
+	Blocks  int      // Number of full blocks in the prompt.
 	Prefix  []uint64 // Sample of the chained hashes of the prompt's blocks; see prefix.Sample.
 }
 
@@ -118,12 +119,12 @@
 type ProbeReply struct {
 	Stamp          Stamp
 	BackendServer  string
-	Headroom       int // Requests that it could admit now.
+	Headroom       int // Free slots of the agent minus its queued requests; may be negative.
 	Queued         int
 	Running        int
-	Cold           bool
+	Cold           bool        // Whether the agent considers the backend server to be in cold start.
 	Refuses        result.Code // OK, or the reason why it accepts no new work.
 	RetryAfterMS   int64
-	CachedBlocks   int
+	CachedBlocks   int     // Leading blocks of the prompt that the backend server has cached.
 	ExpectedWaitMS float64 // Expected time to first token.
 }
