--- a/ctl/cmd/persimmonctl/load.go
+++ b/ctl/cmd/persimmonctl/load.go
@@ -127,7 +127,7 @@
 func printProgress(w io.Writer, p load.Progress) {
 	rate := float64(p.Tokens) / max(p.Elapsed.Seconds(), 1)
 	fmt.Fprintf(w, "\r%5.1f s  arrived %d  in flight %d  complete %d  refused %d  other %d  %.0f tokens/s   ",
-		p.Elapsed.Seconds(), p.Arrived, p.InFlight, p.Whole, p.Refused, p.Other, rate)
+		p.Elapsed.Seconds(), p.Arrived, p.InFlight, p.Completed, p.Refused, p.Other, rate)
 }
 
 func writeLoadResult(out io.Writer, flags loadFlags, result load.Result) error {
--- a/ctl/load/progress.go
+++ b/ctl/load/progress.go
@@ -8,13 +8,13 @@
 
 // Progress is a snapshot of the counters of a running load test.
 type Progress struct {
-	Elapsed  time.Duration
-	Arrived  int
-	InFlight int
-	Whole    int
-	Refused  int
-	Other    int
-	Tokens   int
+	Elapsed   time.Duration
+	Arrived   int
+	InFlight  int
+	Completed int
+	Refused   int
+	Other     int
+	Tokens    int
 }
 
 const progressInterval = 500 * time.Millisecond
@@ -52,7 +52,7 @@
 func (r *runner) progress(elapsed time.Duration) Progress {
 	return Progress{
 		Elapsed: elapsed, Arrived: int(r.totals.arrived.Load()), InFlight: int(r.inFlight.Load()),
-		Whole: int(r.totals.whole.Load()), Refused: int(r.totals.refused.Load()),
+		Completed: int(r.totals.whole.Load()), Refused: int(r.totals.refused.Load()),
 		Other: int(r.totals.other.Load()), Tokens: int(r.totals.tokens.Load()),
 	}
 }
