--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -10,8 +10,8 @@
 
 // EngineConfig holds the parameters of one simulated engine.
 type EngineConfig struct {
-	Full              int           // Number of concurrent requests that the warm engine can handle.
-	Cold              int           // Number of concurrent requests, started in cold start, that the cold engine can handle.
+	Full              int           // Maximum number of concurrent requests of the warm engine.
+	Cold              int           // Maximum number of concurrent requests started in the current cold start; one more makes the engine crash and reboot.
 	WarmUpRequests    int           // Number of completed requests after which the engine is warm.
 	PrefillTime       time.Duration // Prefill time per uncached prompt token.
 	StepTime          time.Duration // Time of one decode step, which yields one token.
--- a/ctl/experiment/retries/retries.go
+++ b/ctl/experiment/retries/retries.go
@@ -37,8 +37,8 @@
 		table.Rows = append(table.Rows, []string{
 			p.name, fmt.Sprintf("%.3f", stopped.attemptsPerRequest()),
 			fmt.Sprintf("%.1f", 100*float64(stopped.completed)/float64(baseline.completed)),
-			fmt.Sprintf("%.1f", 100*float64(stopped.refused)/float64(stopped.requests)),
-			fmt.Sprint(stopped.broken), fmt.Sprint(stopped.slowestRefusal),
+			fmt.Sprintf("%.1f", 100*float64(stopped.refusals)/float64(stopped.requests)),
+			fmt.Sprint(stopped.truncatedAnswers), fmt.Sprint(stopped.slowestRefusal),
 		})
 	}
 	report.Tables = []experiment.Table{table}
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -17,7 +17,7 @@
 	entries           = 6
 	requestsPerSecond = 16.0             // Requests per second at each entry; the servers can handle about 105 in total.
 	stopAt            = 60 * time.Second // Time at which half of the servers stop.
-	settleTime        = 5 * time.Second  // Time from the stop until goodput is counted.
+	settleTime        = 5 * time.Second  // Time between stopAt and the start of the goodput measurement.
 	runLength         = 120 * time.Second
 	roundTripTime     = time.Millisecond
 	requestTimeout    = 10 * time.Second
@@ -54,19 +54,20 @@
 	return b.Withdraw()
 }
 
-// runStats holds the results of a run, for the requests that arrive after the stop.
+// runStats holds the results of a run. Unless stated otherwise, it counts the requests
+// that arrive between stopAt and requestTimeout before the end of the run.
 type runStats struct {
-	requests, attempts, refused, broken int
-	refusalsWithoutRetryAfter           int // Refusals without a RetryAfter.
-	completed                           int // Requests completed more than settleTime after the stop, including those that arrived before it.
-	slowestRefusal                      time.Duration
+	requests, attempts, refusals, truncatedAnswers int
+	refusalsWithoutRetryAfter                      int // Refusals whose error has no RetryAfter.
+	completed                                      int // Requests completed settleTime or more after stopAt, including those that arrived before stopAt.
+	slowestRefusal                                 time.Duration
 }
 
 func (s *runStats) add(other runStats) {
 	s.requests += other.requests
 	s.attempts += other.attempts
-	s.refused += other.refused
-	s.broken += other.broken
+	s.refusals += other.refusals
+	s.truncatedAnswers += other.truncatedAnswers
 	s.refusalsWithoutRetryAfter += other.refusalsWithoutRetryAfter
 	s.completed += other.completed
 	s.slowestRefusal = max(s.slowestRefusal, other.slowestRefusal)
@@ -199,10 +200,10 @@
 	}
 	stats := &q.runner.stats
 	if err.Code == result.CutAnswer {
-		stats.broken++
+		stats.truncatedAnswers++
 		return
 	}
-	stats.refused++
+	stats.refusals++
 	if retry.FinalError(err, q.runner.random.Uint64()).RetryAfter <= 0 {
 		stats.refusalsWithoutRetryAfter++
 	}
--- a/ctl/experiment/shares/run.go
+++ b/ctl/experiment/shares/run.go
@@ -53,13 +53,13 @@
 
 // runner simulates one run.
 type runner struct {
-	clock     *model.Clock
-	random    *rand.Rand
-	names     []string
-	homes     []*share.Home           // The accounts that each entry keeps for the organisations whose home it is.
-	locals    map[[2]int]*share.Local // The leases of each entry, by indices of entry and organisation.
-	lostEntry int                     // Index of the entry that has been lost; -1 for none.
-	stats     runStats
+	clock       *model.Clock
+	random      *rand.Rand
+	names       []string
+	homes       []*share.Home           // Rate tokens and granted leases of the organisations for which an entry is the home entry, by the index of the entry.
+	localShares map[[2]int]*share.Local // Leases that each entry has from home entries, by the indices of the entry and the organisation.
+	lostEntry   int                     // Index of the entry that has been lost; -1 for none.
+	stats       runStats
 }
 
 // run sends every organisation's requests to random entries. With loseHome, it
@@ -68,7 +68,7 @@
 func run(seed uint64, sz size, loseHome bool) runStats {
 	r := &runner{
 		clock: &model.Clock{}, random: rand.New(rand.NewPCG(seed, 31)),
-		locals: map[[2]int]*share.Local{}, lostEntry: -1,
+		localShares: map[[2]int]*share.Local{}, lostEntry: -1,
 	}
 	for entry := range sz.entries {
 		r.names = append(r.names, fmt.Sprintf("entry-%d", entry))
@@ -138,10 +138,10 @@
 
 func (r *runner) local(entry, index int) *share.Local {
 	key := [2]int{entry, index}
-	if r.locals[key] == nil {
-		r.locals[key] = &share.Local{}
+	if r.localShares[key] == nil {
+		r.localShares[key] = &share.Local{}
 	}
-	return r.locals[key]
+	return r.localShares[key]
 }
 
 func (r *runner) request(index int, o *org) {
@@ -202,7 +202,7 @@
 // concurrency slots that the requests at each entry occupy.
 func (r *runner) renew() {
 	now := r.clock.Time()
-	for key, local := range r.locals {
+	for key, local := range r.localShares {
 		o := r.stats.orgs[key[1]]
 		if key[0] == r.lostEntry || o.home == r.lostEntry || !local.NeedsRenewal(now) {
 			continue
--- a/ctl/experiment/shares/shares.go
+++ b/ctl/experiment/shares/shares.go
@@ -48,7 +48,7 @@
 func (s runStats) summary() summary {
 	seconds := (runLength - warmUp).Seconds()
 	result := summary{minBusyRate: math.Inf(1)}
-	var overAdmitted, overLimits, underAdmitted, underRequests, meanInUse, slots, requests float64
+	var admittedOverLimit, overLimits, admittedWithinLimit, requestsWithinLimit, meanInUse, slots, requests float64
 	for _, o := range s.orgs {
 		requests += float64(o.requests)
 		ratio := float64(o.admitted) / (o.limits.Rate * seconds)
@@ -57,7 +57,7 @@
 		}
 		switch {
 		case o.exceedsRate:
-			overAdmitted += float64(o.admitted)
+			admittedOverLimit += float64(o.admitted)
 			overLimits += o.limits.Rate * seconds
 			if o.limits.Rate >= minBusyLimit {
 				result.minBusyRate, result.maxBusyRate = min(result.minBusyRate, ratio), max(result.maxBusyRate, ratio)
@@ -69,11 +69,11 @@
 				slots += float64(o.limits.Concurrency)
 			}
 		default:
-			underAdmitted += float64(o.admitted)
-			underRequests += float64(o.requests)
+			admittedWithinLimit += float64(o.admitted)
+			requestsWithinLimit += float64(o.requests)
 		}
 	}
-	result.overLimitRate, result.underLimitAdmitted = overAdmitted/overLimits, underAdmitted/max(1, underRequests)
+	result.overLimitRate, result.underLimitAdmitted = admittedOverLimit/overLimits, admittedWithinLimit/max(1, requestsWithinLimit)
 	result.slots = meanInUse / max(1, slots)
 	result.leaseRequests = float64(s.leaseRequests) / requests * seconds / runLength.Seconds()
 	return result
--- a/ctl/load/answer_trace.go
+++ b/ctl/load/answer_trace.go
@@ -22,18 +22,18 @@
 
 // text adds one part of the answer. It counts tokens by their spaces, because
 // each token of the stand-in engine ends with one.
-func (o *answerTrace) text(part []byte) {
+func (t *answerTrace) text(part []byte) {
 	if len(part) == 0 {
 		return
 	}
 	now := time.Now()
 	tokens := bytes.Count(part, []byte{' '})
-	if o.first.IsZero() {
-		o.first = now
+	if t.first.IsZero() {
+		t.first = now
 	} else {
-		o.gaps = append(o.gaps, gap{duration: now.Sub(o.last), tokens: tokens})
+		t.gaps = append(t.gaps, gap{duration: now.Sub(t.last), tokens: tokens})
 	}
-	o.last = now
-	o.tokens += tokens
-	o.content = append(o.content, part...)
+	t.last = now
+	t.tokens += tokens
+	t.content = append(t.content, part...)
 }
--- a/ctl/load/progress.go
+++ b/ctl/load/progress.go
@@ -21,7 +21,7 @@
 
 // totals counts all requests so far, including those of the warm-up.
 type totals struct {
-	arrived, whole, refused, other, tokens atomic.Int64
+	arrived, completed, refused, other, tokens atomic.Int64
 }
 
 // startProgressReports calls report every progressInterval until the returned
@@ -52,7 +52,7 @@
 func (r *runner) progress(elapsed time.Duration) Progress {
 	return Progress{
 		Elapsed: elapsed, Arrived: int(r.totals.arrived.Load()), InFlight: int(r.inFlight.Load()),
-		Completed: int(r.totals.whole.Load()), Refused: int(r.totals.refused.Load()),
+		Completed: int(r.totals.completed.Load()), Refused: int(r.totals.refused.Load()),
 		Other: int(r.totals.other.Load()), Tokens: int(r.totals.tokens.Load()),
 	}
 }
--- a/ctl/load/recorder.go
+++ b/ctl/load/recorder.go
@@ -34,7 +34,7 @@
 
 type latencyHistogram struct{ histogram *hdrhistogram.Histogram }
 
-func newLatency() latencyHistogram {
+func newLatencyHistogram() latencyHistogram {
 	return latencyHistogram{histogram: hdrhistogram.New(lowestMicros, highestMicros, significantDigits)}
 }
 
@@ -80,8 +80,8 @@
 	return &recorder{
 		outcomes: map[Outcome]int{}, codes: map[result.Code]int{}, retriedCodes: map[result.Code]int{},
 		examples:   map[Outcome]string{},
-		firstToken: newLatency(), betweenTokens: newLatency(), betweenEvents: newLatency(),
-		wholeChat: newLatency(), wholeCall: newLatency(), startDelay: newLatency(),
+		firstToken: newLatencyHistogram(), betweenTokens: newLatencyHistogram(), betweenEvents: newLatencyHistogram(),
+		wholeChat: newLatencyHistogram(), wholeCall: newLatencyHistogram(), startDelay: newLatencyHistogram(),
 		timeline: newTimeline(),
 	}
 }
--- a/ctl/load/run.go
+++ b/ctl/load/run.go
@@ -194,7 +194,7 @@
 func (r *runner) finish(record requestRecord, dest *recorder) {
 	switch {
 	case record.failure == nil:
-		r.totals.whole.Add(1)
+		r.totals.completed.Add(1)
 	case record.failure.kind == Refused:
 		r.totals.refused.Add(1)
 	default:
@@ -206,17 +206,17 @@
 
 func (r *runner) result() Result {
 	period := r.options.Duration - r.options.WarmUp
-	measured := Result{
+	runResult := Result{
 		Seed: r.options.Seed, Arrivals: r.options.Arrivals, Workload: r.options.Workload, Duration: period.Seconds(),
 	}
 	if len(r.entries) > 0 {
-		measured.Entry = r.entryRecorder.pathResult(period)
+		runResult.Entry = r.entryRecorder.pathResult(period)
 	}
 	if len(r.engines) > 0 {
-		measured.Direct = r.directRecorder.pathResult(period)
+		runResult.Direct = r.directRecorder.pathResult(period)
 	}
-	if measured.Entry != nil && measured.Direct != nil {
-		measured.AddedLatency = addedLatency(measured.Entry, measured.Direct)
+	if runResult.Entry != nil && runResult.Direct != nil {
+		runResult.AddedLatency = addedLatency(runResult.Entry, runResult.Direct)
 	}
-	return measured
+	return runResult
 }
--- a/ctl/load/run_test.go
+++ b/ctl/load/run_test.go
@@ -60,30 +60,30 @@
 }
 
 func runLoad(options Options) *PathResult {
-	measured, err := Run(context.Background(), options, nil)
+	loadResult, err := Run(context.Background(), options, nil)
 	So(err, ShouldBeNil)
-	return measured.Entry
+	return loadResult.Entry
 }
 
 func TestRun(t *testing.T) {
 	Convey("Complete answers are counted as whole", t, func() {
-		side := runLoad(testOptions(fakeEntry(t, nil)))
-		So(side.Outcomes, ShouldResemble, map[Outcome]int{Whole: 19})
-		So(side.FirstToken.Count, ShouldEqual, 19)
+		entryResult := runLoad(testOptions(fakeEntry(t, nil)))
+		So(entryResult.Outcomes, ShouldResemble, map[Outcome]int{Whole: 19})
+		So(entryResult.FirstToken.Count, ShouldEqual, 19)
 	})
 
 	Convey("A well-formed answer that belongs to another request is counted as wrong", t, func() {
-		side := runLoad(testOptions(fakeEntry(t, func(w http.ResponseWriter, _ *http.Request, text string) bool {
+		entryResult := runLoad(testOptions(fakeEntry(t, func(w http.ResponseWriter, _ *http.Request, text string) bool {
 			writeChat(w, text+"x", 5)
 			fmt.Fprint(w, "data: [DONE]\n\n")
 			return true
 		})))
-		So(side.Outcomes, ShouldResemble, map[Outcome]int{Wrong: 19})
+		So(entryResult.Outcomes, ShouldResemble, map[Outcome]int{Wrong: 19})
 	})
 
 	Convey("An answer without its end marker is counted as cut, one with an error event as failed", t, func() {
 		var count atomic.Int64
-		side := runLoad(testOptions(fakeEntry(t, func(w http.ResponseWriter, _ *http.Request, text string) bool {
+		entryResult := runLoad(testOptions(fakeEntry(t, func(w http.ResponseWriter, _ *http.Request, text string) bool {
 			writeChat(w, text, 2)
 			if count.Add(1) == 1 {
 				body, _ := json.Marshal(openai.ErrorOf(&result.Error{Code: result.CutAnswer}))
@@ -91,8 +91,8 @@
 			}
 			return true
 		})))
-		So(side.Outcomes, ShouldResemble, map[Outcome]int{Cut: 18, Failed: 1})
-		So(side.Codes, ShouldResemble, map[string]int{"3002 cut_answer": 1})
+		So(entryResult.Outcomes, ShouldResemble, map[Outcome]int{Cut: 18, Failed: 1})
+		So(entryResult.Codes, ShouldResemble, map[string]int{"3002 cut_answer": 1})
 	})
 
 	Convey("A refusal is counted by its code, and with retries it is retried after its Retry-After time", t, func() {
@@ -118,26 +118,26 @@
 		So(runLoad(options).Codes, ShouldResemble, map[string]int{"2002 overloaded": 19})
 		clear(refused)
 		options.MaxRetries = 1
-		side := runLoad(options)
-		So(side.Outcomes, ShouldResemble, map[Outcome]int{Whole: 19})
-		So(side.RetriedCodes, ShouldResemble, map[string]int{"2002 overloaded": 19})
-		So(side.Attempts, ShouldEqual, 38)
+		entryResult := runLoad(options)
+		So(entryResult.Outcomes, ShouldResemble, map[Outcome]int{Whole: 19})
+		So(entryResult.RetriedCodes, ShouldResemble, map[string]int{"2002 overloaded": 19})
+		So(entryResult.Attempts, ShouldEqual, 38)
 		So(early, ShouldEqual, 0)
-		So(side.FirstToken.P50, ShouldBeGreaterThanOrEqualTo, toMilliseconds(wait))
+		So(entryResult.FirstToken.P50, ShouldBeGreaterThanOrEqualTo, toMilliseconds(wait))
 	})
 
 	Convey("Arrivals do not wait for answers: all requests are in flight at once at a stalled entry", t, func() {
 		var waiting atomic.Int64
 		release := make(chan struct{})
-		side := runLoad(testOptions(fakeEntry(t, func(http.ResponseWriter, *http.Request, string) bool {
+		entryResult := runLoad(testOptions(fakeEntry(t, func(http.ResponseWriter, *http.Request, string) bool {
 			if waiting.Add(1) == 19 {
 				close(release)
 			}
 			<-release
 			return false
 		})))
-		So(side.Outcomes[Whole], ShouldEqual, 19)
-		So(side.FirstToken.Max, ShouldBeGreaterThan, 150)
+		So(entryResult.Outcomes[Whole], ShouldEqual, 19)
+		So(entryResult.FirstToken.Max, ShouldBeGreaterThan, 150)
 	})
 
 	Convey("An arrival beyond the in-flight limit is counted as dropped", t, func() {
