--- a/ctl/experiment/choice/choice.go
+++ b/ctl/experiment/choice/choice.go
@@ -33,19 +33,19 @@
 
 var policies = []func(*fleet) policy{
 	func(f *fleet) policy { return randomPolicy{f} },
-	func(f *fleet) policy { return newLeastLoaded(f) },
-	func(f *fleet) policy { return twoChoices{f} },
-	func(f *fleet) policy { return candidateProbes{f} },
+	func(f *fleet) policy { return newLeastLoadedPolicy(f) },
+	func(f *fleet) policy { return twoChoicesPolicy{f} },
+	func(f *fleet) policy { return candidateProbesPolicy{f} },
 }
 
 // Run compares the policies.
 func Run(ctx context.Context, options experiment.Options) (experiment.Report, error) {
 	report := experiment.Report{Title: "Choice of backend server"}
-	chosen := sizes
+	runSizes := sizes
 	if options.Quick {
-		chosen = quickSizes
+		runSizes = quickSizes
 	}
-	for _, sz := range chosen {
+	for _, sz := range runSizes {
 		plot := experiment.Plot{
 			Name: "choice-" + fmt.Sprint(sz.servers), Title: "Time to first token, drift, " + sz.name,
 			XLabel: "quantile (percent)", YLabel: "time to first token (ms)",
@@ -92,7 +92,7 @@
 	return []string{
 		name, format(s.quantile(0.5)), format(s.quantile(0.95)), format(s.quantile(0.99)),
 		format(100 * float64(s.cachedTokens) / float64(max(1, s.promptTokens))), fmt.Sprintf("%.2f", s.loadSpread()),
-		format(float64(s.controlBytes) / float64(max(1, s.requests))), format(100 * float64(s.refused) / float64(max(1, s.requests))),
+		format(float64(s.controlBytes) / float64(max(1, s.requests))), format(100 * float64(s.refusals) / float64(max(1, s.requests))),
 	}
 }
 
--- a/ctl/experiment/choice/choice_test.go
+++ b/ctl/experiment/choice/choice_test.go
@@ -13,24 +13,24 @@
 // first token is no higher.
 func TestChoosePolicyBeatsBaselines(t *testing.T) {
 	options := experiment.Options{Seed: 1, Seeds: 1}
-	var all []runStats
+	var statsByPolicy []runStats
 	for _, build := range policies {
 		total, name := runSeeds(options, quickSizes[0], scenarios[0], build)
 		t.Log(strings.Join(total.row(name), " | "))
-		all = append(all, total)
+		statsByPolicy = append(statsByPolicy, total)
 	}
-	chosen := all[len(all)-1]
-	for index, other := range all[:len(all)-1] {
-		if chosen.quantile(0.95) > other.quantile(0.95) {
-			t.Errorf("p95 %.0f ms, baseline %d %.0f ms", chosen.quantile(0.95), index, other.quantile(0.95))
+	choosePolicy := statsByPolicy[len(statsByPolicy)-1]
+	for index, other := range statsByPolicy[:len(statsByPolicy)-1] {
+		if choosePolicy.quantile(0.95) > other.quantile(0.95) {
+			t.Errorf("p95 %.0f ms, baseline %d %.0f ms", choosePolicy.quantile(0.95), index, other.quantile(0.95))
 		}
-		if chosen.cachedTokens <= other.cachedTokens {
-			t.Errorf("%d cached tokens, baseline %d %d", chosen.cachedTokens, index, other.cachedTokens)
+		if choosePolicy.cachedTokens <= other.cachedTokens {
+			t.Errorf("%d cached tokens, baseline %d %d", choosePolicy.cachedTokens, index, other.cachedTokens)
 		}
 	}
 }
 
-// BenchmarkReport prints the whole report.
+// BenchmarkReport prints the full report.
 func BenchmarkReport(b *testing.B) {
 	for range b.N {
 		report, err := Run(b.Context(), experiment.Options{Seed: 1, Seeds: 3})
--- a/ctl/experiment/choice/policies.go
+++ b/ctl/experiment/choice/policies.go
@@ -60,15 +60,15 @@
 	return decision{server: untried[p.random.IntN(len(untried))]}, true
 }
 
-// leastLoaded chooses the server with the lowest load according to the reports that
+// leastLoadedPolicy chooses the server with the lowest load according to the reports that
 // every agent sends to every entry once per reportInterval.
-type leastLoaded struct {
+type leastLoadedPolicy struct {
 	*fleet
 	loads []int
 }
 
-func newLeastLoaded(f *fleet) *leastLoaded {
-	p := &leastLoaded{fleet: f, loads: make([]int, len(f.servers))}
+func newLeastLoadedPolicy(f *fleet) *leastLoadedPolicy {
+	p := &leastLoadedPolicy{fleet: f, loads: make([]int, len(f.servers))}
 	f.clock.Every(0, reportInterval, func() {
 		for index, server := range f.servers {
 			p.loads[index] = server.Running() + server.Queued()
@@ -77,9 +77,9 @@
 	return p
 }
 
-func (*leastLoaded) name() string { return "least loaded, stale reports" }
+func (*leastLoadedPolicy) name() string { return "least loaded, stale reports" }
 
-func (p *leastLoaded) choose(_ model.Work, excluded map[int]bool) (decision, bool) {
+func (p *leastLoadedPolicy) choose(_ model.Work, excluded map[int]bool) (decision, bool) {
 	untried := p.untried(excluded)
 	best, ties := -1, 0
 	for _, index := range untried {
@@ -97,12 +97,12 @@
 	return decision{server: best, controlBytes: int(bytesPerSecond / p.rate)}, best >= 0
 }
 
-// twoChoices probes two random agents and chooses the less loaded server.
-type twoChoices struct{ *fleet }
+// twoChoicesPolicy probes two random agents and chooses the less loaded server.
+type twoChoicesPolicy struct{ *fleet }
 
-func (twoChoices) name() string { return "power of two" }
+func (twoChoicesPolicy) name() string { return "power of two" }
 
-func (p twoChoices) choose(work model.Work, excluded map[int]bool) (decision, bool) {
+func (p twoChoicesPolicy) choose(work model.Work, excluded map[int]bool) (decision, bool) {
 	untried := p.untried(excluded)
 	if len(untried) == 0 {
 		return decision{}, false
@@ -114,17 +114,17 @@
 	return decision{server: one, delay: roundTripTime, controlBytes: 2 * probeBytes(0)}, true
 }
 
-func (p twoChoices) load(index int) int {
+func (p twoChoicesPolicy) load(index int) int {
 	return p.servers[index].Running() + p.servers[index].Queued()
 }
 
-// candidateProbes probes the few agents that choose.Candidates selects and chooses
+// candidateProbesPolicy probes the few agents that choose.Candidates selects and chooses
 // by choose.Best.
-type candidateProbes struct{ *fleet }
+type candidateProbesPolicy struct{ *fleet }
 
-func (candidateProbes) name() string { return "persimmonwind" }
+func (candidateProbesPolicy) name() string { return "persimmonwind" }
 
-func (p candidateProbes) choose(work model.Work, excluded map[int]bool) (decision, bool) {
+func (p candidateProbesPolicy) choose(work model.Work, excluded map[int]bool) (decision, bool) {
 	untried := p.untried(excluded)
 	names := make([]string, len(untried))
 	for index, server := range untried {
--- a/ctl/experiment/choice/run.go
+++ b/ctl/experiment/choice/run.go
@@ -44,7 +44,7 @@
 	promptTokens int       // Prompt tokens of all requests that got a first token.
 	cachedTokens int       // Those of promptTokens that were in the engine's prefix cache.
 	requests     int
-	refused      int
+	refusals     int
 	controlBytes int       // Bytes of probes and load reports.
 	meanLoad     []float64 // Mean number of running and queued requests of each server.
 }
@@ -128,7 +128,7 @@
 	var attempt func(number int)
 	countRefusal := func() {
 		if counted {
-			r.runStats.refused++
+			r.runStats.refusals++
 		}
 	}
 	attempt = func(number int) {
@@ -176,7 +176,7 @@
 	s.promptTokens += other.promptTokens
 	s.cachedTokens += other.cachedTokens
 	s.requests += other.requests
-	s.refused += other.refused
+	s.refusals += other.refusals
 	s.controlBytes += other.controlBytes
 	s.meanLoad = append(s.meanLoad, other.meanLoad...)
 }
--- a/ctl/experiment/choice/workload.go
+++ b/ctl/experiment/choice/workload.go
@@ -88,7 +88,7 @@
 func (w *workload) drawPrompt(org int) []uint64 {
 	conversations := w.conversations[org]
 	if len(conversations) == 0 || w.random.Float64() > continueFraction {
-		conversations = append(conversations, template(org))
+		conversations = append(conversations, promptTemplate(org))
 	}
 	index := w.random.IntN(len(conversations))
 	if w.random.Float64() > continueFraction {
@@ -106,7 +106,7 @@
 	return blocks
 }
 
-func template(org int) []uint64 {
+func promptTemplate(org int) []uint64 {
 	random := rand.New(rand.NewPCG(uint64(org), 2))
 	blocks := make([]uint64, templateBlocks)
 	for index := range blocks {
--- a/ctl/experiment/coldstart/coldstart_test.go
+++ b/ctl/experiment/coldstart/coldstart_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkReport prints the whole report.
+// BenchmarkReport prints the full report.
 func BenchmarkReport(b *testing.B) {
 	for range b.N {
 		report, err := Run(b.Context(), experiment.Options{Seed: 1, Seeds: 20})
--- a/ctl/experiment/coldstart/run.go
+++ b/ctl/experiment/coldstart/run.go
@@ -38,16 +38,16 @@
 
 // runStats holds the results of a run.
 type runStats struct {
-	requests, completed, refused, broken int
-	overloads                            int
-	startsOverLimit                      int // Requests started in cold start while at least the cold limit of requests were running.
+	requests, completed, refusals, brokenAnswers int
+	overloads                                    int
+	startsOverLimit                              int // Requests started in cold start while at least the cold limit of requests were running.
 }
 
 func (s *runStats) add(other runStats) {
 	s.requests += other.requests
 	s.completed += other.completed
-	s.refused += other.refused
-	s.broken += other.broken
+	s.refusals += other.refusals
+	s.brokenAnswers += other.brokenAnswers
 	s.overloads += other.overloads
 	s.startsOverLimit += other.startsOverLimit
 }
@@ -120,10 +120,10 @@
 		stats.requests++
 		server := servers[random.IntN(len(servers))]
 		server.Submit(drawRequest(random), model.Callbacks{
-			Refused: func(*result.Error) { stats.refused++ },
+			Refused: func(*result.Error) { stats.refusals++ },
 			Begun:   func(int) {},
 			Done:    func() { stats.completed++ },
-			Broken:  func() { stats.broken++ },
+			Broken:  func() { stats.brokenAnswers++ },
 		})
 		clock.After(time.Duration(random.ExpFloat64()/requestsPerSecond*float64(time.Second)), arrive)
 	}
--- a/ctl/experiment/datacentre/datacentre.go
+++ b/ctl/experiment/datacentre/datacentre.go
@@ -193,16 +193,16 @@
 	engine := r.system.Engines[leavingEngine]
 	overloads := r.overloads()
 	type outcome struct {
-		took  string // Time until the change was in force everywhere.
-		err   error
-		after int // Generations that the leaving engine has started up to maxTakeOutDelay after the change.
+		timeToInForce      string // Time until the change was in force everywhere.
+		err                error
+		startedGenerations int // Number of generations that the leaving engine started up to maxTakeOutDelay after the change.
 	}
 	outcomes := make(chan outcome, 1)
 	go func() {
 		time.Sleep(changeDelay)
-		took, err := change(ctx)
+		timeToInForce, err := change(ctx)
 		time.Sleep(maxTakeOutDelay)
-		outcomes <- outcome{took, err, engine.StartedGenerations()}
+		outcomes <- outcome{timeToInForce, err, engine.StartedGenerations()}
 	}()
 	result, err := load.Run(ctx, r.loadOptions(duration), nil)
 	changeOutcome := <-outcomes
@@ -211,14 +211,14 @@
 	}
 	started := ""
 	if name == "leaves" {
-		started = fmt.Sprint(engine.StartedGenerations() - changeOutcome.after)
+		started = fmt.Sprint(engine.StartedGenerations() - changeOutcome.startedGenerations)
 	}
 	entryResult := result.Entry
 	lost := entryResult.Requests - entryResult.Outcomes[load.Whole] - entryResult.Outcomes[load.Refused]
 	r.rows = append(r.rows, []string{
 		r.name, name, fmt.Sprint(entryResult.Requests), fmt.Sprint(entryResult.Outcomes[load.Whole]), fmt.Sprint(entryResult.Outcomes[load.Refused]), fmt.Sprint(lost),
 		seconds(entryResult.FirstToken.P50), seconds(entryResult.FirstToken.P95), seconds(entryResult.FirstToken.P99),
-		started, fmt.Sprint(r.overloads() - overloads), changeOutcome.took,
+		started, fmt.Sprint(r.overloads() - overloads), changeOutcome.timeToInForce,
 	})
 	return nil
 }
--- a/ctl/experiment/evidence/evidence.go
+++ b/ctl/experiment/evidence/evidence.go
@@ -122,7 +122,7 @@
 // data centre is taken out through an entry in the same or another data centre.
 type takeOutCase struct {
 	cutLinks            int           // Subset of the six links that are cut, as a bit set; see applyCuts.
-	accepting           int           // Data centre of the entry that accepts the change.
+	acceptingDataCentre int           // Data centre of the entry that accepts the change.
 	changeDelay         time.Duration // Time between the cutting of the links and the take-out.
 	restart             processFault  // Fault of processes after or during the take-out.
 	entryCrashes        bool          // The entry crashes right after the commit.
@@ -158,7 +158,7 @@
 				continue
 			}
 			switch {
-			case c.thirdTakenOutBefore && c.accepting == dataCentres-1:
+			case c.thirdTakenOutBefore && c.acceptingDataCentre == dataCentres-1:
 				counts.takenOutEntryRuns++
 			case c.entryCrashes:
 				counts.entryCrashes++
@@ -196,29 +196,29 @@
 // moment of the commit even if its link to the store is cut.
 func (c takeOutCase) violatesBound(random *rand.Rand, policy evidence.Policy) bool {
 	n := newNetwork(random, policy, dataCentres, entries, agents)
-	var before []int
+	var takenOutBefore []int
 	if c.thirdTakenOutBefore {
-		before = []int{dataCentres - 1}
+		takenOutBefore = []int{dataCentres - 1}
 	}
-	n.store = snapshot(1, dataCentres, before...)
+	n.store = snapshot(1, dataCentres, takenOutBefore...)
 	n.advance(settleTime, nil)
 	n.applyCuts(c.cutLinks)
 	n.advance(c.changeDelay, nil)
 	c.setPaused(n, true)
-	n.commit(n.entries[c.accepting][0], snapshot(2, dataCentres, append(before, 0)...), c.entryCrashes)
+	n.commit(n.entries[c.acceptingDataCentre][0], snapshot(2, dataCentres, append(takenOutBefore, 0)...), c.entryCrashes)
 	n.advance(restartDelay, nil)
 	c.restartProcesses(n)
 	if c.restoresLinks {
 		n.applyCuts(c.cutLinks &^ (dataCentreLinkSubsetCount - 1))
 	}
 	n.advance(maxTakeOutDelay-restartDelay, nil)
-	found := false
-	check := func() { found = found || c.permitsWorkInTakenOut(n) }
+	violated := false
+	check := func() { violated = violated || c.permitsWorkInTakenOut(n) }
 	n.advance(pauseTime-maxTakeOutDelay, check)
 	c.setPaused(n, false)
 	check()
 	n.advance(observeTime, check)
-	return found
+	return violated
 }
 
 func (c takeOutCase) permitsWorkInTakenOut(n *network) bool {
@@ -247,7 +247,7 @@
 		case restartTakenOut:
 			restarts = p.dataCentre == 0
 		case restartAccepting:
-			restarts = p.dataCentre == c.accepting
+			restarts = p.dataCentre == c.acceptingDataCentre
 		case restartAll:
 			restarts = true
 		}
--- a/ctl/experiment/evidence/evidence_test.go
+++ b/ctl/experiment/evidence/evidence_test.go
@@ -30,7 +30,7 @@
 // entry does not crash before it has offered the change to the other processes, and its
 // data centre is not taken out. If it were, the store would refuse the change.
 func hasGuarantee(c takeOutCase) bool {
-	return !c.entryCrashes && (!c.thirdTakenOutBefore || c.accepting != dataCentres-1)
+	return !c.entryCrashes && (!c.thirdTakenOutBefore || c.acceptingDataCentre != dataCentres-1)
 }
 
 func TestTakenOutDataCentreGetsNoNewWork(t *testing.T) {
--- a/ctl/experiment/expertmaps/expertmaps.go
+++ b/ctl/experiment/expertmaps/expertmaps.go
@@ -96,7 +96,7 @@
 // comparePolicies runs every policy with the same popularity model and the same
 // sampling noise.
 func comparePolicies(scenario string, shape planner.Shape, seed uint64) []policyResult {
-	policies := []policy{keepCurrent{}, &recompute{}, &recompute{relabel: true}, &incremental{}, oracle{}}
+	policies := []policy{keepCurrentPolicy{}, &recomputePolicy{}, &recomputePolicy{relabel: true}, &incrementalPolicy{}, oraclePolicy{}}
 	intervals := int(dayHours * secondsPerMinute / intervalMinutes)
 	model := newPopularityModel(scenario, shape, seed)
 	first := model.trueLoad(0)
@@ -109,13 +109,13 @@
 	observed := model.observe(first)
 	for interval := range intervals {
 		hour := float64(interval) * intervalMinutes / secondsPerMinute
-		truth, slowness := model.trueLoad(hour), model.slowness(hour)
-		noise := sampleSteps(truth, seed, uint64(interval))
+		expectedLoad, slowness := model.trueLoad(hour), model.slowness(hour)
+		noise := sampleSteps(expectedLoad, seed, uint64(interval))
 		for i, p := range policies {
-			input := planningInput{shape: shape, costs: costs(shape), observed: observed, truth: truth, slowness: slowness, current: current[i]}
+			input := planningInput{shape: shape, costs: costs(shape), observed: observed, expectedLoad: expectedLoad, slowness: slowness, current: current[i]}
 			current[i] = results[i].runInterval(p, input, noise)
 		}
-		observed = model.observe(truth)
+		observed = model.observe(expectedLoad)
 	}
 	for i := range results {
 		results[i].meanStepSeconds /= float64(intervals) * stepsPerInterval()
@@ -123,11 +123,11 @@
 	return results
 }
 
-func sampleSteps(truth [][]float64, seed, interval uint64) [][][]float64 {
+func sampleSteps(expectedLoad [][]float64, seed, interval uint64) [][][]float64 {
 	random := rand.New(rand.NewPCG(seed, interval+2))
 	steps := make([][][]float64, sampledSteps)
 	for i := range steps {
-		steps[i] = sampleStep(truth, tokensPerStep, random)
+		steps[i] = sampleStep(expectedLoad, tokensPerStep, random)
 	}
 	return steps
 }
@@ -152,14 +152,14 @@
 	next := p.next(input)
 	r.planTime = max(r.planTime, time.Since(began))
 	moves := float64(planner.CountMoves(input.shape, input.current, next))
-	skew := planner.Skew(input.shape, next, input.truth, input.slowness)
+	skew := planner.Skew(input.shape, next, input.expectedLoad, input.slowness)
 	r.skew = append(r.skew, skew)
 	r.moves = append(r.moves, moves)
 	for _, load := range noise {
 		r.sampledSkew = append(r.sampledSkew, planner.Skew(input.shape, next, load, input.slowness))
 	}
 	r.meanStepSeconds += stepsPerInterval() * stepSeconds * (1 - expertFraction + expertFraction*skew)
-	if _, isOracle := p.(oracle); !isOracle && moves > 0 {
+	if _, isOracle := p.(oraclePolicy); !isOracle && moves > 0 {
 		r.switches++
 		r.meanStepSeconds += moves*input.costs.MoveSeconds + switchSeconds
 	}
--- a/ctl/experiment/expertmaps/policies.go
+++ b/ctl/experiment/expertmaps/policies.go
@@ -4,12 +4,12 @@
 
 // planningInput is the input of a policy.
 type planningInput struct {
-	shape    planner.Shape
-	costs    planner.Costs
-	observed [][]float64 // Load in the last interval; nil for layers that were not observed.
-	truth    [][]float64 // Expected load of the next interval, for the oracle only.
-	slowness []float64   // Time of each rank for one unit of load.
-	current  planner.Placement
+	shape        planner.Shape
+	costs        planner.Costs
+	observed     [][]float64 // Load in the last interval; nil for layers that were not observed.
+	expectedLoad [][]float64 // Load expected in the next interval under the true popularity; only the oracle uses it.
+	slowness     []float64   // Time of each rank for one unit of load.
+	current      planner.Placement
 }
 
 // policy chooses the next placement.
@@ -18,25 +18,25 @@
 	next(input planningInput) planner.Placement
 }
 
-type keepCurrent struct{}
+type keepCurrentPolicy struct{}
 
-func (keepCurrent) name() string                               { return "never change" }
-func (keepCurrent) next(input planningInput) planner.Placement { return input.current }
+func (keepCurrentPolicy) name() string                               { return "never change" }
+func (keepCurrentPolicy) next(input planningInput) planner.Placement { return input.current }
 
-// recompute computes a new placement from the last observation of every layer.
-type recompute struct {
+// recomputePolicy computes a new placement from the last observation of every layer.
+type recomputePolicy struct {
 	relabel      bool // Reorder the new placement so that fewer experts move.
 	lastObserved [][]float64
 }
 
-func (r *recompute) name() string {
+func (r *recomputePolicy) name() string {
 	if r.relabel {
 		return "recompute, relabelled"
 	}
 	return "recompute, plain"
 }
 
-func (r *recompute) next(input planningInput) planner.Placement {
+func (r *recomputePolicy) next(input planningInput) planner.Placement {
 	if r.lastObserved == nil {
 		r.lastObserved = make([][]float64, input.shape.Layers)
 	}
@@ -55,22 +55,22 @@
 	return next
 }
 
-type incremental struct{ state planner.State }
+type incrementalPolicy struct{ state planner.State }
 
-func (*incremental) name() string { return "incremental" }
+func (*incrementalPolicy) name() string { return "incremental" }
 
-func (i *incremental) next(input planningInput) planner.Placement {
+func (i *incrementalPolicy) next(input planningInput) planner.Placement {
 	return planner.Decide(&i.state, planner.Input{
 		Shape: input.shape, Costs: input.costs, Observed: input.observed, Slowness: input.slowness, Current: input.current,
 	}).Placement
 }
 
-// oracle plans for the true popularity. Its moves cost nothing.
-type oracle struct{}
+// oraclePolicy plans for the true popularity. Its moves cost nothing.
+type oraclePolicy struct{}
 
-func (oracle) name() string { return "knowing planner" }
+func (oraclePolicy) name() string { return "knowing planner" }
 
-func (oracle) next(input planningInput) planner.Placement {
-	fresh := planner.Recompute(input.shape, input.truth, input.slowness)
-	return planner.Refine(input.shape, fresh, input.truth, input.slowness)
+func (oraclePolicy) next(input planningInput) planner.Placement {
+	fresh := planner.Recompute(input.shape, input.expectedLoad, input.slowness)
+	return planner.Refine(input.shape, fresh, input.expectedLoad, input.slowness)
 }
--- a/ctl/experiment/expertmaps/report.go
+++ b/ctl/experiment/expertmaps/report.go
@@ -50,7 +50,7 @@
 			cumulativeMoves[i] = movedExperts
 		}
 		skew.Series = append(skew.Series, experiment.Series{Name: r.policy, X: hours, Y: r.skew})
-		if r.policy != (oracle{}).name() {
+		if r.policy != (oraclePolicy{}).name() {
 			moves.Series = append(moves.Series, experiment.Series{Name: r.policy, X: hours, Y: cumulativeMoves})
 		}
 	}
--- a/ctl/experiment/model/engine.go
+++ b/ctl/experiment/model/engine.go
@@ -50,6 +50,8 @@
 	notify       engineCallbacks
 }
 
+// engineCallbacks are called as a generation proceeds. Exactly one of done and broken
+// is called.
 type engineCallbacks struct {
 	firstToken func(cachedTokens int)
 	done       func()
@@ -63,6 +65,7 @@
 	return e
 }
 
+// reboot breaks off the running generations and puts the engine into cold start.
 func (e *engine) reboot() {
 	e.bootCount++
 	for _, g := range e.generations {
@@ -75,6 +78,8 @@
 	e.turnCold()
 }
 
+// turnCold empties the cache and puts the engine into cold start. The running
+// generations continue.
 func (e *engine) turnCold() {
 	e.cold, e.coldRunning, e.completedRequests = true, 0, 0
 	e.cache.clear()
--- a/ctl/experiment/shares/shares.go
+++ b/ctl/experiment/shares/shares.go
@@ -87,11 +87,11 @@
 		"entries", "organisations", "home lost", "busy: least % of limit", "busy: most %", "all over limit %",
 		"under limit, admitted %", "slots in use %", "most slots %", "asks/request", "beyond limit and burst",
 	}}
-	chosen := sizes
+	runSizes := sizes
 	if options.Quick {
-		chosen = sizes[:2]
+		runSizes = sizes[:2]
 	}
-	for _, sz := range chosen {
+	for _, sz := range runSizes {
 		for _, loseHome := range []bool{false, true} {
 			if err := ctx.Err(); err != nil {
 				return report, err
--- a/ctl/load/progress.go
+++ b/ctl/load/progress.go
@@ -13,8 +13,8 @@
 	InFlight  int
 	Completed int
 	Refused   int
-	Other     int
-	Tokens    int
+	Other     int // Finished requests that were neither completed nor refused.
+	Tokens    int // Tokens in the answers of the finished requests.
 }
 
 const progressInterval = 500 * time.Millisecond
