--- a/server/admin/change.go
+++ b/server/admin/change.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// submit submits the change to the store and answers the operator.
+// submit submits the change to the store and writes the response to the operator.
 func (a *API) submit(w http.ResponseWriter, r *http.Request, operator adminapi.Operator, change configstore.Change) error {
 	if err := checkChange(operator, change); err != nil {
 		return err
@@ -121,7 +121,7 @@
 }
 
 // answer puts the accepted change in force in this process, offers it to the
-// others and answers the operator.
+// others and writes the response to the operator.
 func (a *API) answer(w http.ResponseWriter, operator adminapi.Operator, change configstore.Change, accepted configstore.AcceptedChange) error {
 	answer := adminapi.AcceptedChange{Revision: accepted.Revision, Unchanged: accepted.Unchanged, Changes: accepted.Changes}
 	logevent.Write(a.node.Log(), logevent.OrderAccepted, logrus.Fields{
@@ -156,7 +156,7 @@
 type targetKind struct {
 	path string // Prefix of the API paths.
 	name string // Name in error messages.
-	file string // Configuration file that contains the targets, in a list of the same name.
+	file string // Configuration file that lists the objects of this kind; the list in it has the file's name.
 }
 
 var targetKinds = []targetKind{
--- a/server/cmd/persimmonwind/deployed.go
+++ b/server/cmd/persimmonwind/deployed.go
@@ -38,21 +38,21 @@
 	Run(ctx context.Context, metricsPort int) error
 }
 
-func newPlatform() *cobra.Command {
+func newPlatformCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "platform",
 		Short: "Run a process on the users' platform",
 	}
 	command.AddCommand(
-		newPlatformProcess("entry", "Run an entry instance on the users' platform",
+		newPlatformProcessCommand("entry", "Run an entry instance on the users' platform",
 			func(s platform.Settings, log *logrus.Entry) process { return deployed.NewEntry(s, log) }),
-		newPlatformProcess("agent", "Run the agent beside a rank of a model group on the users' platform",
+		newPlatformProcessCommand("agent", "Run the agent beside a rank of a model group on the users' platform",
 			func(s platform.Settings, log *logrus.Entry) process { return deployed.NewAgent(s, log) }),
 	)
 	return command
 }
 
-func newPlatformProcess(use, short string, build func(platform.Settings, *logrus.Entry) process) *cobra.Command {
+func newPlatformProcessCommand(use, short string, build func(platform.Settings, *logrus.Entry) process) *cobra.Command {
 	var metricsPort int
 	var level string
 	command := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
--- a/server/cmd/persimmonwind/dev.go
+++ b/server/cmd/persimmonwind/dev.go
@@ -17,7 +17,7 @@
 	readyTimeout      = 10 * time.Second
 )
 
-func newDev() *cobra.Command {
+func newDevCommand() *cobra.Command {
 	var options dev.Options
 	command := &cobra.Command{
 		Use:   "dev",
--- a/server/cmd/persimmonwind/main.go
+++ b/server/cmd/persimmonwind/main.go
@@ -16,13 +16,13 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := newRoot().ExecuteContext(ctx); err != nil {
+	if err := newRootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "persimmonwind:", err)
 		os.Exit(1)
 	}
 }
 
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var profiles string
 	root := &cobra.Command{
 		Use:           "persimmonwind",
@@ -32,7 +32,7 @@
 	}
 	root.PersistentPreRunE = func(*cobra.Command, []string) error { return serveProfiles(profiles) }
 	root.PersistentFlags().StringVar(&profiles, "pprof", "", "loopback address that serves the runtime's profiles (default: none)")
-	root.AddCommand(newEntry(), newAgent(), newPlatform(), newDev(), newStandIn())
+	root.AddCommand(newEntryCommand(), newAgentCommand(), newPlatformCommand(), newDevCommand(), newStandInCommand())
 	return root
 }
 
--- a/server/cmd/persimmonwind/processes.go
+++ b/server/cmd/persimmonwind/processes.go
@@ -16,7 +16,7 @@
 	"persimmonwind.dev/server/settings"
 )
 
-func newEntry() *cobra.Command {
+func newEntryCommand() *cobra.Command {
 	config := settings.DefaultEntry()
 	command := &cobra.Command{
 		Use:   "entry",
@@ -52,7 +52,7 @@
 	return entry.Listeners{Control: control, Callers: callers, Admin: admin, Keys: source}, nil
 }
 
-func newAgent() *cobra.Command {
+func newAgentCommand() *cobra.Command {
 	config := settings.DefaultAgent()
 	command := &cobra.Command{
 		Use:   "agent",
--- a/server/cmd/persimmonwind/standin.go
+++ b/server/cmd/persimmonwind/standin.go
@@ -16,16 +16,16 @@
 	"persimmonwind.dev/server/standin/store"
 )
 
-func newStandIn() *cobra.Command {
+func newStandInCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "standin",
 		Short: "Run a stand-in of the platform or of a backend server",
 	}
-	command.AddCommand(newStandInStore(), newStandInEngine(), newStandInService(), newStandInRanks())
+	command.AddCommand(newStandInStoreCommand(), newStandInEngineCommand(), newStandInServiceCommand(), newStandInRanksCommand())
 	return command
 }
 
-func newStandInStore() *cobra.Command {
+func newStandInStoreCommand() *cobra.Command {
 	var listen string
 	command := &cobra.Command{
 		Use:   "store",
@@ -38,7 +38,7 @@
 	return command
 }
 
-func newStandInEngine() *cobra.Command {
+func newStandInEngineCommand() *cobra.Command {
 	var listen string
 	options := engine.DefaultOptions()
 	command := &cobra.Command{
@@ -62,7 +62,7 @@
 	return command
 }
 
-func newStandInService() *cobra.Command {
+func newStandInServiceCommand() *cobra.Command {
 	var listen string
 	var workTime time.Duration
 	command := &cobra.Command{
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func newStandInRanks() *cobra.Command {
+func newStandInRanksCommand() *cobra.Command {
 	var listen string
 	options := ranks.DefaultOptions()
 	command := &cobra.Command{
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -30,8 +30,8 @@
 	weightTimeout = 9 * time.Minute
 )
 
-// Group carries out the expert map decisions of one agent in its group. A ticket
-// identifies a received order whose RPC call waits for the outcome.
+// Group carries out the expert map decisions of one agent in its group. A request
+// ID identifies a received order whose RPC call waits for the outcome.
 type Group struct {
 	node   *node.Node
 	engine ports.RankEngine
@@ -39,8 +39,8 @@
 	orders chan expertmap.Forward // Orders for the engine, processed one at a time.
 
 	mu            sync.Mutex
-	lastTicket    uint64
-	pendingOrders map[uint64]chan answer // Received orders that have no outcome yet, by ticket.
+	lastRequestID uint64
+	pendingOrders map[uint64]chan answer // Received orders that have no outcome yet, by request ID.
 	plannedMap    planner.Placement      // The latest planned map; written to the object store when its change begins.
 	latestLoaded  loadedMap
 	loadingMapID  expertmap.ID
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -40,32 +40,33 @@
 // Order passes the order to the control loop and waits for its outcome.
 func (r *receiver) Order(request wire.MapOrder, reply *wire.MapReply) error {
 	r.group.node.ObserveStamp(request.Stamp)
-	ticket, done := r.group.registerOrder()
-	r.group.node.Loop.Post(expertmap.OrderReceived{RequestID: ticket, Order: request.Order})
+	requestID, done := r.group.registerOrder()
+	r.group.node.Loop.Post(expertmap.OrderReceived{RequestID: requestID, Order: request.Order})
 	result := <-done
 	reply.Stamp = r.group.node.Stamp()
 	reply.State, reply.Refused, reply.Seen = result.state, result.isRefused, result.highestSeen
 	return result.err
 }
 
-// registerOrder returns a new ticket and the channel that receives the outcome of its
+// registerOrder returns a new request ID and the channel that receives the outcome of its
 // order.
 func (g *Group) registerOrder() (uint64, <-chan answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lastTicket++
+	g.lastRequestID++
 	done := make(chan answer, 1)
-	g.pendingOrders[g.lastTicket] = done
-	return g.lastTicket, done
+	g.pendingOrders[g.lastRequestID] = done
+	return g.lastRequestID, done
 }
 
-// answer delivers the outcome of the ticket's order to its waiting RPC call.
-func (g *Group) answer(ticket uint64, a answer) {
+// answer delivers the outcome of the order with the request ID to its waiting RPC
+// call.
+func (g *Group) answer(requestID uint64, outcome answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if done, ok := g.pendingOrders[ticket]; ok {
-		delete(g.pendingOrders, ticket)
-		done <- a
+	if done, ok := g.pendingOrders[requestID]; ok {
+		delete(g.pendingOrders, requestID)
+		done <- outcome
 	}
 }
 
@@ -79,8 +80,8 @@
 	}
 }
 
-// forward sends the order to the engine and answers the order's ticket. An order
-// that needs a map fails until the weights of that map are loaded.
+// forward sends the order to the engine and reports the result under the order's
+// request ID. An order that needs a map fails until the weights of that map are loaded.
 func (g *Group) forward(ctx context.Context, forward expertmap.Forward) {
 	state, err := g.sendToEngine(ctx, forward.Order)
 	if errors.Is(err, ports.ErrFenced) || errors.Is(err, ports.ErrUnavailable) {
@@ -133,8 +134,8 @@
 	return nil, fmt.Errorf("weights of map %s are loading", id)
 }
 
-// loadWeights loads the map and the rank's weights for it. It keeps the result unless
-// another map has been asked for meanwhile.
+// loadWeights loads the map and the rank's weights for it. It stores the result for
+// later orders unless an order for another map has arrived meanwhile.
 func (g *Group) loadWeights(ctx context.Context, id expertmap.ID) {
 	body, err := g.loadMapAndWeights(ctx, id)
 	if err != nil {
--- a/server/group/plan.go
+++ b/server/group/plan.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// propose keeps the planned map and asks the control loop to change to it.
+// propose stores the planned map in memory and asks the control loop to change to it.
 func (g *Group) propose(placement planner.Placement, reason string) {
 	g.mu.Lock()
 	g.plannedMap = placement
--- a/server/group/table.go
+++ b/server/group/table.go
@@ -35,7 +35,7 @@
 	return true
 }
 
-// read reads a row and posts the event that is made from it, or failed if the row
+// read reads a row and posts the event that is made from it, or failureEvent if the row
 // can't be read or decoded.
 func (g *Group) read(ctx context.Context, key string, failureEvent reduce.Event, toEvent func(ports.Row) (reduce.Event, error)) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/server/mapcontrol/bench_test.go
+++ b/server/mapcontrol/bench_test.go
@@ -41,7 +41,7 @@
 	return e
 }
 
-// beginPass starts the next pass unless a rank holds it.
+// beginPass starts the next pass unless a rank has an order to hold it.
 func (e *modelEngines) beginPass(random *rand.Rand) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,8 +61,8 @@
 			state.MapVersion, state.Armed, state.ArmedPass, state.Prepared = state.Armed, 0, 0, 0
 		}
 	}
-	const jumpPasses = 40
-	demandShift := int(e.pass/jumpPasses) * 17
+	const passesPerDemandShift = 40
+	demandShift := int(e.pass/passesPerDemandShift) * 17
 	for i := range e.counts {
 		e.counts[i] += int64(random.IntN(8))
 		if (i*7+demandShift)%e.size < 6 {
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -136,8 +136,8 @@
 	firstCounted := 0 // Index of the first member whose counts are read in the next round.
 	for ctx.Err() == nil {
 		interval, current := readInterval, view{MustReadLists: true}
-		if known := c.loop.View(); known != nil {
-			current = *known
+		if lastView := c.loop.View(); lastView != nil {
+			current = *lastView
 		}
 		if current.Phase != mapswitch.Idle && current.Phase != mapswitch.Survey {
 			interval = min(interval, time.Duration(current.Size)*changeReadIntervalPerRank)
@@ -277,8 +277,8 @@
 func (c *coordinator) isRank(member Member) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, known := range c.membersByRank {
-		if known == member {
+	for _, rankMember := range c.membersByRank {
+		if rankMember == member {
 			return true
 		}
 	}
@@ -289,9 +289,9 @@
 	switch effect := effect.(type) {
 	case mapswitch.SendOrder:
 		member, ok := c.member(effect.Rank)
-		through, okThrough := c.member(effect.SenderRank)
-		if ok && okThrough {
-			go c.sendOrder(ctx, member, through, effect)
+		relay, okRelay := c.member(effect.SenderRank)
+		if ok && okRelay {
+			go c.sendOrder(ctx, member, relay, effect)
 		}
 	case mapswitch.ReadRank:
 		if member, ok := c.member(effect.Rank); ok {
@@ -309,18 +309,18 @@
 	}
 }
 
-// sendOrder sends an order to the engine of the rank member. The agent of the member
-// through passes it on: the rank's own agent, or another rank's for a hold. If that
+// sendOrder sends an order to the engine of the rank that member serves. The agent of
+// relay passes it on: the rank's own agent, or another rank's for a hold. If that
 // agent is unreachable, orders to prepare, arm or disarm go directly to the engine.
 // Holds are set and released only through an agent, which refuses a superseded
 // coordinator.
-func (c *coordinator) sendOrder(ctx context.Context, member, through Member, sendOrder mapswitch.SendOrder) {
+func (c *coordinator) sendOrder(ctx context.Context, member, relay Member, sendOrder mapswitch.SendOrder) {
 	requestedAt, order := time.Now(), sendOrder.Order
-	returned := mapswitch.OrderReturned{Rank: sendOrder.Rank, Kind: order.Kind}
+	orderReturned := mapswitch.OrderReturned{Rank: sendOrder.Rank, Kind: order.Kind}
 	read := mapswitch.RankRead{RequestedAt: requestedAt}
-	defer func() { c.loop.Post(returned) }()
+	defer func() { c.loop.Post(orderReturned) }()
 	var reply GiveReply
-	if err := c.giveThroughAgent(ctx, member, through, sendOrder, &reply); err != nil {
+	if err := c.giveThroughAgent(ctx, member, relay, sendOrder, &reply); err != nil {
 		if c.stopIfFenced(err) || order.Kind == topology.Hold || order.Kind == topology.Release {
 			c.logOrderFailure(member, order, err.Error())
 			return
@@ -333,11 +333,11 @@
 			return
 		}
 	}
-	returned.Answered = true
+	orderReturned.Answered = true
 	if reply.Problem != "" {
 		c.logOrderFailure(member, order, reply.Problem)
 	}
-	if through != member {
+	if relay != member {
 		go c.read(ctx, member, false, false) // Only the rank's own agent reads an up-to-date report.
 		return
 	}
@@ -345,13 +345,14 @@
 	c.recordReport(member, read)
 }
 
-// giveThroughAgent sends an order to an agent. A prepare order carries only the changes
-// to the map in use, unless the agent doesn't have that map.
-func (c *coordinator) giveThroughAgent(ctx context.Context, member, through Member, sendOrder mapswitch.SendOrder, reply *GiveReply) error {
+// giveThroughAgent sends the order for member's rank to the agent of relay, which passes
+// it to the rank's engine. A prepare order to the rank's own agent carries only the
+// changes to the map in use, unless that agent doesn't have that map.
+func (c *coordinator) giveThroughAgent(ctx context.Context, member, relay Member, sendOrder mapswitch.SendOrder, reply *GiveReply) error {
 	wholeOrder := GiveArgs{Caller: c.caller(), Order: sendOrder.Order}
-	if through != member {
+	if relay != member {
 		wholeOrder.Server = member.Server
-		return c.call(ctx, through.Agent, methodGive, wholeOrder, reply)
+		return c.call(ctx, relay.Agent, methodGive, wholeOrder, reply)
 	}
 	if sendOrder.BaseMap == nil {
 		return c.call(ctx, member.Agent, methodGive, wholeOrder, reply)
@@ -373,8 +374,8 @@
 func (c *coordinator) prepareOrderAsChanges(sendOrder mapswitch.SendOrder) GiveArgs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.latestPrepareOrder.Order
-	if known.Version == sendOrder.Order.Version && known.Epoch == sendOrder.Order.Epoch && c.latestPrepareOrder.Base == sendOrder.BaseVersion {
+	latestOrder := c.latestPrepareOrder.Order
+	if latestOrder.Version == sendOrder.Order.Version && latestOrder.Epoch == sendOrder.Order.Epoch && c.latestPrepareOrder.Base == sendOrder.BaseVersion {
 		return c.latestPrepareOrder
 	}
 	args := GiveArgs{
--- a/server/mapcontrol/mapcontrol_test.go
+++ b/server/mapcontrol/mapcontrol_test.go
@@ -102,10 +102,10 @@
 		}
 		wg.Wait()
 		close(fences)
-		seen := map[uint64]bool{}
+		acquiredFences := map[uint64]bool{}
 		for fence := range fences {
-			So(seen[fence], ShouldBeFalse)
-			seen[fence] = true
+			So(acquiredFences[fence], ShouldBeFalse)
+			acquiredFences[fence] = true
 		}
 	})
 }
@@ -138,8 +138,8 @@
 	Convey("An agent refuses the orders of a superseded coordinator", t, func() {
 		engine := &countingEngine{}
 		rank := NewRank(engine, nil)
-		var read ReadReply
-		So(rank.Read(ReadArgs{Caller: Caller{Fence: 2}}, &read), ShouldBeNil)
+		var readReply ReadReply
+		So(rank.Read(ReadArgs{Caller: Caller{Fence: 2}}, &readReply), ShouldBeNil)
 		var reply GiveReply
 		So(rank.Give(GiveArgs{Caller: Caller{Fence: 1}}, &reply), ShouldNotBeNil)
 		So(engine.orders, ShouldEqual, 0)
@@ -159,9 +159,9 @@
 	Convey("A prepare order may carry changes only to a map that the agent has", t, func() {
 		engine := &countingEngine{}
 		rank := NewRank(engine, nil)
-		whole := mapswitch.Map{{{0, 1}, {2}}}
+		baseMap := mapswitch.Map{{{0, 1}, {2}}}
 		var reply GiveReply
-		So(rank.Give(GiveArgs{Order: topology.Order{Kind: topology.Prepare, Version: 1, Map: whole}}, &reply), ShouldBeNil)
+		So(rank.Give(GiveArgs{Order: topology.Order{Kind: topology.Prepare, Version: 1, Map: baseMap}}, &reply), ShouldBeNil)
 		changes := []mapswitch.Change{{Set: 0, Rank: 1, Experts: []int{2, 0}}}
 		next := GiveArgs{Order: topology.Order{Kind: topology.Prepare, Version: 2}, Base: 1, Changes: changes}
 		So(rank.Give(next, &reply), ShouldBeNil)
@@ -179,8 +179,8 @@
 		rank := NewRank(&countingEngine{}, nil)
 		rank.fence = 5
 		before := rank.lastCallAt
-		var read ReadReply
-		So(rank.Read(ReadArgs{Caller: Caller{Fence: 4}}, &read), ShouldNotBeNil)
+		var readReply ReadReply
+		So(rank.Read(ReadArgs{Caller: Caller{Fence: 4}}, &readReply), ShouldNotBeNil)
 		So(rank.lastCallAt, ShouldEqual, before)
 	})
 }
@@ -198,8 +198,8 @@
 			membersByRank: map[int]Member{}, foreignReportedAt: map[string]time.Time{},
 		}
 		c.loop = loop.New(mapswitch.Step, func(mapswitch.State) view { return view{} }, func(reduce.Effect) {}, nil)
-		answer := func(read []Member) {
-			for _, member := range read {
+		reportMembers := func(selected []Member) {
+			for _, member := range selected {
 				var number int
 				_, err := fmt.Sscanf(member.Server, "server-%d", &number)
 				So(err, ShouldBeNil)
@@ -213,19 +213,19 @@
 		}
 		rounds := 0
 		for ; len(c.membersByRank) < 64 && rounds < 100; rounds++ {
-			read := c.membersToRead(64)
-			So(len(read), ShouldBeLessThanOrEqualTo, 200)
-			answer(read)
+			selected := c.membersToRead(64)
+			So(len(selected), ShouldBeLessThanOrEqualTo, 200)
+			reportMembers(selected)
 		}
-		Convey("a coordinator finds its ranks even if half of the members never answer", func() {
+		Convey("a coordinator finds its ranks even if half of the members are unreachable", func() {
 			So(len(c.membersByRank), ShouldEqual, 64)
 			So(rounds, ShouldBeLessThanOrEqualTo, 30) // Three seconds at one round per readInterval.
 		})
 		Convey("a coordinator reads all its ranks in each round, and others up to the limit", func() {
-			read := c.membersToRead(64)
-			So(len(read), ShouldBeBetweenOrEqual, 64, 200)
+			selected := c.membersToRead(64)
+			So(len(selected), ShouldBeBetweenOrEqual, 64, 200)
 			ranks := 0
-			for _, member := range read {
+			for _, member := range selected {
 				for _, rank := range c.membersByRank {
 					if rank == member {
 						ranks++
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -62,7 +62,7 @@
 	State   topology.RankState
 	Gains   []byte             // Packed increase of the counts since they were last read; nil for the first read in an epoch.
 	Elapsed time.Duration      // Time over which Gains accumulated.
-	Lists   topology.RankLists // The experts that the rank holds, by expert set; empty unless asked for.
+	Lists   topology.RankLists // The experts that the rank holds, by expert set; empty unless ReadArgs.Lists is set.
 }
 
 // GiveArgs are the arguments of Rank.Give, which passes an order to a rank.
@@ -94,7 +94,7 @@
 // error by its text.
 var errFenced = errors.New("a coordinator with a higher number has called")
 
-// Rank is the RPC receiver that answers a coordinator's calls.
+// Rank is the RPC receiver for a coordinator's calls.
 type Rank struct {
 	engine       Engine
 	directEngine func(address string) Engine // Returns the client of another rank's engine.
@@ -191,11 +191,11 @@
 	defer r.mu.Unlock()
 	next := args.Order.Map
 	if args.hasChanges() {
-		base, known := r.maps[args.Base]
+		base, hasBase := r.maps[args.Base]
 		if args.InTurn.Sets != 0 {
-			base, known = mapswitch.InTurn(args.InTurn), true
+			base, hasBase = mapswitch.InTurn(args.InTurn), true
 		}
-		if !known {
+		if !hasBase {
 			return nil, false
 		}
 		var ok bool
