--- a/server/admin/change.go
+++ b/server/admin/change.go
@@ -139,7 +139,7 @@
 	return writeJSON(w, answer)
 }
 
-// serveOutcome answers with the outcome of an accepted change.
+// serveOutcome responds with the outcome of an accepted change.
 func (a *API) serveOutcome(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	id := r.PathValue("id")
 	accepted, found, err := a.node.ConfigStore.Outcome(r.Context(), id)
--- a/server/admin/configuration.go
+++ b/server/admin/configuration.go
@@ -10,7 +10,7 @@
 	"persimmonwind.dev/server/admin/adminapi"
 )
 
-// serveConfiguration answers with the accepted revision and the versions of its
+// serveConfiguration responds with the accepted revision and the versions of its
 // files.
 func (a *API) serveConfiguration(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	head, _, err := a.node.ConfigStore.Head(r.Context())
@@ -27,7 +27,7 @@
 	return &result.Error{Code: result.StoreUnavailable, Detail: err.Error(), RetryAfter: storeRetryAfter}
 }
 
-// serveFile answers with the text of a file at the accepted or an earlier
+// serveFile responds with the text of a file at the accepted or an earlier
 // revision.
 func (a *API) serveFile(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	name := r.PathValue("file")
@@ -69,7 +69,7 @@
 	return head.Revision, nil
 }
 
-// serveCompare validates files together with the accepted ones and answers with
+// serveCompare validates files together with the accepted ones and responds with
 // the changes that they would make.
 func (a *API) serveCompare(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	var request adminapi.Files
--- a/server/admin/decision.go
+++ b/server/admin/decision.go
@@ -9,7 +9,7 @@
 	"persimmonwind.dev/server/group"
 )
 
-// serveDecision answers with the planner's latest decision about the expert map
+// serveDecision responds with the planner's latest decision about the expert map
 // of a group.
 func (a *API) serveDecision(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	name := r.PathValue("group")
--- a/server/admin/status.go
+++ b/server/admin/status.go
@@ -15,7 +15,7 @@
 
 const defaultAuditLimit = 50
 
-// serveStatus answers with the configuration in force in every process. If the
+// serveStatus responds with the configuration in force in every process. If the
 // store can't be read, the newest revision of any process counts as the accepted
 // one.
 func (a *API) serveStatus(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
@@ -56,7 +56,7 @@
 	return files
 }
 
-// serveAudit answers with audit records, by default the latest ones.
+// serveAudit responds with audit records, by default the latest ones.
 func (a *API) serveAudit(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	limit, err := uintParam(r, "limit", defaultAuditLimit)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return value, nil
 }
 
-// serveVerify verifies the whole audit chain and answers with its length.
+// serveVerify verifies the whole audit chain and responds with its length.
 func (a *API) serveVerify(w http.ResponseWriter, r *http.Request, _ adminapi.Operator) error {
 	records, err := a.node.ConfigStore.VerifyAudit(r.Context())
 	if err != nil {
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -104,7 +104,7 @@
 }
 
 // drainAfter refuses new work once ctx has ended and returns when nothing is in
-// flight. It keeps answering with refusals for the leave delay, since entries
+// flight. It continues to send refusals for the leave delay, since entries
 // may not yet have noticed that the agent is leaving.
 func (a *Agent) drainAfter(ctx, runCtx context.Context) error {
 	if !leave.AwaitShutdown(ctx, runCtx) {
--- a/server/agent/keyed.go
+++ b/server/agent/keyed.go
@@ -59,7 +59,7 @@
 	onFailure func(error) // Called when the call of the backend server fails.
 	answer    policy.Answer
 	refusal   *result.Error // Why the call was not run, or nil; set before ended is closed.
-	answered  chan struct{} // Closed once answer is known.
+	answered  chan struct{} // Closed once answer is set.
 	ended     chan struct{} // Closed once the execution is inactive.
 }
 
@@ -234,8 +234,8 @@
 // executionReceiver serves the RPC calls with which entries query executions.
 type executionReceiver struct{ executions *executions }
 
-// Wait returns the progress of an execution once it has ended or its answer is
-// known, or after the time that the request gives.
+// Wait returns the progress of an execution once the execution has ended or its answer
+// is available, or after the wait that the request sets.
 func (r *executionReceiver) Wait(request wire.ExecutionRequest, reply *wire.ExecutionReply) error {
 	e := r.executions
 	e.node.ObserveStamp(request.Stamp)
--- a/server/entry/attempt/execution.go
+++ b/server/entry/attempt/execution.go
@@ -18,8 +18,8 @@
 
 var errAgentNotListed = errors.New("the execution's agent is not in the instance list")
 
-// sendWatched sends a call and cancels it if its agent answers neither the call
-// nor heartbeats.
+// sendWatched sends a call and cancels it if its agent responds neither to the call
+// nor to heartbeats.
 func (r *Runner) sendWatched(ctx context.Context, target route.Target, work wire.Work, body []byte) (Answer, *result.Error) {
 	ctx, wd := newWatchdog(ctx, time.Until(work.Deadline))
 	defer wd.stop()
--- a/server/entry/attempt/liveness.go
+++ b/server/entry/attempt/liveness.go
@@ -16,8 +16,8 @@
 	maxMissedHeartbeats = 2 // Consecutive missed heartbeats after which an agent is declared dead.
 )
 
-// errAgentDead is the cause with which attempts at an agent that answers no
-// heartbeats are cancelled.
+// errAgentDead is the cause with which attempts are cancelled if their agent does not
+// respond to heartbeats.
 var errAgentDead = errors.New("agent answers no heartbeats")
 
 // liveness monitors the agents that have attempts in flight. All attempts at
@@ -30,7 +30,7 @@
 	agents map[string]*watchedAgent
 }
 
-// watchedAgent holds the attempts in flight at one agent.
+// watchedAgent is an agent that is sent heartbeats, with the attempts in flight at it.
 type watchedAgent struct {
 	attempts map[*watchdog]struct{}
 	stop     context.CancelFunc
--- a/server/entry/callers.go
+++ b/server/entry/callers.go
@@ -53,8 +53,9 @@
 // orgHandler serves one request of an authenticated organisation.
 type orgHandler func(w http.ResponseWriter, r *http.Request, snapshot *config.Snapshot, org config.Organisation) *result.Error
 
-// authenticated runs next for the organisation that the caller's key identifies
-// and answers with the error that next returns.
+// authenticated runs next for the organisation that the caller's key identifies.
+// If next returns an error before the response has started, the error is written as the
+// response.
 func (e *Entry) authenticated(next orgHandler) http.HandlerFunc {
 	return e.instrumented(func(w http.ResponseWriter, r *http.Request) *result.Error {
 		return e.serveOrg(w, r, next)
--- a/server/entry/limit/limit.go
+++ b/server/entry/limit/limit.go
@@ -204,7 +204,7 @@
 	return id, ""
 }
 
-// grant answers a lease request as the home entry of the organisation.
+// grant handles a lease request as the home entry of the organisation.
 func (l *Limiter) grant(request share.Ask) share.Grant {
 	snapshot := l.node.State().View.InForce
 	if snapshot == nil {
@@ -264,7 +264,7 @@
 	return requests
 }
 
-// receiver answers lease requests of other entries.
+// receiver is the RPC receiver for lease requests of other entries.
 type receiver struct{ limiter *Limiter }
 
 // Ask grants another entry a lease of an organisation's limits.
--- a/server/entry/middleware.go
+++ b/server/entry/middleware.go
@@ -41,8 +41,8 @@
 // started, the error is only recorded.
 type handlerFunc func(w http.ResponseWriter, r *http.Request) *result.Error
 
-// instrumented records the outcome of each request and answers with the error
-// that next returns.
+// instrumented records the outcome of each request. If next returns an
+// error before the response has started, the error is written as the response.
 func (e *Entry) instrumented(next handlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		start := time.Now()
--- a/server/entry/openai/openai.go
+++ b/server/entry/openai/openai.go
@@ -81,7 +81,7 @@
 	return prompt, nil
 }
 
-// Choices returns the number of choices asked for.
+// Choices returns the number of choices that the request asks for.
 func (r Request) Choices() int {
 	if r.N == nil {
 		return 1
--- a/server/mapcontrol/bench_test.go
+++ b/server/mapcontrol/bench_test.go
@@ -19,7 +19,7 @@
 )
 
 // modelEngines simulates the engines of a group whose ranks run passes in lockstep.
-// The demand for experts jumps every 40 passes.
+// The demand for experts shifts every 40 passes.
 type modelEngines struct {
 	model topology.Engine
 	size  int
--- a/server/mapcontrol/coordinator.go
+++ b/server/mapcontrol/coordinator.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// membersToRead returns the ranks of the epoch, including those that are no longer
-// listed, and some of the listed members whose group is unknown.
+// membersToRead returns the members of the group in the current epoch, including those
+// that c.members no longer lists, and some of the listed members whose group is unknown.
 func (c *coordinator) membersToRead(size int) []Member {
 	listed := c.members()
 	c.mu.Lock()
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -113,8 +113,8 @@
 	return &Rank{engine: engine, directEngine: directEngine, lastCallAt: time.Now(), maps: map[int64]mapswitch.Map{}}
 }
 
-// Read returns the rank's state and, if asked for, the increase of its counts and
-// its expert lists.
+// Read returns the rank's state and, if args request them, the increase of its counts
+// and its expert lists.
 func (r *Rank) Read(args ReadArgs, reply *ReadReply) error {
 	if err := r.checkFence(args.Caller); err != nil {
 		return err
