--- a/server/group/decision.go
+++ b/server/group/decision.go
@@ -12,12 +12,12 @@
 	"persimmonwind.dev/server/ports"
 )
 
-// decisionInterval is the minimum time between a recorded decision and the next
-// recorded one without moves.
+// decisionInterval is the minimum time between the latest recorded decision and the
+// next recorded one without moves.
 const decisionInterval = time.Minute
 
-// Decision is the planner's last decision about a group's map, kept for
-// operators.
+// Decision is the planner's last decision about a group's map, stored
+// for operators to read.
 type Decision struct {
 	At         time.Time `json:"at"`
 	Group      string    `json:"group"`
