--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -306,11 +306,11 @@
 	}
 }
 
-func later(one, two time.Time) time.Time {
-	if one.After(two) {
-		return one
+func later(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
 	}
-	return two
+	return b
 }
 
 // confirmWarm records that the backend server was warm when the work began.
--- a/policy/dispatch/choice_test.go
+++ b/policy/dispatch/choice_test.go
@@ -16,7 +16,7 @@
 type busyGroup struct {
 	entries  []*Dispatcher
 	active   []int         // Number of requests in flight, by server.
-	ends     [][]time.Time // When the streams in flight end, by server.
+	endTimes [][]time.Time // When the streams in flight end, by server.
 	arrivals [][]time.Time // When requests arrived, by server.
 	random   *rand.Rand
 }
@@ -29,7 +29,7 @@
 
 func newBusyGroup(entries, servers int) *busyGroup {
 	g := &busyGroup{
-		active: make([]int, servers), ends: make([][]time.Time, servers), arrivals: make([][]time.Time, servers),
+		active: make([]int, servers), endTimes: make([][]time.Time, servers), arrivals: make([][]time.Time, servers),
 		random: rand.New(rand.NewPCG(1, 2)),
 	}
 	for range entries {
@@ -49,12 +49,12 @@
 	}
 }
 
-// end ends the streams whose time has come. The slot of each is released at the
-// first entry that has a request at the server.
-func (g *busyGroup) end(now time.Time) {
-	for server := range g.ends {
-		for len(g.ends[server]) > 0 && !g.ends[server][0].After(now) {
-			g.ends[server] = g.ends[server][1:]
+// endStreams ends the streams whose end time has passed. The slot of each is released
+// at the first entry that has a request at the server.
+func (g *busyGroup) endStreams(now time.Time) {
+	for server := range g.endTimes {
+		for len(g.endTimes[server]) > 0 && !g.endTimes[server][0].After(now) {
+			g.endTimes[server] = g.endTimes[server][1:]
 			g.active[server]--
 			id := fmt.Sprint("s", server)
 			for _, d := range g.entries {
@@ -100,7 +100,7 @@
 			const seconds = 20
 			for i := range seconds * size.perSecond {
 				now = now.Add(time.Second / time.Duration(size.perSecond))
-				g.end(now)
+				g.endStreams(now)
 				if i%max(1, size.perSecond/int(time.Second/reportEvery)) == 0 {
 					g.report(now)
 				}
@@ -112,7 +112,7 @@
 				_, err := fmt.Sscanf(decision.Server.ID, "s%d", &server)
 				So(err, ShouldBeNil)
 				g.active[server]++
-				g.ends[server] = append(g.ends[server], now.Add(streamDuration))
+				g.endTimes[server] = append(g.endTimes[server], now.Add(streamDuration))
 				g.arrivals[server] = append(g.arrivals[server], now)
 			}
 			// A server reads about three prompts of the usual length in one pass.
--- a/policy/dispatch/queue.go
+++ b/policy/dispatch/queue.go
@@ -141,11 +141,11 @@
 // timedOut reports whether the ticket has waited in the queue for as long as it
 // may.
 func (d *Dispatcher) timedOut(ticket Ticket, now time.Time) bool {
-	late := ticket.SLODeadline.Add(lateGrace - d.firstAnswerMargin())
+	lateAt := ticket.SLODeadline.Add(lateGrace - d.firstAnswerMargin())
 	if d.gate.closed {
-		late = ticket.Deadline // The group may open at any moment, with all its slots free.
+		lateAt = ticket.Deadline // The group may open at any moment, with all its slots free.
 	}
-	return now.Sub(ticket.Arrived) > maxWait || now.After(late) || !now.Before(ticket.Deadline)
+	return now.Sub(ticket.Arrived) > maxWait || now.After(lateAt) || !now.Before(ticket.Deadline)
 }
 
 func (d *Dispatcher) anyMeetsSLO(now time.Time) bool {
--- a/policy/once/budget.go
+++ b/policy/once/budget.go
@@ -15,8 +15,7 @@
 )
 
 // Take takes a token for one final cancellation and reports whether one was
-// available.
-// entries is the number of live entries, which share the rate.
+// available. entries is the number of live entries, which share the rate.
 func (b CancelBudget) Take(now time.Time, entries int) (CancelBudget, bool) {
 	rate := finalCancelsPerSecond / float64(max(entries, 1))
 	if b.refilledAt.IsZero() {
--- a/policy/once/enumerate_test.go
+++ b/policy/once/enumerate_test.go
@@ -194,12 +194,12 @@
 			x.reportViolation("the answer belongs to a request with another body")
 			return
 		}
-		w.end(r)
+		w.endRequest(r)
 	case Refuse:
 		x.outcomes[effect.Code.String()]++
 		w.notRunBefore = max(w.notRunBefore, effect.NotRunBefore)
-		w.toldNotRun[i] = effect.NotRunBefore > 0 || effect.Code == result.KeyStateUnknown
-		w.end(r)
+		w.refusedAsNotRun[i] = effect.NotRunBefore > 0 || effect.Code == result.KeyStateUnknown
+		w.endRequest(r)
 	}
 	x.visit(step, w)
 }
@@ -215,7 +215,7 @@
 		}
 		next.sent[number].delivered = true
 		name := fmt.Sprintf("message %d arrives", number)
-		x.admit(name, next, number)
+		x.deliverAttempt(name, next, number)
 		if next.faultsLeft.Refusal > 0 {
 			next.faultsLeft.Refusal--
 			x.reply(name+" and is refused", next, number, Refused{Code: result.Overloaded})
@@ -223,7 +223,7 @@
 	}
 }
 
-func (x *explorer) admit(step string, w modelState, number int) {
+func (x *explorer) deliverAttempt(step string, w modelState, number int) {
 	message := w.sent[number]
 	for i := range w.execs {
 		if w.execs[i].used {
@@ -273,11 +273,11 @@
 			feed("starts after the deadline", next, WriteSucceeded{Late: true})
 		}
 	case CallBackend:
-		x.call(w, i, feed)
+		x.callBackend(w, i, feed)
 	}
 }
 
-func (x *explorer) call(w modelState, i int, feed func(string, modelState, reduce.Event)) {
+func (x *explorer) callBackend(w modelState, i int, feed func(string, modelState, reduce.Event)) {
 	if w.faultsLeft.BackendNotCalled > 0 {
 		next := w
 		next.faultsLeft.BackendNotCalled--
@@ -295,10 +295,10 @@
 	exec.machine, exec.effect = exec.machine.Step(event)
 	switch effect := exec.effect.(type) {
 	case Finish:
-		w.stop(exec)
+		w.stopExecution(exec)
 		x.reply(step, w, int(exec.message), Answered(effect))
 	case Refuse:
-		w.stop(exec)
+		w.stopExecution(exec)
 		if effect.Code == result.Superseded {
 			x.reply(step, w, int(exec.message), Superseded{})
 			return
@@ -322,7 +322,7 @@
 			if r.arrived && !r.finished {
 				next := w
 				next.faultsLeft.EntryCrash--
-				next.end(&next.requests[i])
+				next.endRequest(&next.requests[i])
 				x.visit(fmt.Sprintf("entry of request %d crashes", i), next)
 			}
 		}
--- a/policy/once/model_test.go
+++ b/policy/once/model_test.go
@@ -72,7 +72,7 @@
 	runNonce         string
 	runRequest       uint8
 	notRunBefore     uint64            // Highest NotRunBefore that a refusal carried.
-	toldNotRun       [maxRequests]bool // Requests whose refusal says that their own attempts did not run.
+	refusedAsNotRun  [maxRequests]bool // Requests whose refusal says that their own attempts did not run.
 }
 
 func (w modelState) violation() string {
@@ -81,7 +81,7 @@
 		return "the work ran twice"
 	case w.runs == 1 && w.runAdmittedEpoch < w.notRunBefore:
 		return fmt.Sprintf("the work of a request admitted at epoch %d ran although a refusal said \"not run\" below epoch %d", w.runAdmittedEpoch, w.notRunBefore)
-	case w.runs == 1 && w.toldNotRun[w.runRequest]:
+	case w.runs == 1 && w.refusedAsNotRun[w.runRequest]:
 		return fmt.Sprintf("request %d ran although its refusal said that its attempts did not run", w.runRequest)
 	}
 	return ""
@@ -109,12 +109,12 @@
 	return Inactive
 }
 
-// end discards the details of a request that has ended, so that model states that
-// differ only in them compare equal.
-func (w *modelState) end(r *requestState) { *r = requestState{arrived: true, finished: true} }
+// endRequest discards the details of a request that has ended, so that model states
+// that differ only in them compare equal.
+func (w *modelState) endRequest(r *requestState) { *r = requestState{arrived: true, finished: true} }
 
-// stop makes an execution inactive.
-func (w *modelState) stop(exec *execState) {
+// stopExecution makes an execution inactive.
+func (w *modelState) stopExecution(exec *execState) {
 	*exec = execState{used: true, message: exec.message}
 }
 
@@ -124,7 +124,7 @@
 	for i := range w.execs {
 		exec := &w.execs[i]
 		if exec.active && int(w.sent[exec.message].agent) == agent {
-			w.stop(exec)
+			w.stopExecution(exec)
 		}
 	}
 	return w
--- a/policy/wholesystem/store_test.go
+++ b/policy/wholesystem/store_test.go
@@ -56,14 +56,14 @@
 // acknowledged longer than takeOutBound ago, if no later revision has returned the
 // data centre; 0 for none.
 func (s *store) overdueTakeOut(dataCentre string, now time.Time) uint64 {
-	found := uint64(0)
+	overdueRevision := uint64(0)
 	for _, r := range s.revisions {
 		switch {
 		case !r.snapshot.DataCentres[dataCentre].TakenOut:
-			found = 0
-		case found == 0 && r.acknowledged && now.Sub(r.acknowledgedAt) > takeOutBound:
-			found = r.snapshot.Revision
+			overdueRevision = 0
+		case overdueRevision == 0 && r.acknowledged && now.Sub(r.acknowledgedAt) > takeOutBound:
+			overdueRevision = r.snapshot.Revision
 		}
 	}
-	return found
+	return overdueRevision
 }
--- a/policy/wholesystem/wholesystem_test.go
+++ b/policy/wholesystem/wholesystem_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// warmUp serves requests until the backend servers may be warm.
+// warmUp simulates this many rounds of requests, which may make the backend servers
+// warm.
 func (w *world) warmUp(rounds int) {
 	for range rounds {
 		w.advance(4, true)
@@ -179,11 +180,11 @@
 }
 
 func (w *world) drawProcess(t *rapid.T, match func(*process) bool) *process {
-	var found []*process
+	var matching []*process
 	for _, p := range w.processes {
 		if match(p) {
-			found = append(found, p)
+			matching = append(matching, p)
 		}
 	}
-	return found[rapid.IntRange(0, len(found)-1).Draw(t, "process")]
+	return matching[rapid.IntRange(0, len(matching)-1).Draw(t, "process")]
 }
--- a/policy/wholesystem/world_test.go
+++ b/policy/wholesystem/world_test.go
@@ -16,7 +16,7 @@
 	tickEvery    = 50 * time.Millisecond
 	pollEvery    = 2 // Ticks between two reads of a load report.
 	fetchTimeout = 4 * time.Second
-	maxPending   = 400
+	maxInFlight  = 400
 )
 
 var dataCentres = []string{"a", "b", "c"}
@@ -110,8 +110,9 @@
 }
 
 // checkRevision is the first check of the oracle: the revision in force never
-// decreases at a process. knownRedFlag enables a further check, which fails at present:
-// that the revision does not decrease across restarts of the process either.
+// decreases at a process. knownRedFlag enables a further check, which fails at
+// present: that the revision does not decrease across restarts of the process
+// either.
 func (w *world) checkRevision(p *process, before uint64) {
 	revision := p.state.View.Revision()
 	if revision < before {
@@ -240,7 +241,7 @@
 }
 
 func (w *world) send(m message) {
-	if len(w.inFlight) < maxPending {
+	if len(w.inFlight) < maxInFlight {
 		w.inFlight = append(w.inFlight, m)
 	}
 }
