--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -50,9 +50,9 @@
 	RecordStale          bool   // A write with unknown outcome may have changed the group's record.
 	StoreRequestInFlight bool   // A read or write of the group's record is in flight.
 
-	States   []EngineState // By rank: the engine's state as last reported.
-	Answered []bool        // By rank: the rank has replied in this query round.
-	Before   []EngineState // By rank: the engine's state as last reported before this query round.
+	States         []EngineState // By rank: the engine's state as last reported.
+	HasReplied     []bool        // By rank: the rank has replied in this query round.
+	PreviousStates []EngineState // By rank: the engine's state as last reported before this query round.
 
 	Change         Change // The change in progress.
 	ChangeProposed bool   // A change was proposed and has not started.
@@ -105,7 +105,7 @@
 	}
 	s.Coordinator = Coordinator{
 		MarginSteps: s.MarginSteps, Number: Number{Fence: event.Fence},
-		States: make([]EngineState, event.Ranks), Answered: make([]bool, event.Ranks),
+		States: make([]EngineState, event.Ranks), HasReplied: make([]bool, event.Ranks),
 	}
 	s.claim()
 }
@@ -132,8 +132,8 @@
 // next phase follows.
 func (s *transition) startRound() {
 	s.Number.Round++
-	s.Answered = make([]bool, len(s.Answered))
-	s.Before = s.States
+	s.HasReplied = make([]bool, len(s.HasReplied))
+	s.PreviousStates = s.States
 	s.Change = Change{}
 	s.enterPhase(Querying, 0)
 }
@@ -143,7 +143,7 @@
 	state := s.States[rank]
 	switch s.Phase {
 	case Querying:
-		return s.Answered[rank]
+		return s.HasReplied[rank]
 	case Preparing:
 		return state.Prepared == s.Change.ID
 	case Holding:
@@ -187,7 +187,7 @@
 // newer coordinator stops this one.
 func (s *transition) handleReply(event ReplyReceived) {
 	if event.Refused {
-		if event.Seen.Fence > s.Number.Fence {
+		if event.HighestSeen.Fence > s.Number.Fence {
 			s.Coordinator = Coordinator{MarginSteps: s.MarginSteps}
 		}
 		return
@@ -196,8 +196,8 @@
 		return
 	}
 	s.States = append([]EngineState(nil), s.States...)
-	s.Answered = append([]bool(nil), s.Answered...)
-	s.States[event.Rank], s.Answered[event.Rank] = event.State, true
+	s.HasReplied = append([]bool(nil), s.HasReplied...)
+	s.States[event.Rank], s.HasReplied[event.Rank] = event.State, true
 	if s.phaseFailed(event.State) {
 		s.startRound()
 		return
--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -50,7 +50,7 @@
 		return m.seen(seen.State, input.Now), nil
 	}
 	var effects, more []reduce.Effect
-	held := m.Lease.Held
+	held := m.Lease.IsHolder
 	m.Lease, effects = lease.Step(m.Lease, input)
 	m.OrderFilter, more = StepRank(m.OrderFilter, input)
 	effects = append(effects, more...)
@@ -59,11 +59,11 @@
 			m.Lease, _ = lease.Step(m.Lease, reduce.Input{Now: input.Now, Event: lease.HolderSeen{Fence: forward.Order.Number.Fence}})
 		}
 	}
-	if m.Lease.Held && (!held || m.Coordinator.Number.Fence < m.Lease.Fence) {
+	if m.Lease.IsHolder && (!held || m.Coordinator.Number.Fence < m.Lease.Fence) {
 		m.Coordinator, more = StepCoordinator(m.Coordinator, reduce.Input{Now: input.Now, Event: LeaseAcquired{Fence: m.Lease.Fence, Ranks: m.Size}})
 		effects = append(effects, more...)
 	}
-	if held && !m.Lease.Held {
+	if held && !m.Lease.IsHolder {
 		m.Coordinator, _ = StepCoordinator(m.Coordinator, reduce.Input{Now: input.Now, Event: LeaseLost{}})
 	}
 	m.Coordinator, more = StepCoordinator(m.Coordinator, input)
--- a/policy/lease/lease.go
+++ b/policy/lease/lease.go
@@ -34,7 +34,7 @@
 	Self          string        // Name of this candidate.
 	TakeoverDelay time.Duration // Added to the lease timeout, so that candidates do not race.
 
-	Held         bool      // This candidate holds the lease as far as it knows.
+	IsHolder     bool      // This candidate holds the lease as far as it knows.
 	Fence        uint64    // Highest fencing number seen; the candidate's own one while Held.
 	Version      uint64    // Version of the row when it was last read or written.
 	Nonce        uint64    // Nonce of this candidate's last write.
@@ -44,32 +44,32 @@
 	NextReadAt   time.Time // When the row is read next.
 }
 
-// Read carries the row that was read. Version 0 means that the row does not exist.
-type Read struct {
+// RowRead carries the row that was read. Version 0 means that the row does not exist.
+type RowRead struct {
 	Row     Row
 	Version uint64
 }
 
-func (Read) EventName() string { return "lease.read" }
+func (RowRead) EventName() string { return "lease.read" }
 
-// Failed reports that a read failed or that the outcome of a write is unknown.
-type Failed struct{}
+// RowAccessFailed reports that a read failed or that the outcome of a write is unknown.
+type RowAccessFailed struct{}
 
-func (Failed) EventName() string { return "lease.failed" }
+func (RowAccessFailed) EventName() string { return "lease.failed" }
 
-// Written reports that a write of the row was applied, and the row's new version.
-type Written struct {
+// RowWritten reports that a write of the row was applied, and the row's new version.
+type RowWritten struct {
 	Row     Row
 	Version uint64
 }
 
-func (Written) EventName() string { return "lease.written" }
+func (RowWritten) EventName() string { return "lease.written" }
 
-// Conflict reports that nothing was written because the row had another version than
+// WriteConflict reports that nothing was written because the row had another version than
 // the write required.
-type Conflict struct{}
+type WriteConflict struct{}
 
-func (Conflict) EventName() string { return "lease.conflict" }
+func (WriteConflict) EventName() string { return "lease.conflict" }
 
 // HolderSeen reports that an order of the holder with the fencing number has arrived.
 // It shows that the holder is alive, so that the candidate need not read the row yet.
@@ -98,16 +98,16 @@
 		return s.tick(input)
 	case HolderSeen:
 		return s.holderSeen(event, input.Now), nil
-	case Read:
+	case RowRead:
 		s.InFlight = false
 		return s.read(event, input)
-	case Written:
+	case RowWritten:
 		s.InFlight = false
 		return s.observe(event.Row, event.Version, input.Now), nil
-	case Conflict:
+	case WriteConflict:
 		s.InFlight = false
 		s.NextReadAt = input.Now
-	case Failed:
+	case RowAccessFailed:
 		s.InFlight = false
 		s.NextReadAt = input.Now.Add(retryInterval)
 	}
@@ -126,7 +126,7 @@
 
 // holderSeen notes that the holder is alive and postpones the next read of the row.
 func (s State) holderSeen(event HolderSeen, now time.Time) State {
-	if s.Held || event.Fence < s.Fence {
+	if s.IsHolder || event.Fence < s.Fence {
 		return s
 	}
 	s.Fence, s.HolderSeenAt = event.Fence, now
@@ -136,12 +136,12 @@
 
 // read handles a read of the row: it renews the lease if this candidate holds it, or
 // acquires the lease if it is free.
-func (s State) read(event Read, input reduce.Input) (State, []reduce.Effect) {
+func (s State) read(event RowRead, input reduce.Input) (State, []reduce.Effect) {
 	s = s.observe(event.Row, event.Version, input.Now)
 	isFree := event.Version == 0 || input.Now.Sub(s.HolderSeenAt) >= leaseTimeout+s.TakeoverDelay
 	row := Row{Holder: s.Self, Fence: event.Row.Fence, Nonce: input.Random}
 	switch {
-	case s.Held:
+	case s.IsHolder:
 	case isFree:
 		row.Fence++
 	default:
@@ -158,7 +158,7 @@
 		s.HolderSeenAt = now
 	}
 	wroteRow := version > 0 && s.Nonce != 0 && row.Holder == s.Self && row.Nonce == s.Nonce
-	s.Held = wroteRow || (s.Held && row.Fence == s.Fence)
+	s.IsHolder = wroteRow || (s.IsHolder && row.Fence == s.Fence)
 	s.Row, s.Version = row, version
 	s.Fence = max(s.Fence, row.Fence)
 	return s
--- a/policy/lease/lease_test.go
+++ b/policy/lease/lease_test.go
@@ -30,10 +30,10 @@
 // event that tells the candidate the result.
 func (r *tableRow) write(effect lease.WriteRow) reduce.Event {
 	if r.version != effect.IfVersion {
-		return lease.Conflict{}
+		return lease.WriteConflict{}
 	}
 	r.Row, r.version = effect.Row, r.version+1
-	return lease.Written{Row: r.Row, Version: r.version}
+	return lease.RowWritten{Row: r.Row, Version: r.version}
 }
 
 // stepCandidate applies the input to the candidate's state and executes the
@@ -42,12 +42,12 @@
 	state, effects := lease.Step(state, input)
 	for _, effect := range effects {
 		lost := rapid.IntRange(0, 3).Draw(t, "lost") == 0
-		var answer reduce.Event = lease.Read{Row: table.Row, Version: table.version}
+		var answer reduce.Event = lease.RowRead{Row: table.Row, Version: table.version}
 		if write, ok := effect.(lease.WriteRow); ok {
 			answer = table.write(write)
 		}
 		if lost {
-			answer = lease.Failed{}
+			answer = lease.RowAccessFailed{}
 		}
 		input.Event, input.Random = answer, rapid.Uint64Min(1).Draw(t, "random")
 		state = stepCandidate(t, table, state, input)
@@ -66,7 +66,7 @@
 			index := rapid.IntRange(0, len(states)-1).Draw(t, "candidate")
 			state := stepCandidate(t, table, states[index], reduce.Input{Now: now, Event: reduce.Tick{}})
 			states[index] = state
-			if !state.Held {
+			if !state.IsHolder {
 				continue
 			}
 			if before, ok := holders[state.Fence]; ok && before != state.Self {
--- a/policy/mapswitch/change.go
+++ b/policy/mapswitch/change.go
@@ -43,9 +43,9 @@
 // experts in each set and of ranks.
 type Shape struct{ Sets, Experts, Ranks int }
 
-// InTurn returns the expert map that a new group starts with: the experts of
+// RoundRobinMap returns the expert map that a new group starts with: the experts of
 // each expert set are assigned to the ranks round-robin.
-func InTurn(shape Shape) Map {
+func RoundRobinMap(shape Shape) Map {
 	roundRobin := make(Map, shape.Sets)
 	for set := range roundRobin {
 		roundRobin[set] = make([][]int, shape.Ranks)
@@ -67,7 +67,7 @@
 	for _, experts := range m[0] {
 		shape.Experts += len(experts)
 	}
-	if len(Changes(InTurn(shape), m)) > 0 {
+	if len(Changes(RoundRobinMap(shape), m)) > 0 {
 		return Shape{}, false
 	}
 	return shape, true
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -52,18 +52,18 @@
 
 func (ConfigurationRead) EventName() string { return "topology.configuration_read" }
 
-// TakenOutRead reports whether a data centre is taken out.
-type TakenOutRead struct {
+// DataCentreRead reports whether a data centre is taken out.
+type DataCentreRead struct {
 	DataCentre string
-	Out        bool
+	TakenOut   bool
 }
 
-func (TakenOutRead) EventName() string { return "topology.taken_out_read" }
+func (DataCentreRead) EventName() string { return "topology.taken_out_read" }
 
-// TakenOutListed carries all data centres that are taken out.
-type TakenOutListed struct{ DataCentres []string }
+// TakenOutDataCentresListed carries all data centres that are taken out.
+type TakenOutDataCentresListed struct{ DataCentres []string }
 
-func (TakenOutListed) EventName() string { return "topology.taken_out_listed" }
+func (TakenOutDataCentresListed) EventName() string { return "topology.taken_out_listed" }
 
 // ServerRead carries one row of the list of servers.
 type ServerRead struct{ Server Server }
@@ -114,9 +114,9 @@
 		return s.dropExpired(input.Now)
 	case ConfigurationRead:
 		return s.install(event.Config)
-	case TakenOutRead:
-		return s.setTakenOut(event.DataCentre, event.Out)
-	case TakenOutListed:
+	case DataCentreRead:
+		return s.setTakenOut(event.DataCentre, event.TakenOut)
+	case TakenOutDataCentresListed:
 		return s.replaceTakenOut(event.DataCentres)
 	case ServerRead:
 		return s.updateServer(event.Server, input.Now)
--- a/policy/topology/topology_test.go
+++ b/policy/topology/topology_test.go
@@ -97,9 +97,9 @@
 			So(candidateIDs(s), ShouldBeEmpty)
 		})
 		Convey("no server in a data centre that is taken out gets work until the data centre is returned", func() {
-			s = applyEvents(s, &now, TakenOutRead{DataCentre: "a", Out: true})
+			s = applyEvents(s, &now, DataCentreRead{DataCentre: "a", TakenOut: true})
 			So(candidateIDs(s), ShouldBeEmpty)
-			s = applyEvents(s, &now, TakenOutListed{})
+			s = applyEvents(s, &now, TakenOutDataCentresListed{})
 			So(candidateIDs(s), ShouldHaveLength, 3)
 		})
 		Convey("a server whose address belongs to a newer server is left out", func() {
--- a/server/group/table.go
+++ b/server/group/table.go
@@ -20,7 +20,7 @@
 func (g *Group) executeTable(ctx context.Context, effect reduce.Effect) bool {
 	switch effect := effect.(type) {
 	case lease.ReadRow:
-		go g.read(ctx, g.leaseKey(), lease.Failed{}, leaseRead)
+		go g.read(ctx, g.leaseKey(), lease.RowAccessFailed{}, leaseRead)
 	case expertmap.ReadFence:
 		go g.read(ctx, g.leaseKey(), expertmap.FenceReadFailed{}, fenceRead)
 	case expertmap.ReadRecord:
@@ -55,7 +55,7 @@
 func leaseRead(row ports.Row) (reduce.Event, error) {
 	var value lease.Row
 	err := decode(row, &value)
-	return lease.Read{Row: value, Version: row.Version}, err
+	return lease.RowRead{Row: value, Version: row.Version}, err
 }
 
 func fenceRead(row ports.Row) (reduce.Event, error) {
@@ -83,11 +83,11 @@
 	version, err := g.write(ctx, g.leaseKey(), write.Row, write.IfVersion)
 	switch {
 	case err == nil:
-		g.node.Loop.Post(lease.Written{Row: write.Row, Version: version})
+		g.node.Loop.Post(lease.RowWritten{Row: write.Row, Version: version})
 	case outcomeUnknown(err):
-		g.node.Loop.Post(lease.Failed{})
+		g.node.Loop.Post(lease.RowAccessFailed{})
 	default:
-		g.node.Loop.Post(lease.Conflict{})
+		g.node.Loop.Post(lease.WriteConflict{})
 	}
 }
 
