--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -37,8 +37,8 @@
 	if m.Group != "" || group == "" {
 		return m
 	}
-	wait := time.Duration(rank) * leaseDelayPerRank
-	return Member{Group: group, Rank: rank, Size: size, Lease: lease.State{Self: self, TakeoverDelay: wait}}
+	takeoverDelay := time.Duration(rank) * leaseDelayPerRank
+	return Member{Group: group, Rank: rank, Size: size, Lease: lease.State{Self: self, TakeoverDelay: takeoverDelay}}
 }
 
 // StepMember applies one input and returns the new state and its effects.
@@ -46,11 +46,11 @@
 	if m.Group == "" {
 		return m, nil
 	}
-	if seen, ok := input.Event.(EngineReported); ok {
-		return m.seen(seen.State, input.Now), nil
+	if report, ok := input.Event.(EngineReported); ok {
+		return m.updateBlocked(report.State, input.Now), nil
 	}
 	var effects, more []reduce.Effect
-	held := m.Lease.IsHolder
+	wasHolder := m.Lease.IsHolder
 	m.Lease, effects = lease.Step(m.Lease, input)
 	m.OrderFilter, more = StepRank(m.OrderFilter, input)
 	effects = append(effects, more...)
@@ -59,19 +59,19 @@
 			m.Lease, _ = lease.Step(m.Lease, reduce.Input{Now: input.Now, Event: lease.HolderSeen{Fence: forward.Order.Number.Fence}})
 		}
 	}
-	if m.Lease.IsHolder && (!held || m.Coordinator.Number.Fence < m.Lease.Fence) {
+	if m.Lease.IsHolder && (!wasHolder || m.Coordinator.Number.Fence < m.Lease.Fence) {
 		m.Coordinator, more = StepCoordinator(m.Coordinator, reduce.Input{Now: input.Now, Event: LeaseAcquired{Fence: m.Lease.Fence, Ranks: m.Size}})
 		effects = append(effects, more...)
 	}
-	if held && !m.Lease.IsHolder {
+	if wasHolder && !m.Lease.IsHolder {
 		m.Coordinator, _ = StepCoordinator(m.Coordinator, reduce.Input{Now: input.Now, Event: LeaseLost{}})
 	}
 	m.Coordinator, more = StepCoordinator(m.Coordinator, input)
 	return m, append(effects, more...)
 }
 
-// seen updates whether the engine is blocked from its reported state.
-func (m Member) seen(state EngineState, now time.Time) Member {
+// updateBlocked updates whether the engine is blocked from its reported state.
+func (m Member) updateBlocked(state EngineState, now time.Time) Member {
 	if state.CanRunNext() || m.LastRunnableAt.IsZero() {
 		m.LastRunnableAt = now
 	}
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -79,16 +79,16 @@
 // before. Before the agent knows the fencing number, it refuses every order and reads
 // the number.
 func (r Rank) handleOrder(event OrderReceived) (Rank, []reduce.Effect) {
-	refuse := RefuseOrder{RequestID: event.RequestID, HighestSeen: r.HighestSeen, FenceKnown: r.FenceKnown}
+	refusal := RefuseOrder{RequestID: event.RequestID, HighestSeen: r.HighestSeen, FenceKnown: r.FenceKnown}
 	if !r.FenceKnown && r.ReadingFence {
-		return r, []reduce.Effect{refuse}
+		return r, []reduce.Effect{refusal}
 	}
 	if !r.FenceKnown {
 		r.ReadingFence = true
-		return r, []reduce.Effect{refuse, ReadFence{}}
+		return r, []reduce.Effect{refusal, ReadFence{}}
 	}
 	if event.Order.Number.Less(r.HighestSeen) {
-		return r, []reduce.Effect{refuse}
+		return r, []reduce.Effect{refusal}
 	}
 	r.HighestSeen = event.Order.Number
 	return r, []reduce.Effect{Forward(event)}
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -38,10 +38,10 @@
 	recheckRequestedAt time.Time // When the second check of the sender was requested; zero until it has been.
 }
 
-// putHold orders a rank to hold the pass and waits until it does. Ranks are armed
+// orderHold orders a rank to hold the pass and waits until it does. Ranks are armed
 // only after the hold is in place and the machine that sent the order still
 // answers: a machine that stopped just then could not be armed.
-func (s State) putHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
+func (s State) orderHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	holder := s.Ranks[s.Hold.Rank]
 	heldPass := holder.State.HeldPass
 	switch {
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -323,7 +323,7 @@
 		s, releases = s.releaseLateHolds(now)
 		orders = append(orders, releases...)
 	case Holding:
-		s, phaseChange, orders = s.putHold(now)
+		s, phaseChange, orders = s.orderHold(now)
 	case Arming:
 		s, phaseChange, orders = s.arm(now)
 	case Releasing:
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -18,8 +18,8 @@
 	var effects []reduce.Effect
 	for id := range s.Size {
 		rank := s.Ranks[id]
-		waited := now.Sub(rank.OrderedAt)
-		if !needs(rank) || waited < resendDelay || rank.OrderPending && waited < orderCallTimeout {
+		sinceLastOrder := now.Sub(rank.OrderedAt)
+		if !needs(rank) || sinceLastOrder < resendDelay || rank.OrderPending && sinceLastOrder < orderCallTimeout {
 			continue
 		}
 		rank.OrderedAt, rank.OrderPending = now, true
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -92,10 +92,10 @@
 
 // arm orders all ranks to switch to the version before the held pass.
 func (s State) arm(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
-	armed := func(r Rank) bool {
+	isArmed := func(r Rank) bool {
 		return r.State.MapVersion == s.Version || r.State.Armed == s.Version && r.State.ArmedPass == s.Hold.Pass
 	}
-	if s.allRanks(armed) {
+	if s.allRanks(isArmed) {
 		s, phaseChange := s.enterPhase(Releasing, "all ranks armed", now)
 		return s, phaseChange, nil
 	}
@@ -104,7 +104,7 @@
 		return s, phaseChange, nil
 	}
 	return s, nil, s.order(now, topology.Order{Kind: topology.Arm, Version: s.Version, Pass: s.Hold.Pass},
-		func(r Rank) bool { return !armed(r) })
+		func(r Rank) bool { return !isArmed(r) })
 }
 
 // release orders the rank that holds the pass to let the group begin it.
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -174,19 +174,19 @@
 // layers of the time that they take if the load is spread evenly. Layers without a load
 // are left out.
 func Skew(shape Shape, placement Placement, load [][]float64, slowness []float64) float64 {
-	var slowestTime, even float64
+	var slowestTime, evenlySpreadTime float64
 	for layer := range placement {
 		if load[layer] == nil {
 			continue
 		}
 		s := newSearch(shape, placement[layer], load[layer], slowness)
 		slowestTime += s.slowestTime()
-		even += evenTime(load[layer], s.slowness)
+		evenlySpreadTime += evenTime(load[layer], s.slowness)
 	}
-	if even == 0 {
+	if evenlySpreadTime == 0 {
 		return 1
 	}
-	return slowestTime / even
+	return slowestTime / evenlySpreadTime
 }
 
 // evenTime returns the time of a layer whose ranks all finish at the same time.
--- a/policy/planner/recompute.go
+++ b/policy/planner/recompute.go
@@ -15,11 +15,11 @@
 
 // recomputeLayer computes the placement of one layer from scratch.
 func recomputeLayer(shape Shape, load, slowness []float64) []uint16 {
-	items := replicate(load, shape.Ranks*shape.Slots)
-	share := func(expert uint16) float64 { return load[expert] / float64(items.count[expert]) }
-	sort.SliceStable(items.experts, func(i, j int) bool { return share(items.experts[i]) > share(items.experts[j]) })
+	replicas := replicate(load, shape.Ranks*shape.Slots)
+	share := func(expert uint16) float64 { return load[expert] / float64(replicas.count[expert]) }
+	sort.SliceStable(replicas.experts, func(i, j int) bool { return share(replicas.experts[i]) > share(replicas.experts[j]) })
 	packing := newPacking(shape, slowness)
-	for _, expert := range items.experts {
+	for _, expert := range replicas.experts {
 		packing.placeReplica(expert, share(expert))
 	}
 	return packing.slots
@@ -54,17 +54,17 @@
 
 // packing assigns the replicas of a layer to ranks one by one.
 type packing struct {
-	shape    Shape
-	slowness []float64
-	slots    []uint16  // Expert in each slot.
-	used     []int     // By rank: number of slots that are filled.
-	rankTime []float64 // By rank: time for the load of its replicas.
+	shape       Shape
+	slowness    []float64
+	slots       []uint16  // Expert in each slot.
+	filledSlots []int     // By rank: number of slots that are filled.
+	rankTime    []float64 // By rank: time for the load of its replicas.
 }
 
 func newPacking(shape Shape, slowness []float64) *packing {
 	return &packing{
 		shape: shape, slowness: slowness, slots: make([]uint16, shape.Ranks*shape.Slots),
-		used: make([]int, shape.Ranks), rankTime: make([]float64, shape.Ranks),
+		filledSlots: make([]int, shape.Ranks), rankTime: make([]float64, shape.Ranks),
 	}
 }
 
@@ -73,19 +73,19 @@
 // expert are preferred.
 func (p *packing) placeReplica(expert uint16, share float64) {
 	best := -1
-	bestHolds := false
-	for rank := range p.used {
-		if p.used[rank] == p.shape.Slots {
+	bestHasReplica := false
+	for rank := range p.filledSlots {
+		if p.filledSlots[rank] == p.shape.Slots {
 			continue
 		}
-		holds := p.holds(rank, expert)
-		better := best < 0 || (bestHolds && !holds) || (bestHolds == holds && p.rankTime[rank] < p.rankTime[best])
-		if better && (best < 0 || bestHolds || !holds) {
-			best, bestHolds = rank, holds
+		hasReplica := p.rankHolds(rank, expert)
+		better := best < 0 || (bestHasReplica && !hasReplica) || (bestHasReplica == hasReplica && p.rankTime[rank] < p.rankTime[best])
+		if better && (best < 0 || bestHasReplica || !hasReplica) {
+			best, bestHasReplica = rank, hasReplica
 		}
 	}
-	p.slots[best*p.shape.Slots+p.used[best]] = expert
-	p.used[best]++
+	p.slots[best*p.shape.Slots+p.filledSlots[best]] = expert
+	p.filledSlots[best]++
 	slow := 1.0
 	if p.slowness != nil {
 		slow = p.slowness[best]
@@ -93,8 +93,8 @@
 	p.rankTime[best] += share * slow
 }
 
-func (p *packing) holds(rank int, expert uint16) bool {
-	for _, held := range p.slots[rank*p.shape.Slots : rank*p.shape.Slots+p.used[rank]] {
+func (p *packing) rankHolds(rank int, expert uint16) bool {
+	for _, held := range p.slots[rank*p.shape.Slots : rank*p.shape.Slots+p.filledSlots[rank]] {
 		if held == expert {
 			return true
 		}
@@ -141,25 +141,25 @@
 		}
 	}
 	sort.SliceStable(pairs, func(i, j int) bool { return pairs[i].common > pairs[j].common })
-	target, taken := make([]int, shape.Ranks), make([]bool, shape.Ranks)
-	for from := range target {
-		target[from] = -1
+	targetRank, targetTaken := make([]int, shape.Ranks), make([]bool, shape.Ranks)
+	for from := range targetRank {
+		targetRank[from] = -1
 	}
 	for _, p := range pairs {
-		if target[p.from] < 0 && !taken[p.to] {
-			target[p.from], taken[p.to] = p.to, true
+		if targetRank[p.from] < 0 && !targetTaken[p.to] {
+			targetRank[p.from], targetTaken[p.to] = p.to, true
 		}
 	}
 	free := 0
 	result := make([]uint16, len(next))
-	for from := range target {
-		if target[from] < 0 {
-			for taken[free] {
+	for from := range targetRank {
+		if targetRank[from] < 0 {
+			for targetTaken[free] {
 				free++
 			}
-			target[from], taken[free] = free, true
+			targetRank[from], targetTaken[free] = free, true
 		}
-		alignSlots(rankSlots(shape, result, target[from]), rankSlots(shape, current, target[from]), rankSlots(shape, next, from))
+		alignSlots(rankSlots(shape, result, targetRank[from]), rankSlots(shape, current, targetRank[from]), rankSlots(shape, next, from))
 	}
 	return result
 }
@@ -186,20 +186,20 @@
 // alignSlots writes next into result such that experts that stay on the rank keep
 // their slots.
 func alignSlots(result, current, next []uint16) {
-	rest := append([]uint16(nil), next...)
-	kept := make([]bool, len(current))
+	unplaced := append([]uint16(nil), next...)
+	filled := make([]bool, len(current))
 	for slot, expert := range current {
-		for i, wanted := range rest {
-			if wanted == expert {
-				result[slot], kept[slot] = expert, true
-				rest = append(rest[:i], rest[i+1:]...)
+		for i, candidate := range unplaced {
+			if candidate == expert {
+				result[slot], filled[slot] = expert, true
+				unplaced = append(unplaced[:i], unplaced[i+1:]...)
 				break
 			}
 		}
 	}
 	for slot := range result {
-		if !kept[slot] {
-			result[slot], rest = rest[0], rest[1:]
+		if !filled[slot] {
+			result[slot], unplaced = unplaced[0], unplaced[1:]
 		}
 	}
 }
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -102,14 +102,14 @@
 // gains more.
 func (s *search) trySwap(best *candidate, slot, other int) {
 	a, b := s.slotExperts[slot], s.slotExperts[other]
-	shifted := s.share[a] - s.share[b]
-	if shifted <= 0 {
+	loadDifference := s.share[a] - s.share[b]
+	if loadDifference <= 0 {
 		return
 	}
 	hot, cold := slot/s.slotsPerRank, other/s.slotsPerRank
-	worst := max(s.rankTime[hot]-shifted*s.slowness[hot], s.rankTime[cold]+shifted*s.slowness[cold])
+	worst := max(s.rankTime[hot]-loadDifference*s.slowness[hot], s.rankTime[cold]+loadDifference*s.slowness[cold])
 	gain := (s.rankTime[hot] - worst) / 2
-	if gain <= best.gain || s.holds(cold, a) || s.holds(hot, b) {
+	if gain <= best.gain || s.rankHolds(cold, a) || s.rankHolds(hot, b) {
 		return
 	}
 	*best = candidate{changes: [2]change{{slot, b}, {other, a}}, moves: 2, gain: gain}
@@ -126,7 +126,7 @@
 	cold := other / s.slotsPerRank
 	saved := (s.share[expert] - share) * s.slowness[hot]
 	worst := max(s.rankTime[hot]-saved, s.rankTime[cold]+(share-s.share[spare])*s.slowness[cold])
-	if s.rankTime[hot]-worst <= best.gain || s.holds(cold, expert) {
+	if s.rankTime[hot]-worst <= best.gain || s.rankHolds(cold, expert) {
 		return
 	}
 	added := s.load[spare]/float64(s.replicas[spare]-1) - s.share[spare]
@@ -144,7 +144,7 @@
 	}
 }
 
-func (s *search) holds(rank int, expert uint16) bool {
+func (s *search) rankHolds(rank int, expert uint16) bool {
 	for _, held := range s.slotExperts[rank*s.slotsPerRank : (rank+1)*s.slotsPerRank] {
 		if held == expert {
 			return true
@@ -161,7 +161,7 @@
 	s.slotExperts[c.slot] = c.expert
 	s.replicas[before]--
 	s.replicas[c.expert]++
-	s.slotsByExpert[before] = without(s.slotsByExpert[before], c.slot)
+	s.slotsByExpert[before] = removeSlot(s.slotsByExpert[before], c.slot)
 	s.slotsByExpert[c.expert] = append(s.slotsByExpert[c.expert], c.slot)
 	s.addLoad(before, 1)
 	s.addLoad(c.expert, 1)
@@ -177,7 +177,7 @@
 	}
 }
 
-func without(slots []int, slot int) []int {
+func removeSlot(slots []int, slot int) []int {
 	kept := slots[:0]
 	for _, s := range slots {
 		if s != slot {
--- a/policy/topology/snapshot.go
+++ b/policy/topology/snapshot.go
@@ -65,11 +65,11 @@
 			latest[server.Server.Address] = id
 		}
 	}
-	kept := make(map[string]ServerState, len(latest))
+	servers := make(map[string]ServerState, len(latest))
 	for _, id := range latest {
-		kept[id] = s.Servers[id]
+		servers[id] = s.Servers[id]
 	}
-	return kept
+	return servers
 }
 
 // index builds the indexes of routes by host and of organisations by key.
