--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -302,7 +302,8 @@
 	s.enterPhase(Preparing, prepareTimeout)
 }
 
-// newestVersion returns the highest version of a change that a rank uses or has held.
+// newestVersion returns the highest version of a change that a rank uses or has been
+// ordered to wait for.
 func (s *transition) newestVersion() uint64 {
 	var version uint64
 	for _, state := range s.States {
@@ -312,7 +313,7 @@
 }
 
 // handleAllPrepared commits the first map of a group. For any other change it selects
-// the first step and orders the ranks to hold before it.
+// the first step and orders the ranks to wait before it.
 func (s *transition) handleAllPrepared() {
 	if s.installsFirstMap() {
 		s.commit()
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -5,8 +5,8 @@
 // and completes or aborts it.
 //
 // A change must be completed if a rank was released for it, or if it is in the
-// group's record and every rank that has a map holds it and has not voided it.
-// Otherwise it is aborted: no rank was released, and either the change can't be
+// group's record and every rank that has a map waits before its first step and has
+// not voided it. Otherwise it is aborted: no rank was released, and either the change can't be
 // committed any more or a rank may have continued without it.
 func (s *transition) resolveRound() {
 	if !s.groupStopped() {
@@ -75,8 +75,8 @@
 	s.RetryAt = s.now.Add(pollInterval)
 }
 
-// heldChange returns the change that the first rank with a hold holds; none if no rank
-// holds any.
+// heldChange returns the change before whose first step a rank waits, for the first
+// such rank, or the zero value if there is none.
 func (s *transition) heldChange() Change {
 	for _, state := range s.States {
 		if !state.Hold.IsNone() {
@@ -87,7 +87,8 @@
 }
 
 // mustComplete reports whether a rank was released for the change, or the change is in
-// the group's record and every rank with a map holds it and has not voided it.
+// the group's record and every rank with a map waits before its first step and has not
+// voided it.
 func (s *transition) mustComplete(change Change) bool {
 	allHold := true
 	for _, state := range s.States {
--- a/policy/expertmap/expertmap.go
+++ b/policy/expertmap/expertmap.go
@@ -1,11 +1,11 @@
 // Package expertmap implements the protocol by which a group of ranks changes
 // its expert map, as pure state machines. The ranks run the steps of the model in
-// lock step. Every rank prepares the next map by loading its weights, and holds: it
-// does not run a chosen step, the change's first step, until it is told how the
-// change ends. The change is committed in the group's record, a row of the table
+// lock step. Every rank prepares the next map by loading its weights. It then waits
+// before a chosen step, the change's first step, until the change is released or
+// aborted; this is called a hold. The change is committed in the group's record, a row of the table
 // service, and the ranks are then released to switch to the map at that step. If the
 // outcome of the commit is unknown, the ranks void the change before they abort it:
-// a rank that has voided a change keeps holding and refuses the release, so that a
+// a rank that has voided a change keeps waiting and refuses the release, so that a
 // commit which takes effect late releases no rank.
 //
 // Invariant: all ranks that run a step use the same map for it.
@@ -56,8 +56,8 @@
 	Prepare Kind = "prepare" // Load the weights of the map.
 	Hold    Kind = "hold"    // Wait before the change's first step until the change is released or aborted.
 	Release Kind = "release" // Switch to the map at the change's first step; the change is committed.
-	Void    Kind = "void"    // Keep holding, but refuse a release of the change by this coordinator or an older one.
-	Abort   Kind = "abort"   // Stop holding, drop the change and keep the map in force.
+	Void    Kind = "void"    // Keep waiting, but refuse a release of the change by this coordinator or an older one.
+	Abort   Kind = "abort"   // Stop waiting, drop the change and keep the map in force.
 	Install Kind = "install" // Adopt the given state; ignored by a rank that has a map.
 )
 
--- a/policy/mapswitch/change.go
+++ b/policy/mapswitch/change.go
@@ -57,7 +57,7 @@
 	return roundRobin
 }
 
-// RoundRobinShape returns the shape of an expert map that InTurn produced. ok is false
+// RoundRobinShape returns the shape of an expert map that RoundRobinMap returned. ok is false
 // for any other map.
 func RoundRobinShape(m Map) (Shape, bool) {
 	if len(m) == 0 {
--- a/policy/mapswitch/group_test.go
+++ b/policy/mapswitch/group_test.go
@@ -88,7 +88,7 @@
 	return send.Order
 }
 
-// beginPass begins the next pass unless a rank holds it. It returns an error if two
+// beginPass begins the next pass unless a rank waits before it until it is released. It returns an error if two
 // ranks then have different maps.
 func (g *modelGroup) beginPass() error {
 	for _, r := range g.ranks {
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// holdTimeout is the maximum time from ordering a rank to hold a pass to arming
-	// the ranks for that pass. It leaves time for several calls between small
+	// holdTimeout is the maximum time from ordering a rank to wait before a pass to
+	// arming the ranks for that pass. It leaves time for several calls between small
 	// machines.
 	holdTimeout = 100*time.Millisecond + holdSettleTime
 	// holdSettleTime is the delay between the reply to an order to hold and the
@@ -29,18 +29,19 @@
 // given pass until it is released. As all ranks run passes in lock step, this keeps
 // the whole group from beginning it.
 type Hold struct {
-	Rank int   // The rank that holds the pass.
+	Rank int   // The rank that is ordered to wait before the pass.
 	Pass int64 // The pass that the group must not begin yet.
 
-	firstOrderedAt     time.Time // When a rank was first ordered to hold a pass for this change.
+	firstOrderedAt     time.Time // When a rank was first ordered to wait before a pass for this change.
 	senderRank         int       // The rank whose agent sends the order.
 	answeredAt         time.Time // When the call to the sender returned; zero until it has.
 	recheckRequestedAt time.Time // When the second check of the sender was requested; zero until it has been.
 }
 
-// orderHold orders a rank to hold the pass and waits until it does. Ranks are armed
-// only after the hold is in place and the machine that sent the order still
-// answers: a machine that stopped just then could not be armed.
+// orderHold orders a rank to wait before the pass until it is released, and stays in
+// the phase until the rank reports the hold. Ranks are armed only after that, and
+// after the agent that sent the order has replied to another call: if its machine had
+// stopped just then, the rank on that machine could not be armed.
 func (s State) orderHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	holder := s.Ranks[s.Hold.Rank]
 	heldPass := holder.State.HeldPass
@@ -58,8 +59,8 @@
 		s, recheck := s.recheckSender(now)
 		return s, nil, recheck
 	case heldPass != 0:
-		// The rank holds another pass, because an earlier order to hold took effect
-		// late. The hold can be released at once: an order to arm a rank for that pass
+		// The rank waits before another pass, because an earlier order to hold took
+		// effect late. The hold can be released at once: an order to arm a rank for that pass
 		// can only name a version older than s.Version, and no rank accepts it, since
 		// all ranks have prepared s.Version and a rank arms only the version that it has
 		// prepared last.
@@ -75,8 +76,8 @@
 	return s, nil, s.order(now, topology.Order{Kind: topology.Hold, Pass: s.Hold.Pass}, s.isRank(s.Hold.Rank))
 }
 
-// selectHoldRanks selects the rank that holds the pass and the rank whose agent
-// sends the order. A new selection is needed if the previous order to hold was
+// selectHoldRanks selects the rank that is ordered to wait before the pass, and the
+// rank whose agent sends that order. A new selection is needed if the previous order to hold was
 // rejected or came too late, or if an agent is unreachable.
 func (s State) selectHoldRanks() State {
 	s.Hold.Rank, s.Hold.senderRank = s.nextHoldRanks()
@@ -105,15 +106,16 @@
 	return !s.Hold.answeredAt.IsZero() && !senderRank.AgentUnreachable && senderRank.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
 }
 
-// needsNewHoldRanks reports whether another rank must hold the pass or another
-// agent must send the order, because an agent is unreachable and there is a
-// replacement.
+// needsNewHoldRanks reports whether another rank must be ordered to wait before the
+// pass, or another rank's agent must send that order, because an agent is unreachable
+// and there is a replacement.
 func (s State) needsNewHoldRanks() bool {
 	holder, senderRank := s.nextHoldRanks()
 	return (s.Ranks[s.Hold.Rank].AgentUnreachable || s.Ranks[s.Hold.senderRank].AgentUnreachable) && (holder != s.Hold.Rank || senderRank != s.Hold.senderRank)
 }
 
-// nextHoldPass returns the number of the pass to hold. ok is false while the lowest
+// nextHoldPass returns the number of the pass before which a rank is next ordered to
+// wait. ok is false while the lowest
 // pass that may be held is more than maxPassLead passes after the last one that the
 // group has begun.
 func (s State) nextHoldPass() (pass int64, ok bool) {
@@ -125,8 +127,8 @@
 	return pass, pass <= s.lastPass()+maxPassLead
 }
 
-// nextHoldRanks returns the rank that holds the pass and the rank whose agent
-// sends the order. If enough agents are reachable, both are on other machines
+// nextHoldRanks returns the rank that is ordered to wait before the pass, and the rank
+// whose agent sends that order. If enough agents are reachable, both are on other machines
 // than the coordinator, so that the hold can be released whichever of the three
 // machines stops at that moment.
 func (s State) nextHoldRanks() (holder, sender int) {
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -9,11 +9,11 @@
 //     the whole group from beginning it.
 //   - Arm: every rank notes that it switches to the prepared version before the held
 //     pass.
-//   - Release: the rank with the hold lets the group begin the held pass.
+//   - Release: that rank begins the held pass, and with it the whole group.
 //
 // A fifth order, disarm, cancels a switch that a rank has been armed for. One
 // coordinator, the holder of the group's lease, sends the orders. Its predecessor is
-// the coordinator that held the lease before it and whose orders may still be in
+// the coordinator that had the lease before it and whose orders may still be in
 // flight. Each time that the group forms anew, an epoch begins.
 //
 // Invariant: no pass begins while two ranks have different maps. Orders may be
@@ -51,12 +51,12 @@
 	lostOrderPassLead = 2
 	// maxPassLead is the maximum number of passes by which the held pass is ahead of
 	// the last one that the group is known to have begun. The next coordinator only
-	// holds passes that are more than maxPassLead after the last pass that it finds
-	// begun, so that a delayed order of its predecessor to release a pass never names
-	// a pass that it holds.
+	// orders holds of passes that are more than maxPassLead after the last pass that
+	// it finds begun, so that a delayed order of its predecessor to release a pass
+	// never names a pass before which it makes a rank wait.
 	maxPassLead = 4
-	// armTimePerRank, multiplied by the number of ranks, is the estimated time to hold
-	// a pass, arm all ranks and release the pass until a change has been measured. It
+	// armTimePerRank, multiplied by the number of ranks, is the estimated time to make
+	// a rank wait before a pass, arm all ranks and release the pass, until a change has been measured. It
 	// covers the calls and reports of a small machine.
 	armTimePerRank = time.Millisecond
 	// defaultResendDelay is how long to wait for an order to take effect before it is
@@ -85,11 +85,11 @@
 	Survey    Phase = iota // Ranks are being read to find the map in use and orders that an earlier coordinator left.
 	Idle                   // No change is in progress.
 	Preparing              // Ranks copy the experts of the next version.
-	Holding                // A rank is being ordered to hold a pass, so that the group does not begin it.
+	Holding                // A rank is being ordered to wait before a pass, so that the group does not begin it.
 	Arming                 // Ranks are being armed to switch before the held pass; the group may stall meanwhile.
 	Releasing              // The held pass is being released.
 	Settling               // The held pass is released, and the group has not yet begun it.
-	Fencing                // An earlier coordinator's orders to arm are invalidated, so that the pass that it made a rank hold can be released.
+	Fencing                // An earlier coordinator's orders to arm are invalidated, so that the rank that it made wait before a pass can be released.
 )
 
 // String returns the phase's name for logs and metrics.
@@ -127,7 +127,7 @@
 	ordersLost   bool  // An order to prepare had to be resent in this change.
 	passTiming   passTiming
 	// releasablePasses are the passes whose hold may be released at once: those that
-	// this coordinator has ordered ranks to hold, and those for which a predecessor's
+	// this coordinator has ordered ranks to wait before, and those for which a predecessor's
 	// orders to arm have been invalidated.
 	releasablePasses map[int64]bool
 }
@@ -301,7 +301,8 @@
 }
 
 // stepPhase sends the orders that the phase still needs, or enters the next phase.
-// phaseChange holds the effects of the change of phase, orders those that send orders.
+// phaseChange contains the effects of the change of phase, orders those that send
+// orders.
 func (s State) stepPhase(now time.Time) (next State, phaseChange, orders []reduce.Effect) {
 	if !s.allRanksRead() {
 		return s, nil, nil
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -358,7 +358,9 @@
 		fenced := c.state.Fence < n.fences[send.SenderRank]
 		unreachable := rapid.IntRange(0, 4).Draw(t, "agent unreachable") == 0
 		if (fenced || unreachable) && (send.Order.Kind == topology.Hold || send.Order.Kind == topology.Release) {
-			continue // All other orders may bypass an unreachable agent.
+			// These are sent only through an agent. Orders to prepare, arm and disarm go
+			// directly to the engine if the agent is unreachable.
+			continue
 		}
 		switch rapid.IntRange(0, 4).Draw(t, "way") {
 		case 0:
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -51,8 +51,8 @@
 	return true
 }
 
-// releaseHolds orders every rank that holds a pass up to and including last to release
-// it.
+// releaseHolds sends an order to release the pass to every rank that waits before a
+// pass up to and including last.
 func (s State) releaseHolds(last int64, now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for id := range s.Size {
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -38,10 +38,12 @@
 	return s.enterPhase(Idle, "all ranks read", now)
 }
 
-// noHoldInEpoch reports whether no coordinator can have ordered a rank to hold a pass
-// in this epoch, because that requires that all ranks have prepared a version. Demand
-// has usually jumped when a group forms, so the first change must not wait until the
-// group is beyond passes that no coordinator has held.
+// noHoldInEpoch reports whether no coordinator can have ordered a hold in this epoch. A
+// rank with a hold does not begin the given pass until it is released. A hold is
+// ordered only after all ranks have prepared a version, so while none has, no order to
+// release a pass can be in flight, and the first change need not skip the maxPassLead
+// passes that a predecessor may have held. Demand has usually jumped when a group
+// forms, so the first change must not be delayed.
 func (s State) noHoldInEpoch() bool {
 	return s.allRanks(func(r Rank) bool {
 		return !r.AgentUnreachable && r.State.MapVersion == 0 && r.State.Prepared == 0 && r.State.Armed == 0
@@ -68,7 +70,7 @@
 }
 
 // prepare orders all ranks to copy the experts of the next version. Once all have, it
-// selects the pass to hold.
+// selects the pass before which a rank is ordered to wait.
 func (s State) prepare(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	if now.Sub(s.PhaseStartedAt) > prepareTimeout {
 		s, phaseChange := s.enterPhase(Survey, "ranks did not copy in time", now)
@@ -107,7 +109,8 @@
 		func(r Rank) bool { return !isArmed(r) })
 }
 
-// release orders the rank that holds the pass to let the group begin it.
+// release orders the rank that waits before the pass to begin it, so that the whole
+// group can.
 func (s State) release(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	s, orders := s.releaseHolds(s.Hold.Pass, now)
 	if s.allRanks(func(r Rank) bool { return r.State.HeldPass == 0 || r.State.HeldPass > s.Hold.Pass }) {
@@ -161,13 +164,13 @@
 	return s, nil, orders
 }
 
-// releaseLateHolds releases every pass that a rank holds because an order to hold it
-// took effect late.
+// releaseLateHolds releases every rank that waits before a pass because an order to
+// hold took effect late.
 func (s State) releaseLateHolds(now time.Time) (State, []reduce.Effect) {
 	return s.releaseHolds(math.MaxInt64, now)
 }
 
-// hasPredecessorHold reports whether a rank holds a pass by order of another
+// hasPredecessorHold reports whether a rank waits before a pass by order of another
 // coordinator. A predecessor that resumed may have sent the order after the survey,
 // and its orders to arm ranks for that pass may still take effect.
 func (s State) hasPredecessorHold() bool {
--- a/policy/mapswitch/timing.go
+++ b/policy/mapswitch/timing.go
@@ -8,8 +8,8 @@
 const oldSampleWeight = 0.8
 
 // passTiming estimates how fast the group runs passes and how long it takes to arm its
-// ranks. From both follows how many passes ahead a pass must be held so that the group
-// hardly stalls.
+// ranks. Both determine how many passes ahead of the group a hold must be set so that
+// the group hardly stalls.
 type passTiming struct {
 	pass   int64     // The last pass seen.
 	passAt time.Time // When pass was first seen.
--- a/policy/planner/planner.go
+++ b/policy/planner/planner.go
@@ -49,7 +49,7 @@
 	Shape    Shape
 	Costs    Costs
 	Observed [][]float64 // Tokens per step by layer and expert; a nil layer was not observed.
-	Slowness []float64   // Time of a rank for one unit of load, relative to a normal rank; nil means 1 for all.
+	Slowness []float64   // By rank: compute time for one unit of load, relative to a rank of normal speed; nil means 1 for all.
 	Current  Placement
 }
 
--- a/policy/planner/recompute.go
+++ b/policy/planner/recompute.go
@@ -58,7 +58,7 @@
 	slowness    []float64
 	slots       []uint16  // Expert in each slot.
 	filledSlots []int     // By rank: number of slots that are filled.
-	rankTime    []float64 // By rank: time for the load of its replicas.
+	rankTime    []float64 // By rank: compute time per step for the load of the replicas placed on it, in units of load.
 }
 
 func newPacking(shape Shape, slowness []float64) *packing {
@@ -204,8 +204,8 @@
 	}
 }
 
-// CountMoves returns how many experts have to be loaded onto ranks that don't hold
-// them.
+// CountMoves returns how many experts have to be loaded onto ranks where the current
+// placement has no replica of them.
 func CountMoves(shape Shape, current, next Placement) int {
 	moves := 0
 	for layer := range next {
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -14,8 +14,8 @@
 	slotExperts   []uint16  // By slot: the expert in it.
 	replicas      []int     // By expert: number of its replicas.
 	share         []float64 // By expert: load of each replica.
-	slotsByExpert [][]int   // By expert: the slots that hold it.
-	rankTime      []float64 // By rank: time for the load of its slots.
+	slotsByExpert [][]int   // By expert: the slots with a replica of it.
+	rankTime      []float64 // By rank: compute time per step for the load of the replicas in its slots, in units of load.
 	changes       []change  // Changes applied so far.
 }
 
@@ -167,8 +167,8 @@
 	s.addLoad(c.expert, 1)
 }
 
-// addLoad adds the expert's load, multiplied by sign, to the times of the ranks that
-// hold it.
+// addLoad adds the compute time for the expert's load, multiplied by sign, to the times
+// of the ranks that have a replica of it.
 func (s *search) addLoad(expert uint16, sign float64) {
 	s.share[expert] = s.load[expert] / float64(max(1, s.replicas[expert]))
 	for _, slot := range s.slotsByExpert[expert] {
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -32,8 +32,8 @@
 	TakenOut map[string]bool // Data centres that are taken out.
 
 	ServersLoaded bool            // The complete list of servers has been read at least once.
-	LostWatches   map[string]bool // Names of the watches that the store does not answer.
-	StoreUpSince  time.Time       // When the store last answered again after an outage.
+	LostWatches   map[string]bool // Names of the watches for which the store is unavailable.
+	StoreUpSince  time.Time       // When the store last became available again after an outage.
 
 	revision uint64 // Incremented with each change of Servers or TakenOut.
 }
@@ -52,7 +52,7 @@
 
 func (ConfigurationRead) EventName() string { return "topology.configuration_read" }
 
-// DataCentreRead reports whether a data centre is taken out.
+// DataCentreRead carries whether a data centre is taken out, as read from the store.
 type DataCentreRead struct {
 	DataCentre string
 	TakenOut   bool
@@ -60,7 +60,8 @@
 
 func (DataCentreRead) EventName() string { return "topology.taken_out_read" }
 
-// TakenOutDataCentresListed carries all data centres that are taken out.
+// TakenOutDataCentresListed carries the complete list of the data centres that are taken
+// out.
 type TakenOutDataCentresListed struct{ DataCentres []string }
 
 func (TakenOutDataCentresListed) EventName() string { return "topology.taken_out_listed" }
@@ -76,17 +77,17 @@
 
 func (ServerGone) EventName() string { return "topology.server_gone" }
 
-// ServersListed carries the whole list of servers.
+// ServersListed carries the complete list of servers.
 type ServersListed struct{ Servers []Server }
 
 func (ServersListed) EventName() string { return "topology.servers_listed" }
 
-// StoreLost reports that the store stopped answering a watch.
+// StoreLost reports that the store has become unavailable to a watch.
 type StoreLost struct{ Watch, Reason string }
 
 func (StoreLost) EventName() string { return "topology.store_lost" }
 
-// StoreRegained reports that the store answers a watch again.
+// StoreRegained reports that the store is available to a watch again.
 type StoreRegained struct{ Watch string }
 
 func (StoreRegained) EventName() string { return "topology.store_regained" }
