--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -50,9 +50,9 @@
 	RecordStale          bool   // A write with unknown outcome may have changed the group's record.
 	StoreRequestInFlight bool   // A read or write of the group's record is in flight.
 
-	States         []EngineState // By rank: the engine's state as last reported.
-	HasReplied     []bool        // By rank: the rank has replied in this query round.
-	PreviousStates []EngineState // By rank: the engine's state as last reported before this query round.
+	States     []EngineState // By rank: the engine's state as last reported.
+	HasReplied []bool        // By rank: the rank has replied in this query round.
+	Before     []EngineState // By rank: the engine's state as last reported before this query round.
 
 	Change         Change // The change in progress.
 	ChangeProposed bool   // A change was proposed and has not started.
@@ -133,7 +133,7 @@
 func (s *transition) startRound() {
 	s.Number.Round++
 	s.HasReplied = make([]bool, len(s.HasReplied))
-	s.PreviousStates = s.States
+	s.Before = s.States
 	s.Change = Change{}
 	s.enterPhase(Querying, 0)
 }
@@ -187,7 +187,7 @@
 // newer coordinator stops this one.
 func (s *transition) handleReply(event ReplyReceived) {
 	if event.Refused {
-		if event.HighestSeen.Fence > s.Number.Fence {
+		if event.Seen.Fence > s.Number.Fence {
 			s.Coordinator = Coordinator{MarginSteps: s.MarginSteps}
 		}
 		return
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -36,7 +36,7 @@
 // step while the other ranks reported their states.
 func (s *transition) groupStopped() bool {
 	for rank, state := range s.States {
-		if state.HasNoMap() && s.PreviousStates[rank].Boot != state.Boot {
+		if state.HasNoMap() && s.Before[rank].Boot != state.Boot {
 			return false
 		}
 	}
--- a/policy/expertmap/directed_test.go
+++ b/policy/expertmap/directed_test.go
@@ -46,8 +46,8 @@
 	return w
 }
 
-// runAll runs every rank as far as its state allows, up to the number of steps.
-func (w *world) runAll(steps uint64) {
+// runSteps runs every rank as far as its state allows, up to the number of steps.
+func (w *world) runSteps(steps uint64) {
 	for range 4 * steps {
 		for rank := range w.engines {
 			if w.canRun(rank) && w.engines[rank].State.Next < steps {
@@ -67,7 +67,7 @@
 		w.tick(node)
 	}
 	w.deliverAll()
-	w.runAll(6)
+	w.runSteps(6)
 }
 
 // TestHalfDoneByAPausedHolder guards against ranks on different maps after a
@@ -86,7 +86,7 @@
 			}
 			w.deliverKind(1, expertmap.Query)
 			w.deliverTo(1, 0, expertmap.Abort)
-			w.runAll(3)
+			w.runSteps(3)
 			w.applyWrite(0)
 			w.loseEngineState(0)
 			w.recover(1)
@@ -101,7 +101,7 @@
 			w.applyWrite(0)
 			w.deliverKind(0, expertmap.Void)
 			w.deliverTo(0, 0, expertmap.Abort)
-			w.runAll(3)
+			w.runSteps(3)
 			w.loseEngineState(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
@@ -128,7 +128,7 @@
 			w.applyWrite(0)
 			w.deliverKind(1, expertmap.Query)
 			w.deliverTo(1, 0, expertmap.Abort)
-			w.runAll(3)
+			w.runSteps(3)
 			w.loseEngineState(0)
 			w.recover(1)
 			So(w.violation, ShouldBeEmpty)
--- a/policy/expertmap/enumerate_test.go
+++ b/policy/expertmap/enumerate_test.go
@@ -43,14 +43,14 @@
 
 // enumerator visits every reachable position.
 type enumerator struct {
-	seen    map[uint64]bool
-	pending []position
-	failure string
-	visited int
+	visitedKeys map[uint64]bool
+	pending     []position
+	failure     string
+	visited     int
 }
 
 func (e *enumerator) explore(start position) {
-	e.seen = map[uint64]bool{}
+	e.visitedKeys = map[uint64]bool{}
 	e.add(start)
 	for len(e.pending) > 0 && e.failure == "" {
 		last := len(e.pending) - 1
@@ -68,10 +68,10 @@
 		return
 	}
 	key := p.key()
-	if e.seen[key] {
+	if e.visitedKeys[key] {
 		return
 	}
-	e.seen[key] = true
+	e.visitedKeys[key] = true
 	e.pending = append(e.pending, p)
 }
 
--- a/policy/expertmap/events.go
+++ b/policy/expertmap/events.go
@@ -23,12 +23,12 @@
 
 // ReplyReceived carries a rank's reply to an order, with its engine's state.
 type ReplyReceived struct {
-	Rank        int
-	Kind        Kind   // Kind of the order.
-	Number      Number // Sequence number of the order.
-	State       EngineState
-	Refused     bool   // The agent refused the order and did not forward it.
-	HighestSeen Number // Highest sequence number that the agent has seen; set if Refused.
+	Rank    int
+	Kind    Kind   // Kind of the order.
+	Number  Number // Sequence number of the order.
+	State   EngineState
+	Refused bool   // The agent refused the order and did not forward it.
+	Seen    Number // Highest sequence number that the agent has seen; set if Refused.
 }
 
 func (ReplyReceived) EventName() string { return "expertmap.replied" }
--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -52,7 +52,7 @@
 	e.state(m.Order.State)
 	if m.Reply != nil {
 		e.text(string(m.Reply.Kind))
-		e.numbers(m.Reply.Number.Fence, m.Reply.Number.Round, m.Reply.HighestSeen.Fence, m.Reply.HighestSeen.Round)
+		e.numbers(m.Reply.Number.Fence, m.Reply.Number.Round, m.Reply.Seen.Fence, m.Reply.Seen.Round)
 		e.flags(m.Reply.Refused)
 		e.state(m.Reply.State)
 	}
@@ -65,7 +65,7 @@
 	e.change(c.Change)
 	e.flags(c.RecordStale, c.StoreRequestInFlight, c.ChangeProposed, c.Deadline.IsZero())
 	e.flags(c.HasReplied...)
-	for _, state := range c.PreviousStates {
+	for _, state := range c.Before {
 		e.state(state)
 	}
 	for _, state := range c.States {
@@ -88,7 +88,7 @@
 	for rank := range p.engines {
 		e.state(p.engines[rank].State)
 		e.flags(p.ranks[rank].FenceKnown)
-		e.numbers(p.ranks[rank].HighestSeen.Fence, p.ranks[rank].HighestSeen.Round)
+		e.numbers(p.ranks[rank].Seen.Fence, p.ranks[rank].Seen.Round)
 		e.coordinator(p.coords[rank])
 	}
 	e.numbers(p.fence, p.record.Fence, p.recordVersion, p.generation)
--- a/policy/expertmap/member.go
+++ b/policy/expertmap/member.go
@@ -46,8 +46,8 @@
 	if m.Group == "" {
 		return m, nil
 	}
-	if report, ok := input.Event.(EngineReported); ok {
-		return m.updateBlocked(report.State, input.Now), nil
+	if seen, ok := input.Event.(EngineReported); ok {
+		return m.seen(seen.State, input.Now), nil
 	}
 	var effects, more []reduce.Effect
 	wasHolder := m.Lease.IsHolder
@@ -70,8 +70,8 @@
 	return m, append(effects, more...)
 }
 
-// updateBlocked updates whether the engine is blocked from its reported state.
-func (m Member) updateBlocked(state EngineState, now time.Time) Member {
+// seen updates whether the engine is blocked from its reported state.
+func (m Member) seen(state EngineState, now time.Time) Member {
 	if state.CanRunNext() || m.LastRunnableAt.IsZero() {
 		m.LastRunnableAt = now
 	}
--- a/policy/expertmap/random_test.go
+++ b/policy/expertmap/random_test.go
@@ -150,7 +150,7 @@
 			return fmt.Errorf("coordinator stays in phase %s, states %+v", m.coords[0].Phase, m.coords[0].States)
 		}
 	}
-	return m.runOn(8)
+	return m.runAtLeast(8)
 }
 
 func (m *machine) allHaveMap() bool {
@@ -185,8 +185,8 @@
 	}
 }
 
-// runOn runs at least the number of steps on every rank.
-func (m *machine) runOn(steps int) error {
+// runAtLeast runs at least the number of steps on every rank.
+func (m *machine) runAtLeast(steps int) error {
 	for range steps * m.size * 2 {
 		for rank := range m.engines {
 			if m.canRun(rank) {
@@ -234,7 +234,7 @@
 		first := m.engines[0].State.InForce
 		m.coordinate(0, expertmap.Propose{})
 		m.drainAll()
-		So(m.runOn(4), ShouldBeNil)
+		So(m.runAtLeast(4), ShouldBeNil)
 		So(m.engines[2].State.InForce.ID.Version, ShouldEqual, first.ID.Version+1)
 		So(m.record.Change, ShouldResemble, m.engines[2].State.InForce)
 	})
--- a/policy/expertmap/rank.go
+++ b/policy/expertmap/rank.go
@@ -12,7 +12,7 @@
 type Rank struct {
 	FenceKnown   bool   // The group's fencing number has been read since the agent started.
 	ReadingFence bool   // A read of the group's fencing number is in flight.
-	HighestSeen  Number // Highest sequence number of an accepted order, or the fencing number read if that is higher.
+	Seen         Number // Highest sequence number of an accepted order, or the fencing number read if that is higher.
 }
 
 // OrderReceived carries a coordinator's order that has arrived at the agent. RequestID
@@ -54,9 +54,9 @@
 // RefuseOrder refuses an order in the reply to the call RequestID, without forwarding
 // the order to the engine. Seen and FenceKnown are those of the agent's Rank.
 type RefuseOrder struct {
-	RequestID   uint64
-	HighestSeen Number
-	FenceKnown  bool
+	RequestID  uint64
+	Seen       Number
+	FenceKnown bool
 }
 
 func (RefuseOrder) EffectName() string { return "expertmap.refuse_order" }
@@ -66,7 +66,7 @@
 	switch event := input.Event.(type) {
 	case FenceRead:
 		state.FenceKnown, state.ReadingFence = true, false
-		state.HighestSeen.Fence = max(state.HighestSeen.Fence, event.Fence)
+		state.Seen.Fence = max(state.Seen.Fence, event.Fence)
 	case FenceReadFailed:
 		state.ReadingFence = false
 	case OrderReceived:
@@ -79,7 +79,7 @@
 // before. Before the agent knows the fencing number, it refuses every order and reads
 // the number.
 func (r Rank) handleOrder(event OrderReceived) (Rank, []reduce.Effect) {
-	refusal := RefuseOrder{RequestID: event.RequestID, HighestSeen: r.HighestSeen, FenceKnown: r.FenceKnown}
+	refusal := RefuseOrder{RequestID: event.RequestID, Seen: r.Seen, FenceKnown: r.FenceKnown}
 	if !r.FenceKnown && r.ReadingFence {
 		return r, []reduce.Effect{refusal}
 	}
@@ -87,9 +87,9 @@
 		r.ReadingFence = true
 		return r, []reduce.Effect{refusal, ReadFence{}}
 	}
-	if event.Order.Number.Less(r.HighestSeen) {
+	if event.Order.Number.Less(r.Seen) {
 		return r, []reduce.Effect{refusal}
 	}
-	r.HighestSeen = event.Order.Number
+	r.Seen = event.Order.Number
 	return r, []reduce.Effect{Forward(event)}
 }
--- a/policy/expertmap/world_test.go
+++ b/policy/expertmap/world_test.go
@@ -83,7 +83,7 @@
 	w.record = expertmap.Record{Fence: 1, Change: first}
 	for rank := range w.engines {
 		w.engines[rank].State.InForce, w.engines[rank].State.LastHeld = first, first.ID
-		w.ranks[rank] = expertmap.Rank{FenceKnown: true, HighestSeen: expertmap.Number{Fence: 1}}
+		w.ranks[rank] = expertmap.Rank{FenceKnown: true, Seen: expertmap.Number{Fence: 1}}
 	}
 }
 
@@ -167,7 +167,7 @@
 		}
 		w.ranks[m.Rank], _ = expertmap.StepRank(w.ranks[m.Rank], reduce.Input{Now: w.now, Event: event})
 	case expertmap.RefuseOrder:
-		w.reply(m, expertmap.ReplyReceived{Refused: true, HighestSeen: effect.HighestSeen})
+		w.reply(m, expertmap.ReplyReceived{Refused: true, Seen: effect.Seen})
 	case expertmap.Forward:
 		w.engines[m.Rank].Queue = append(w.engines[m.Rank].Queue, m)
 		if w.processOnForward {
--- a/policy/mapswitch/change.go
+++ b/policy/mapswitch/change.go
@@ -43,9 +43,9 @@
 // experts in each set and of ranks.
 type Shape struct{ Sets, Experts, Ranks int }
 
-// RoundRobinMap returns the expert map that a new group starts with: the experts of
+// InTurn returns the expert map that a new group starts with: the experts of
 // each expert set are assigned to the ranks round-robin.
-func RoundRobinMap(shape Shape) Map {
+func InTurn(shape Shape) Map {
 	roundRobin := make(Map, shape.Sets)
 	for set := range roundRobin {
 		roundRobin[set] = make([][]int, shape.Ranks)
@@ -57,7 +57,7 @@
 	return roundRobin
 }
 
-// RoundRobinShape returns the shape of an expert map that RoundRobinMap returned. ok is false
+// RoundRobinShape returns the shape of an expert map that InTurn returned. ok is false
 // for any other map.
 func RoundRobinShape(m Map) (Shape, bool) {
 	if len(m) == 0 {
@@ -67,7 +67,7 @@
 	for _, experts := range m[0] {
 		shape.Experts += len(experts)
 	}
-	if len(Changes(RoundRobinMap(shape), m)) > 0 {
+	if len(Changes(InTurn(shape), m)) > 0 {
 		return Shape{}, false
 	}
 	return shape, true
--- a/policy/mapswitch/change_test.go
+++ b/policy/mapswitch/change_test.go
@@ -23,10 +23,10 @@
 
 func TestRoundRobinShape(t *testing.T) {
 	shape := Shape{Sets: 2, Experts: 7, Ranks: 3}
-	if got, ok := RoundRobinShape(RoundRobinMap(shape)); !ok || got != shape {
+	if got, ok := RoundRobinShape(InTurn(shape)); !ok || got != shape {
 		t.Errorf("got %v, %v", got, ok)
 	}
-	other := RoundRobinMap(shape)
+	other := InTurn(shape)
 	other[1][2] = []int{0}
 	if got, ok := RoundRobinShape(other); ok || got != (Shape{}) {
 		t.Errorf("a map with another placement is recognised as a round-robin map: %v", got)
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -34,7 +34,7 @@
 
 	firstOrderedAt     time.Time // When a rank was first ordered to wait before a pass for this change.
 	senderRank         int       // The rank whose agent sends the order.
-	answeredAt         time.Time // When the call to the sender returned; zero until it has.
+	orderReturnedAt    time.Time // When the sender replied to the order; zero until it has.
 	recheckRequestedAt time.Time // When the second check of the sender was requested; zero until it has been.
 }
 
@@ -46,7 +46,7 @@
 	holder := s.Ranks[s.Hold.Rank]
 	heldPass := holder.State.HeldPass
 	switch {
-	case heldPass == s.Hold.Pass && s.senderAnswersAgain():
+	case heldPass == s.Hold.Pass && s.senderAnsweredRecheck():
 		s, phaseChange := s.enterPhase(Arming, "hold is in place", now)
 		return s, phaseChange, nil
 	case heldPass == s.Hold.Pass && now.Sub(s.PhaseStartedAt) > holdTimeout:
@@ -81,7 +81,7 @@
 // rejected or came too late, or if an agent is unreachable.
 func (s State) selectHoldRanks() State {
 	s.Hold.Rank, s.Hold.senderRank = s.nextHoldRanks()
-	s.Hold.answeredAt, s.Hold.recheckRequestedAt = time.Time{}, time.Time{}
+	s.Hold.orderReturnedAt, s.Hold.recheckRequestedAt = time.Time{}, time.Time{}
 	holder := s.Ranks[s.Hold.Rank]
 	holder.OrderedAt, holder.OrderPending = time.Time{}, false
 	s.Ranks[s.Hold.Rank] = holder
@@ -92,18 +92,18 @@
 // holdSettleTime after the reply: a machine that stops because of the order may
 // still have replied to it.
 func (s State) recheckSender(now time.Time) (State, []reduce.Effect) {
-	if s.Hold.answeredAt.IsZero() || !s.Hold.recheckRequestedAt.IsZero() || now.Sub(s.Hold.answeredAt) < holdSettleTime {
+	if s.Hold.orderReturnedAt.IsZero() || !s.Hold.recheckRequestedAt.IsZero() || now.Sub(s.Hold.orderReturnedAt) < holdSettleTime {
 		return s, nil
 	}
 	s.Hold.recheckRequestedAt = now
 	return s, []reduce.Effect{ReadRank{Rank: s.Hold.senderRank}}
 }
 
-// senderAnswersAgain reports whether the agent that sent the order to hold has
+// senderAnsweredRecheck reports whether the agent that sent the order to hold has
 // answered a call made at least holdSettleTime after its reply.
-func (s State) senderAnswersAgain() bool {
+func (s State) senderAnsweredRecheck() bool {
 	senderRank := s.Ranks[s.Hold.senderRank]
-	return !s.Hold.answeredAt.IsZero() && !senderRank.AgentUnreachable && senderRank.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
+	return !s.Hold.orderReturnedAt.IsZero() && !senderRank.AgentUnreachable && senderRank.ReportRequestedAt.Sub(s.Hold.orderReturnedAt) >= holdSettleTime
 }
 
 // needsNewHoldRanks reports whether another rank must be ordered to wait before the
@@ -149,7 +149,7 @@
 }
 
 // allReadRecently reports whether every rank has been read recently, and since
-// the sender of a hold last failed to answer. A rank on a stopped machine cannot
+// the sender of a hold last failed to reply in time. A rank on a stopped machine cannot
 // be armed, and the group would stall until that machine runs again.
 func (s State) allReadRecently(now time.Time) bool {
 	return s.allRanks(func(r Rank) bool {
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -12,7 +12,7 @@
 //   - Release: that rank begins the held pass, and with it the whole group.
 //
 // A fifth order, disarm, cancels a switch that a rank has been armed for. One
-// coordinator, the holder of the group's lease, sends the orders. Its predecessor is
+// coordinator, the process that has the group's lease, sends the orders. Its predecessor is
 // the coordinator that had the lease before it and whose orders may still be in
 // flight. Each time that the group forms anew, an epoch begins.
 //
@@ -60,7 +60,7 @@
 	// covers the calls and reports of a small machine.
 	armTimePerRank = time.Millisecond
 	// defaultResendDelay is how long to wait for an order to take effect before it is
-	// resent; engines on the agent's machine answer within a few ms.
+	// resent; engines on the agent's machine reply within a few ms.
 	defaultResendDelay = 12 * time.Millisecond
 	// copyResendDelay is how long to wait before an order to prepare a version is
 	// resent. The order takes effect only when the experts have been copied; a rank
@@ -116,7 +116,7 @@
 	CurrentVersion int64     // The version of Current.
 	Hold           Hold
 
-	senderFailedAt       time.Time     // When the sender of a hold last failed to answer; zero if never.
+	senderFailedAt       time.Time     // When the sender of a hold last failed to reply in time; zero if never.
 	readAgeLimitOverride time.Duration // Replaces the computed read age limit if not 0.
 	ownRank              int           // The rank on the coordinator's machine.
 	minHoldPass          int64         // The lowest pass that may be held: an order to release a lower one may still be in flight.
@@ -234,8 +234,8 @@
 			rank.OrderPending = false
 			s.Ranks[event.Rank] = rank
 		}
-		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.answeredAt.IsZero() {
-			s.Hold.answeredAt = input.Now
+		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.orderReturnedAt.IsZero() {
+			s.Hold.orderReturnedAt = input.Now
 		}
 	case PlanReady:
 		if s.Phase == Idle && event.Epoch == s.Epoch {
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestCoordinatorDiesDuringChange(t *testing.T) {
+func TestCoordinatorCrashesDuringChange(t *testing.T) {
 	// Each case lets the first coordinator crash after another number of rounds of the
 	// change.
 	for rounds := range 12 {
--- a/policy/planner/forecast.go
+++ b/policy/planner/forecast.go
@@ -131,11 +131,11 @@
 // map was last changed exceeds the constant slownessChanged.
 func (s *State) slownessChanged(slowness []float64) bool {
 	for rank, slow := range slowness {
-		before := 1.0
+		previous := 1.0
 		if s.slowness != nil {
-			before = s.slowness[rank]
+			previous = s.slowness[rank]
 		}
-		if math.Abs(slow-before) > slownessChanged*before {
+		if math.Abs(slow-previous) > slownessChanged*previous {
 			return true
 		}
 	}
--- a/policy/planner/recompute.go
+++ b/policy/planner/recompute.go
@@ -78,7 +78,7 @@
 		if p.filledSlots[rank] == p.shape.Slots {
 			continue
 		}
-		hasReplica := p.rankHolds(rank, expert)
+		hasReplica := p.hasReplica(rank, expert)
 		better := best < 0 || (bestHasReplica && !hasReplica) || (bestHasReplica == hasReplica && p.rankTime[rank] < p.rankTime[best])
 		if better && (best < 0 || bestHasReplica || !hasReplica) {
 			best, bestHasReplica = rank, hasReplica
@@ -93,7 +93,7 @@
 	p.rankTime[best] += share * slow
 }
 
-func (p *packing) rankHolds(rank int, expert uint16) bool {
+func (p *packing) hasReplica(rank int, expert uint16) bool {
 	for _, held := range p.slots[rank*p.shape.Slots : rank*p.shape.Slots+p.filledSlots[rank]] {
 		if held == expert {
 			return true
--- a/policy/planner/search.go
+++ b/policy/planner/search.go
@@ -109,7 +109,7 @@
 	hot, cold := slot/s.slotsPerRank, other/s.slotsPerRank
 	worst := max(s.rankTime[hot]-loadDifference*s.slowness[hot], s.rankTime[cold]+loadDifference*s.slowness[cold])
 	gain := (s.rankTime[hot] - worst) / 2
-	if gain <= best.gain || s.rankHolds(cold, a) || s.rankHolds(hot, b) {
+	if gain <= best.gain || s.hasReplica(cold, a) || s.hasReplica(hot, b) {
 		return
 	}
 	*best = candidate{changes: [2]change{{slot, b}, {other, a}}, moves: 2, gain: gain}
@@ -126,7 +126,7 @@
 	cold := other / s.slotsPerRank
 	saved := (s.share[expert] - share) * s.slowness[hot]
 	worst := max(s.rankTime[hot]-saved, s.rankTime[cold]+(share-s.share[spare])*s.slowness[cold])
-	if s.rankTime[hot]-worst <= best.gain || s.rankHolds(cold, expert) {
+	if s.rankTime[hot]-worst <= best.gain || s.hasReplica(cold, expert) {
 		return
 	}
 	added := s.load[spare]/float64(s.replicas[spare]-1) - s.share[spare]
@@ -144,7 +144,7 @@
 	}
 }
 
-func (s *search) rankHolds(rank int, expert uint16) bool {
+func (s *search) hasReplica(rank int, expert uint16) bool {
 	for _, held := range s.slotExperts[rank*s.slotsPerRank : (rank+1)*s.slotsPerRank] {
 		if held == expert {
 			return true
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -154,14 +154,14 @@
 	return s, []reduce.Effect{Change{What: "configuration", Outcome: "installed", Version: config.Version}}
 }
 
-func (s State) setTakenOut(dataCentre string, out bool) (State, []reduce.Effect) {
-	if s.TakenOut[dataCentre] == out {
+func (s State) setTakenOut(dataCentre string, takenOut bool) (State, []reduce.Effect) {
+	if s.TakenOut[dataCentre] == takenOut {
 		return s, nil
 	}
 	s.TakenOut = maps.Clone(s.TakenOut)
 	s.revision++
 	outcome := "returned"
-	if out {
+	if takenOut {
 		s.TakenOut[dataCentre] = true
 		outcome = "taken_out"
 	} else {
@@ -194,13 +194,13 @@
 // updateServer stores the row of a server. It reports a change only if more than the
 // row's revision and the remaining warm-up time differ.
 func (s State) updateServer(server Server, now time.Time) (State, []reduce.Effect) {
-	before, known := s.Servers[server.ID]
+	previous, known := s.Servers[server.ID]
 	next := ServerState{Server: server, SeenAt: now}
 	s.Servers = maps.Clone(s.Servers)
 	s.Servers[server.ID] = next
 	s.revision++
-	before.Server.Revision, before.Server.WarmUpLeft = server.Revision, server.WarmUpLeft
-	if known && before.DropAt.IsZero() && before.Server == server {
+	previous.Server.Revision, previous.Server.WarmUpLeft = server.Revision, server.WarmUpLeft
+	if known && previous.DropAt.IsZero() && previous.Server == server {
 		return s, nil
 	}
 	outcome := "ready"
--- a/policy/topology/topology_test.go
+++ b/policy/topology/topology_test.go
@@ -28,11 +28,11 @@
 
 // candidateIDs returns the IDs of the servers that may receive new work.
 func candidateIDs(s State) []string {
-	var found []string
+	var ids []string
 	for _, candidate := range s.Snapshot(nil).Candidates("llm") {
-		found = append(found, candidate.ID)
+		ids = append(ids, candidate.ID)
 	}
-	return found
+	return ids
 }
 
 func TestConfiguration(t *testing.T) {
--- a/server/group/group.go
+++ b/server/group/group.go
@@ -84,8 +84,8 @@
 	case expertmap.Forward:
 		g.enqueueOrder(effect)
 	case expertmap.RefuseOrder:
-		g.answer(effect.RequestID, answer{isRefused: true, highestSeen: effect.HighestSeen})
-		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.HighestSeen.Fence, "ready": effect.FenceKnown})
+		g.answer(effect.RequestID, answer{isRefused: true, highestSeen: effect.Seen})
+		g.log(logevent.MapOrderRefused, logrus.Fields{"fence": effect.Seen.Fence, "ready": effect.FenceKnown})
 	case expertmap.PublishMap:
 		go g.storeMap(ctx, effect.ID)
 	case expertmap.Notice:
--- a/server/group/orders.go
+++ b/server/group/orders.go
@@ -183,7 +183,7 @@
 	g.node.ObserveStamp(reply.Stamp)
 	g.node.Loop.Post(expertmap.ReplyReceived{
 		Rank: send.Rank, Kind: send.Order.Kind, Number: send.Order.Number,
-		State: reply.State, Refused: reply.Refused, HighestSeen: reply.Seen,
+		State: reply.State, Refused: reply.Refused, Seen: reply.Seen,
 	})
 }
 
--- a/server/mapcontrol/bench_test.go
+++ b/server/mapcontrol/bench_test.go
@@ -90,7 +90,7 @@
 }
 
 func (e modelEngine) Lists(context.Context) (topology.RankLists, error) {
-	initial := mapswitch.RoundRobinMap(mapswitch.Shape{Sets: e.group.model.Sets, Experts: e.group.model.Experts, Ranks: e.group.size})
+	initial := mapswitch.InTurn(mapswitch.Shape{Sets: e.group.model.Sets, Experts: e.group.model.Experts, Ranks: e.group.size})
 	lists := topology.RankLists{}
 	for _, set := range initial {
 		lists.Experts = append(lists.Experts, set[e.rank])
--- a/server/mapcontrol/rank.go
+++ b/server/mapcontrol/rank.go
@@ -193,7 +193,7 @@
 	if args.hasChanges() {
 		base, known := r.maps[args.Base]
 		if args.InTurn.Sets != 0 {
-			base, known = mapswitch.RoundRobinMap(args.InTurn), true
+			base, known = mapswitch.InTurn(args.InTurn), true
 		}
 		if !known {
 			return nil, false
