--- a/policy/expertmap/coordinator.go
+++ b/policy/expertmap/coordinator.go
@@ -302,8 +302,8 @@
 	s.enterPhase(Preparing, prepareTimeout)
 }
 
-// newestVersion returns the highest version of a change that a rank uses or has been
-// ordered to wait for.
+// newestVersion returns the highest version of a change that a rank uses or has accepted
+// a hold for.
 func (s *transition) newestVersion() uint64 {
 	var version uint64
 	for _, state := range s.States {
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -4,9 +4,9 @@
 // reported in this round, which change a previous coordinator left incomplete,
 // and completes or aborts it.
 //
-// A change must be completed if a rank was released for it, or if it is in the
-// group's record and every rank that has a map waits before its first step and has
-// not voided it. Otherwise it is aborted: no rank was released, and either the change can't be
+// A change must be completed if a rank was released for it, or if it is in the group's
+// record and every rank that has a map waits before its first step and has not voided
+// it. Otherwise it is aborted: no rank was released, and either the change can't be
 // committed any more or a rank may have continued without it.
 func (s *transition) resolveRound() {
 	if !s.groupStopped() {
--- a/policy/expertmap/engine.go
+++ b/policy/expertmap/engine.go
@@ -10,7 +10,7 @@
 	Pending  Change `json:"pending"`   // Released change whose first step has not been run.
 	Hold     Change `json:"hold"`      // Change whose first step must not be run yet.
 	VoidedBy uint64 `json:"voided_by"` // Fencing number of the coordinator that voided Hold; 0 for none.
-	LastHeld ID     `json:"last_held"` // Newest change whose first step the engine was ever made to wait before; it accepts no hold for that change or an older one.
+	LastHeld ID     `json:"last_held"` // Newest change for which the engine has ever accepted a hold; it accepts no further hold for that change or an older one.
 	Prepared ID     `json:"prepared"`  // Newest map whose weights are loaded.
 }
 
@@ -78,8 +78,8 @@
 // hold makes the engine wait before the change's first step, the first that uses the
 // new map, until the change is released or aborted. It has no effect unless the engine
 // has a map, no other change is in progress, the weights of the new map are loaded, the
-// first step has not been run and the change is newer than every change that the
-// engine has waited for before.
+// first step has not been run and the change is newer than every change for which the
+// engine has accepted a hold before.
 func (s EngineState) hold(change Change) EngineState {
 	busy := s.HasNoMap() || !s.Hold.IsNone() || !s.Pending.IsNone()
 	late := s.Next > change.FirstStep
--- a/policy/expertmap/expertmap.go
+++ b/policy/expertmap/expertmap.go
@@ -1,12 +1,12 @@
-// Package expertmap implements the protocol by which a group of ranks changes
-// its expert map, as pure state machines. The ranks run the steps of the model in
-// lock step. Every rank prepares the next map by loading its weights. It then waits
-// before a chosen step, the change's first step, until the change is released or
-// aborted; this is called a hold. The change is committed in the group's record, a row of the table
+// Package expertmap implements the protocol by which a group of ranks changes its
+// expert map, as pure state machines. The ranks run the steps of the model in lock
+// step. Every rank prepares the next map by loading its weights. It then waits before a
+// chosen step, the change's first step, until the change is released or aborted; this
+// is called a hold. The change is committed in the group's record, a row of the table
 // service, and the ranks are then released to switch to the map at that step. If the
-// outcome of the commit is unknown, the ranks void the change before they abort it:
-// a rank that has voided a change keeps waiting and refuses the release, so that a
-// commit which takes effect late releases no rank.
+// outcome of the commit is unknown, the ranks void the change before they abort it: a
+// rank that has voided a change keeps waiting and refuses the release, so that a commit
+// which takes effect late releases no rank.
 //
 // Invariant: all ranks that run a step use the same map for it.
 //
--- a/policy/mapswitch/group_test.go
+++ b/policy/mapswitch/group_test.go
@@ -78,8 +78,8 @@
 // agent knows the base map of the order, it builds the next map from its own copy and
 // the changes.
 func (g *modelGroup) expand(send SendOrder) topology.Order {
-	base, known := g.ranks[send.Rank].maps[send.BaseVersion]
-	if send.Order.Kind != topology.Prepare || send.BaseMap == nil || !known {
+	base, hasBase := g.ranks[send.Rank].maps[send.BaseVersion]
+	if send.Order.Kind != topology.Prepare || send.BaseMap == nil || !hasBase {
 		return send.Order
 	}
 	if next, ok := Apply(base, Changes(send.BaseMap, send.Order.Map)); ok {
@@ -88,8 +88,8 @@
 	return send.Order
 }
 
-// beginPass begins the next pass unless a rank waits before it until it is released. It returns an error if two
-// ranks then have different maps.
+// beginPass begins the next pass unless a rank has an unreleased hold on it. It returns
+// an error if two ranks then have different maps.
 func (g *modelGroup) beginPass() error {
 	for _, r := range g.ranks {
 		if r.heldPass == g.pass+1 {
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -40,8 +40,8 @@
 
 // orderHold orders a rank to wait before the pass until it is released, and stays in
 // the phase until the rank reports the hold. Ranks are armed only after that, and
-// after the agent that sent the order has replied to another call: if its machine had
-// stopped just then, the rank on that machine could not be armed.
+// after the agent that sent the order has replied to another call: the rank of a machine
+// that stopped just then could not be armed.
 func (s State) orderHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	holder := s.Ranks[s.Hold.Rank]
 	heldPass := holder.State.HeldPass
@@ -60,10 +60,10 @@
 		return s, nil, recheck
 	case heldPass != 0:
 		// The rank waits before another pass, because an earlier order to hold took
-		// effect late. The hold can be released at once: an order to arm a rank for that pass
-		// can only name a version older than s.Version, and no rank accepts it, since
-		// all ranks have prepared s.Version and a rank arms only the version that it has
-		// prepared last.
+		// effect late. The hold can be released at once: an order to arm a rank for
+		// that pass can only name a version older than s.Version, and no rank accepts
+		// it, since all ranks have prepared s.Version and a rank arms only the version
+		// that it has prepared last.
 		s, orders := s.releaseHolds(heldPass, now)
 		return s, nil, orders
 	case s.lastPass() >= s.Hold.Pass || s.needsNewHoldRanks():
@@ -77,8 +77,8 @@
 }
 
 // selectHoldRanks selects the rank that is ordered to wait before the pass, and the
-// rank whose agent sends that order. A new selection is needed if the previous order to hold was
-// rejected or came too late, or if an agent is unreachable.
+// rank whose agent sends that order. A new selection is needed if the previous order to
+// hold was rejected or came too late, or if an agent is unreachable.
 func (s State) selectHoldRanks() State {
 	s.Hold.Rank, s.Hold.senderRank = s.nextHoldRanks()
 	s.Hold.orderReturnedAt, s.Hold.recheckRequestedAt = time.Time{}, time.Time{}
@@ -128,9 +128,9 @@
 }
 
 // nextHoldRanks returns the rank that is ordered to wait before the pass, and the rank
-// whose agent sends that order. If enough agents are reachable, both are on other machines
-// than the coordinator, so that the hold can be released whichever of the three
-// machines stops at that moment.
+// whose agent sends that order. If enough agents are reachable, both are on other
+// machines than the coordinator, so that the hold can be released whichever of the
+// three machines stops at that moment.
 func (s State) nextHoldRanks() (holder, sender int) {
 	var reachable []int
 	for i := range s.Size {
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -9,12 +9,12 @@
 //     the whole group from beginning it.
 //   - Arm: every rank notes that it switches to the prepared version before the held
 //     pass.
-//   - Release: that rank begins the held pass, and with it the whole group.
+//   - Release: that rank stops waiting, so that the group begins the held pass.
 //
 // A fifth order, disarm, cancels a switch that a rank has been armed for. One
-// coordinator, the process that has the group's lease, sends the orders. Its predecessor is
-// the coordinator that had the lease before it and whose orders may still be in
-// flight. Each time that the group forms anew, an epoch begins.
+// coordinator, the process that has the group's lease, sends the orders. Its
+// predecessor is the coordinator that had the lease before it and whose orders may
+// still be in flight. Each time that the group forms anew, an epoch begins.
 //
 // Invariant: no pass begins while two ranks have different maps. Orders may be
 // lost, or take effect seconds later and after newer ones. A missing reply
@@ -56,8 +56,8 @@
 	// never names a pass before which it makes a rank wait.
 	maxPassLead = 4
 	// armTimePerRank, multiplied by the number of ranks, is the estimated time to make
-	// a rank wait before a pass, arm all ranks and release the pass, until a change has been measured. It
-	// covers the calls and reports of a small machine.
+	// a rank wait before a pass, arm all ranks and release the pass, until a change has
+	// been measured. It covers the calls and reports of a small machine.
 	armTimePerRank = time.Millisecond
 	// defaultResendDelay is how long to wait for an order to take effect before it is
 	// resent; engines on the agent's machine reply within a few ms.
@@ -127,8 +127,8 @@
 	ordersLost   bool  // An order to prepare had to be resent in this change.
 	passTiming   passTiming
 	// releasablePasses are the passes whose hold may be released at once: those that
-	// this coordinator has ordered ranks to wait before, and those for which a predecessor's
-	// orders to arm have been invalidated.
+	// this coordinator has ordered ranks to wait before, and those for which a
+	// predecessor's orders to arm have been invalidated.
 	releasablePasses map[int64]bool
 }
 
@@ -154,9 +154,10 @@
 	State topology.RankState
 	Lists topology.RankLists
 	// RequestedAt is when the report was requested. A report that was requested
-	// before the latest known one is ignored.
+	// before the rank's latest report was requested is ignored.
 	RequestedAt time.Time
-	// AgentUnreachable means that the engine itself was read because its agent is unreachable.
+	// AgentUnreachable means that the engine itself was read because its agent is
+	// unreachable.
 	AgentUnreachable bool
 }
 
@@ -189,8 +190,8 @@
 	// own report may lag behind that version.
 	BaseMap     Map
 	BaseVersion int64
-	// SenderRank is the rank whose agent sends the order to the engine. It is Rank itself,
-	// except for an order to hold a pass.
+	// SenderRank is the rank whose agent sends the order to the engine. It is Rank
+	// itself, except for an order to hold a pass.
 	SenderRank int
 }
 
@@ -230,7 +231,7 @@
 	case RankRead:
 		s, effects = s.applyReport(event, input.Now)
 	case OrderReturned:
-		if rank, known := s.Ranks[event.Rank]; known {
+		if rank, ok := s.Ranks[event.Rank]; ok {
 			rank.OrderPending = false
 			s.Ranks[event.Rank] = rank
 		}
@@ -252,8 +253,8 @@
 	return s, append(effects, more...)
 }
 
-// applyReport stores a rank's report. A report of a new epoch invalidates everything
-// known of the ranks.
+// applyReport stores a rank's report. A report of a new epoch discards what is
+// recorded of the ranks, their maps and their holds.
 func (s State) applyReport(event RankRead, now time.Time) (State, []reduce.Effect) {
 	state := event.State
 	var effects []reduce.Effect
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -277,8 +277,8 @@
 				}
 			},
 			"restart an agent": func(t *rapid.T) {
-				// The restarted agent forgets which fencing numbers it has seen. A superseded
-				// coordinator on the same machine stops as well.
+				// The restarted agent forgets which fencing numbers it has seen. A
+				// superseded coordinator on the same machine stops as well.
 				if rapid.IntRange(0, 3).Draw(t, "restarts") == 0 {
 					rank := rapid.IntRange(0, len(g.ranks)-1).Draw(t, "rank")
 					delete(network.fences, rank)
--- a/policy/mapswitch/phases.go
+++ b/policy/mapswitch/phases.go
@@ -109,8 +109,7 @@
 		func(r Rank) bool { return !isArmed(r) })
 }
 
-// release orders the rank that waits before the pass to begin it, so that the whole
-// group can.
+// release releases the rank that waits before the pass, so that the group begins it.
 func (s State) release(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	s, orders := s.releaseHolds(s.Hold.Pass, now)
 	if s.allRanks(func(r Rank) bool { return r.State.HeldPass == 0 || r.State.HeldPass > s.Hold.Pass }) {
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -194,13 +194,13 @@
 // updateServer stores the row of a server. It reports a change only if more than the
 // row's revision and the remaining warm-up time differ.
 func (s State) updateServer(server Server, now time.Time) (State, []reduce.Effect) {
-	previous, known := s.Servers[server.ID]
+	previous, exists := s.Servers[server.ID]
 	next := ServerState{Server: server, SeenAt: now}
 	s.Servers = maps.Clone(s.Servers)
 	s.Servers[server.ID] = next
 	s.revision++
 	previous.Server.Revision, previous.Server.WarmUpLeft = server.Revision, server.WarmUpLeft
-	if known && previous.DropAt.IsZero() && previous.Server == server {
+	if exists && previous.DropAt.IsZero() && previous.Server == server {
 		return s, nil
 	}
 	outcome := "ready"
@@ -213,8 +213,8 @@
 // removeServer sets the time at which the server is dropped. A leaving server
 // has announced its removal and is dropped at once.
 func (s State) removeServer(id string, now time.Time) (State, []reduce.Effect) {
-	server, known := s.Servers[id]
-	if !known || !server.DropAt.IsZero() {
+	server, exists := s.Servers[id]
+	if !exists || !server.DropAt.IsZero() {
 		return s, nil
 	}
 	s.Servers = maps.Clone(s.Servers)
