--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -34,7 +34,7 @@
 
 	firstOrderedAt     time.Time // When a rank was first ordered to wait before a pass for this change.
 	senderRank         int       // The rank whose agent sends the order.
-	orderReturnedAt    time.Time // When the sender replied to the order; zero until it has.
+	orderRepliedAt     time.Time // When the sender replied to the order; zero until it has.
 	recheckRequestedAt time.Time // When the second check of the sender was requested; zero until it has been.
 }
 
@@ -81,7 +81,7 @@
 // hold was rejected or came too late, or if an agent is unreachable.
 func (s State) selectHoldRanks() State {
 	s.Hold.Rank, s.Hold.senderRank = s.nextHoldRanks()
-	s.Hold.orderReturnedAt, s.Hold.recheckRequestedAt = time.Time{}, time.Time{}
+	s.Hold.orderRepliedAt, s.Hold.recheckRequestedAt = time.Time{}, time.Time{}
 	holder := s.Ranks[s.Hold.Rank]
 	holder.OrderedAt, holder.OrderPending = time.Time{}, false
 	s.Ranks[s.Hold.Rank] = holder
@@ -92,7 +92,7 @@
 // holdSettleTime after the reply: a machine that stops because of the order may
 // still have replied to it.
 func (s State) recheckSender(now time.Time) (State, []reduce.Effect) {
-	if s.Hold.orderReturnedAt.IsZero() || !s.Hold.recheckRequestedAt.IsZero() || now.Sub(s.Hold.orderReturnedAt) < holdSettleTime {
+	if s.Hold.orderRepliedAt.IsZero() || !s.Hold.recheckRequestedAt.IsZero() || now.Sub(s.Hold.orderRepliedAt) < holdSettleTime {
 		return s, nil
 	}
 	s.Hold.recheckRequestedAt = now
@@ -103,7 +103,7 @@
 // answered a call made at least holdSettleTime after its reply.
 func (s State) senderAnsweredRecheck() bool {
 	senderRank := s.Ranks[s.Hold.senderRank]
-	return !s.Hold.orderReturnedAt.IsZero() && !senderRank.AgentUnreachable && senderRank.ReportRequestedAt.Sub(s.Hold.orderReturnedAt) >= holdSettleTime
+	return !s.Hold.orderRepliedAt.IsZero() && !senderRank.AgentUnreachable && senderRank.ReportRequestedAt.Sub(s.Hold.orderRepliedAt) >= holdSettleTime
 }
 
 // needsNewHoldRanks reports whether another rank must be ordered to wait before the
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -235,8 +235,8 @@
 			rank.OrderPending = false
 			s.Ranks[event.Rank] = rank
 		}
-		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.orderReturnedAt.IsZero() {
-			s.Hold.orderReturnedAt = input.Now
+		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.orderRepliedAt.IsZero() {
+			s.Hold.orderRepliedAt = input.Now
 		}
 	case PlanReady:
 		if s.Phase == Idle && event.Epoch == s.Epoch {
