--- a/policy/expertmap/key_test.go
+++ b/policy/expertmap/key_test.go
@@ -64,7 +64,7 @@
 	e.change(c.Record.Change)
 	e.change(c.Change)
 	e.flags(c.RecordStale, c.StoreRequestInFlight, c.ChangeProposed, c.Deadline.IsZero())
-	e.flags(c.Answered...)
+	e.flags(c.HasReplied...)
 	for _, state := range c.Before {
 		e.state(state)
 	}
--- a/policy/mapswitch/change.go
+++ b/policy/mapswitch/change.go
@@ -57,7 +57,7 @@
 	return roundRobin
 }
 
-// RoundRobinShape returns the shape of an expert map that InTurn produced. ok is false
+// RoundRobinShape returns the shape of an expert map that InTurn returned. ok is false
 // for any other map.
 func RoundRobinShape(m Map) (Shape, bool) {
 	if len(m) == 0 {
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// holdTimeout is the maximum time from ordering a rank to hold a pass to arming
-	// the ranks for that pass. It leaves time for several calls between small
+	// holdTimeout is the maximum time from ordering a rank to wait before a pass to
+	// arming the ranks for that pass. It leaves time for several calls between small
 	// machines.
 	holdTimeout = 100*time.Millisecond + holdSettleTime
 	// holdSettleTime is the delay between the reply to an order to hold and the
@@ -29,23 +29,24 @@
 // given pass until it is released. As all ranks run passes in lock step, this keeps
 // the whole group from beginning it.
 type Hold struct {
-	Rank int   // The rank that holds the pass.
+	Rank int   // The rank that is ordered to wait before the pass.
 	Pass int64 // The pass that the group must not begin yet.
 
-	firstOrderedAt     time.Time // When a rank was first ordered to hold a pass for this change.
+	firstOrderedAt     time.Time // When a rank was first ordered to wait before a pass for this change.
 	senderRank         int       // The rank whose agent sends the order.
-	answeredAt         time.Time // When the call to the sender returned; zero until it has.
+	orderRepliedAt     time.Time // When the sender replied to the order; zero until it has.
 	recheckRequestedAt time.Time // When the second check of the sender was requested; zero until it has been.
 }
 
-// putHold orders a rank to hold the pass and waits until it does. Ranks are armed
-// only after the hold is in place and the machine that sent the order still
-// answers: a machine that stopped just then could not be armed.
-func (s State) putHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
+// orderHold orders a rank to wait before the pass until it is released, and stays in
+// the phase until the rank reports the hold. Ranks are armed only after that, and
+// after the agent that sent the order has replied to another call: the rank of a machine
+// that stopped just then could not be armed.
+func (s State) orderHold(now time.Time) (State, []reduce.Effect, []reduce.Effect) {
 	holder := s.Ranks[s.Hold.Rank]
 	heldPass := holder.State.HeldPass
 	switch {
-	case heldPass == s.Hold.Pass && s.senderAnswersAgain():
+	case heldPass == s.Hold.Pass && s.senderAnsweredRecheck():
 		s, phaseChange := s.enterPhase(Arming, "hold is in place", now)
 		return s, phaseChange, nil
 	case heldPass == s.Hold.Pass && now.Sub(s.PhaseStartedAt) > holdTimeout:
@@ -58,11 +59,11 @@
 		s, recheck := s.recheckSender(now)
 		return s, nil, recheck
 	case heldPass != 0:
-		// The rank holds another pass, because an earlier order to hold took effect
-		// late. The hold can be released at once: an order to arm a rank for that pass
-		// can only name a version older than s.Version, and no rank accepts it, since
-		// all ranks have prepared s.Version and a rank arms only the version that it has
-		// prepared last.
+		// The rank waits before another pass, because an earlier order to hold took
+		// effect late. The hold can be released at once: an order to arm a rank for
+		// that pass can only name a version older than s.Version, and no rank accepts
+		// it, since all ranks have prepared s.Version and a rank arms only the version
+		// that it has prepared last.
 		s, orders := s.releaseHolds(heldPass, now)
 		return s, nil, orders
 	case s.lastPass() >= s.Hold.Pass || s.needsNewHoldRanks():
@@ -75,12 +76,12 @@
 	return s, nil, s.order(now, topology.Order{Kind: topology.Hold, Pass: s.Hold.Pass}, s.isRank(s.Hold.Rank))
 }
 
-// selectHoldRanks selects the rank that holds the pass and the rank whose agent
-// sends the order. A new selection is needed if the previous order to hold was
-// rejected or came too late, or if an agent is unreachable.
+// selectHoldRanks selects the rank that is ordered to wait before the pass, and the
+// rank whose agent sends that order. A new selection is needed if the previous order to
+// hold was rejected or came too late, or if an agent is unreachable.
 func (s State) selectHoldRanks() State {
 	s.Hold.Rank, s.Hold.senderRank = s.nextHoldRanks()
-	s.Hold.answeredAt, s.Hold.recheckRequestedAt = time.Time{}, time.Time{}
+	s.Hold.orderRepliedAt, s.Hold.recheckRequestedAt = time.Time{}, time.Time{}
 	holder := s.Ranks[s.Hold.Rank]
 	holder.OrderedAt, holder.OrderPending = time.Time{}, false
 	s.Ranks[s.Hold.Rank] = holder
@@ -91,29 +92,30 @@
 // holdSettleTime after the reply: a machine that stops because of the order may
 // still have replied to it.
 func (s State) recheckSender(now time.Time) (State, []reduce.Effect) {
-	if s.Hold.answeredAt.IsZero() || !s.Hold.recheckRequestedAt.IsZero() || now.Sub(s.Hold.answeredAt) < holdSettleTime {
+	if s.Hold.orderRepliedAt.IsZero() || !s.Hold.recheckRequestedAt.IsZero() || now.Sub(s.Hold.orderRepliedAt) < holdSettleTime {
 		return s, nil
 	}
 	s.Hold.recheckRequestedAt = now
 	return s, []reduce.Effect{ReadRank{Rank: s.Hold.senderRank}}
 }
 
-// senderAnswersAgain reports whether the agent that sent the order to hold has
+// senderAnsweredRecheck reports whether the agent that sent the order to hold has
 // answered a call made at least holdSettleTime after its reply.
-func (s State) senderAnswersAgain() bool {
+func (s State) senderAnsweredRecheck() bool {
 	senderRank := s.Ranks[s.Hold.senderRank]
-	return !s.Hold.answeredAt.IsZero() && !senderRank.AgentUnreachable && senderRank.ReportRequestedAt.Sub(s.Hold.answeredAt) >= holdSettleTime
+	return !s.Hold.orderRepliedAt.IsZero() && !senderRank.AgentUnreachable && senderRank.ReportRequestedAt.Sub(s.Hold.orderRepliedAt) >= holdSettleTime
 }
 
-// needsNewHoldRanks reports whether another rank must hold the pass or another
-// agent must send the order, because an agent is unreachable and there is a
-// replacement.
+// needsNewHoldRanks reports whether another rank must be ordered to wait before the
+// pass, or another rank's agent must send that order, because an agent is unreachable
+// and there is a replacement.
 func (s State) needsNewHoldRanks() bool {
 	holder, senderRank := s.nextHoldRanks()
 	return (s.Ranks[s.Hold.Rank].AgentUnreachable || s.Ranks[s.Hold.senderRank].AgentUnreachable) && (holder != s.Hold.Rank || senderRank != s.Hold.senderRank)
 }
 
-// nextHoldPass returns the number of the pass to hold. ok is false while the lowest
+// nextHoldPass returns the number of the pass before which a rank is next ordered to
+// wait. ok is false while the lowest
 // pass that may be held is more than maxPassLead passes after the last one that the
 // group has begun.
 func (s State) nextHoldPass() (pass int64, ok bool) {
@@ -125,10 +127,10 @@
 	return pass, pass <= s.lastPass()+maxPassLead
 }
 
-// nextHoldRanks returns the rank that holds the pass and the rank whose agent
-// sends the order. If enough agents are reachable, both are on other machines
-// than the coordinator, so that the hold can be released whichever of the three
-// machines stops at that moment.
+// nextHoldRanks returns the rank that is ordered to wait before the pass, and the rank
+// whose agent sends that order. If enough agents are reachable, both are on other
+// machines than the coordinator, so that the hold can be released whichever of the
+// three machines stops at that moment.
 func (s State) nextHoldRanks() (holder, sender int) {
 	var reachable []int
 	for i := range s.Size {
@@ -147,7 +149,7 @@
 }
 
 // allReadRecently reports whether every rank has been read recently, and since
-// the sender of a hold last failed to answer. A rank on a stopped machine cannot
+// the sender of a hold last failed to reply in time. A rank on a stopped machine cannot
 // be armed, and the group would stall until that machine runs again.
 func (s State) allReadRecently(now time.Time) bool {
 	return s.allRanks(func(r Rank) bool {
--- a/policy/mapswitch/mapswitch.go
+++ b/policy/mapswitch/mapswitch.go
@@ -9,12 +9,12 @@
 //     the whole group from beginning it.
 //   - Arm: every rank notes that it switches to the prepared version before the held
 //     pass.
-//   - Release: the rank with the hold lets the group begin the held pass.
+//   - Release: that rank stops waiting, so that the group begins the held pass.
 //
 // A fifth order, disarm, cancels a switch that a rank has been armed for. One
-// coordinator, the holder of the group's lease, sends the orders. Its predecessor is
-// the coordinator that held the lease before it and whose orders may still be in
-// flight. Each time that the group forms anew, an epoch begins.
+// coordinator, the process that has the group's lease, sends the orders. Its
+// predecessor is the coordinator that had the lease before it and whose orders may
+// still be in flight. Each time that the group forms anew, an epoch begins.
 //
 // Invariant: no pass begins while two ranks have different maps. Orders may be
 // lost, or take effect seconds later and after newer ones. A missing reply
@@ -51,16 +51,16 @@
 	lostOrderPassLead = 2
 	// maxPassLead is the maximum number of passes by which the held pass is ahead of
 	// the last one that the group is known to have begun. The next coordinator only
-	// holds passes that are more than maxPassLead after the last pass that it finds
-	// begun, so that a delayed order of its predecessor to release a pass never names
-	// a pass that it holds.
+	// orders holds of passes that are more than maxPassLead after the last pass that
+	// it finds begun, so that a delayed order of its predecessor to release a pass
+	// never names a pass before which it makes a rank wait.
 	maxPassLead = 4
-	// armTimePerRank, multiplied by the number of ranks, is the estimated time to hold
-	// a pass, arm all ranks and release the pass until a change has been measured. It
-	// covers the calls and reports of a small machine.
+	// armTimePerRank, multiplied by the number of ranks, is the estimated time to make
+	// a rank wait before a pass, arm all ranks and release the pass, until a change has
+	// been measured. It covers the calls and reports of a small machine.
 	armTimePerRank = time.Millisecond
 	// defaultResendDelay is how long to wait for an order to take effect before it is
-	// resent; engines on the agent's machine answer within a few ms.
+	// resent; engines on the agent's machine reply within a few ms.
 	defaultResendDelay = 12 * time.Millisecond
 	// copyResendDelay is how long to wait before an order to prepare a version is
 	// resent. The order takes effect only when the experts have been copied; a rank
@@ -85,11 +85,11 @@
 	Survey    Phase = iota // Ranks are being read to find the map in use and orders that an earlier coordinator left.
 	Idle                   // No change is in progress.
 	Preparing              // Ranks copy the experts of the next version.
-	Holding                // A rank is being ordered to hold a pass, so that the group does not begin it.
+	Holding                // A rank is being ordered to wait before a pass, so that the group does not begin it.
 	Arming                 // Ranks are being armed to switch before the held pass; the group may stall meanwhile.
 	Releasing              // The held pass is being released.
 	Settling               // The held pass is released, and the group has not yet begun it.
-	Fencing                // An earlier coordinator's orders to arm are invalidated, so that the pass that it made a rank hold can be released.
+	Fencing                // An earlier coordinator's orders to arm are invalidated, so that the rank that it made wait before a pass can be released.
 )
 
 // String returns the phase's name for logs and metrics.
@@ -116,7 +116,7 @@
 	CurrentVersion int64     // The version of Current.
 	Hold           Hold
 
-	senderFailedAt       time.Time     // When the sender of a hold last failed to answer; zero if never.
+	senderFailedAt       time.Time     // When the sender of a hold last failed to reply in time; zero if never.
 	readAgeLimitOverride time.Duration // Replaces the computed read age limit if not 0.
 	ownRank              int           // The rank on the coordinator's machine.
 	minHoldPass          int64         // The lowest pass that may be held: an order to release a lower one may still be in flight.
@@ -127,8 +127,8 @@
 	ordersLost   bool  // An order to prepare had to be resent in this change.
 	passTiming   passTiming
 	// releasablePasses are the passes whose hold may be released at once: those that
-	// this coordinator has ordered ranks to hold, and those for which a predecessor's
-	// orders to arm have been invalidated.
+	// this coordinator has ordered ranks to wait before, and those for which a
+	// predecessor's orders to arm have been invalidated.
 	releasablePasses map[int64]bool
 }
 
@@ -154,9 +154,10 @@
 	State topology.RankState
 	Lists topology.RankLists
 	// RequestedAt is when the report was requested. A report that was requested
-	// before the latest known one is ignored.
+	// before the rank's latest report was requested is ignored.
 	RequestedAt time.Time
-	// AgentUnreachable means that the engine itself was read because its agent is unreachable.
+	// AgentUnreachable means that the engine itself was read because its agent is
+	// unreachable.
 	AgentUnreachable bool
 }
 
@@ -189,8 +190,8 @@
 	// own report may lag behind that version.
 	BaseMap     Map
 	BaseVersion int64
-	// SenderRank is the rank whose agent sends the order to the engine. It is Rank itself,
-	// except for an order to hold a pass.
+	// SenderRank is the rank whose agent sends the order to the engine. It is Rank
+	// itself, except for an order to hold a pass.
 	SenderRank int
 }
 
@@ -230,12 +231,12 @@
 	case RankRead:
 		s, effects = s.applyReport(event, input.Now)
 	case OrderReturned:
-		if rank, known := s.Ranks[event.Rank]; known {
+		if rank, ok := s.Ranks[event.Rank]; ok {
 			rank.OrderPending = false
 			s.Ranks[event.Rank] = rank
 		}
-		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.answeredAt.IsZero() {
-			s.Hold.answeredAt = input.Now
+		if event.Kind == topology.Hold && event.Answered && event.Rank == s.Hold.Rank && s.Hold.orderRepliedAt.IsZero() {
+			s.Hold.orderRepliedAt = input.Now
 		}
 	case PlanReady:
 		if s.Phase == Idle && event.Epoch == s.Epoch {
@@ -252,8 +253,8 @@
 	return s, append(effects, more...)
 }
 
-// applyReport stores a rank's report. A report of a new epoch invalidates everything
-// known of the ranks.
+// applyReport stores a rank's report. A report of a new epoch discards what is
+// recorded of the ranks, their maps and their holds.
 func (s State) applyReport(event RankRead, now time.Time) (State, []reduce.Effect) {
 	state := event.State
 	var effects []reduce.Effect
@@ -301,7 +302,8 @@
 }
 
 // stepPhase sends the orders that the phase still needs, or enters the next phase.
-// phaseChange holds the effects of the change of phase, orders those that send orders.
+// phaseChange contains the effects of the change of phase, orders those that send
+// orders.
 func (s State) stepPhase(now time.Time) (next State, phaseChange, orders []reduce.Effect) {
 	if !s.allRanksRead() {
 		return s, nil, nil
@@ -323,7 +325,7 @@
 		s, releases = s.releaseLateHolds(now)
 		orders = append(orders, releases...)
 	case Holding:
-		s, phaseChange, orders = s.putHold(now)
+		s, phaseChange, orders = s.orderHold(now)
 	case Arming:
 		s, phaseChange, orders = s.arm(now)
 	case Releasing:
--- a/policy/mapswitch/mapswitch_test.go
+++ b/policy/mapswitch/mapswitch_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestCoordinatorDiesDuringChange(t *testing.T) {
+func TestCoordinatorCrashesDuringChange(t *testing.T) {
 	// Each case lets the first coordinator crash after another number of rounds of the
 	// change.
 	for rounds := range 12 {
@@ -277,8 +277,8 @@
 				}
 			},
 			"restart an agent": func(t *rapid.T) {
-				// The restarted agent forgets which fencing numbers it has seen. A superseded
-				// coordinator on the same machine stops as well.
+				// The restarted agent forgets which fencing numbers it has seen. A
+				// superseded coordinator on the same machine stops as well.
 				if rapid.IntRange(0, 3).Draw(t, "restarts") == 0 {
 					rank := rapid.IntRange(0, len(g.ranks)-1).Draw(t, "rank")
 					delete(network.fences, rank)
@@ -358,7 +358,9 @@
 		fenced := c.state.Fence < n.fences[send.SenderRank]
 		unreachable := rapid.IntRange(0, 4).Draw(t, "agent unreachable") == 0
 		if (fenced || unreachable) && (send.Order.Kind == topology.Hold || send.Order.Kind == topology.Release) {
-			continue // All other orders may bypass an unreachable agent.
+			// These are sent only through an agent. Orders to prepare, arm and disarm go
+			// directly to the engine if the agent is unreachable.
+			continue
 		}
 		switch rapid.IntRange(0, 4).Draw(t, "way") {
 		case 0:
--- a/policy/mapswitch/orders.go
+++ b/policy/mapswitch/orders.go
@@ -18,8 +18,8 @@
 	var effects []reduce.Effect
 	for id := range s.Size {
 		rank := s.Ranks[id]
-		waited := now.Sub(rank.OrderedAt)
-		if !needs(rank) || waited < resendDelay || rank.OrderPending && waited < orderCallTimeout {
+		sinceLastOrder := now.Sub(rank.OrderedAt)
+		if !needs(rank) || sinceLastOrder < resendDelay || rank.OrderPending && sinceLastOrder < orderCallTimeout {
 			continue
 		}
 		rank.OrderedAt, rank.OrderPending = now, true
@@ -51,8 +51,8 @@
 	return true
 }
 
-// releaseHolds orders every rank that holds a pass up to and including last to release
-// it.
+// releaseHolds sends an order to release the pass to every rank that waits before a
+// pass up to and including last.
 func (s State) releaseHolds(last int64, now time.Time) (State, []reduce.Effect) {
 	var effects []reduce.Effect
 	for id := range s.Size {
--- a/policy/topology/topology.go
+++ b/policy/topology/topology.go
@@ -32,8 +32,8 @@
 	TakenOut map[string]bool // Data centres that are taken out.
 
 	ServersLoaded bool            // The complete list of servers has been read at least once.
-	LostWatches   map[string]bool // Names of the watches that the store does not answer.
-	StoreUpSince  time.Time       // When the store last answered again after an outage.
+	LostWatches   map[string]bool // Names of the watches for which the store is unavailable.
+	StoreUpSince  time.Time       // When the store last became available again after an outage.
 
 	revision uint64 // Incremented with each change of Servers or TakenOut.
 }
@@ -52,18 +52,19 @@
 
 func (ConfigurationRead) EventName() string { return "topology.configuration_read" }
 
-// TakenOutRead reports whether a data centre is taken out.
-type TakenOutRead struct {
+// DataCentreRead carries whether a data centre is taken out, as read from the store.
+type DataCentreRead struct {
 	DataCentre string
-	Out        bool
+	TakenOut   bool
 }
 
-func (TakenOutRead) EventName() string { return "topology.taken_out_read" }
+func (DataCentreRead) EventName() string { return "topology.taken_out_read" }
 
-// TakenOutListed carries all data centres that are taken out.
-type TakenOutListed struct{ DataCentres []string }
+// TakenOutDataCentresListed carries the complete list of the data centres that are taken
+// out.
+type TakenOutDataCentresListed struct{ DataCentres []string }
 
-func (TakenOutListed) EventName() string { return "topology.taken_out_listed" }
+func (TakenOutDataCentresListed) EventName() string { return "topology.taken_out_listed" }
 
 // ServerRead carries one row of the list of servers.
 type ServerRead struct{ Server Server }
@@ -76,17 +77,17 @@
 
 func (ServerGone) EventName() string { return "topology.server_gone" }
 
-// ServersListed carries the whole list of servers.
+// ServersListed carries the complete list of servers.
 type ServersListed struct{ Servers []Server }
 
 func (ServersListed) EventName() string { return "topology.servers_listed" }
 
-// StoreLost reports that the store stopped answering a watch.
+// StoreLost reports that the store has become unavailable to a watch.
 type StoreLost struct{ Watch, Reason string }
 
 func (StoreLost) EventName() string { return "topology.store_lost" }
 
-// StoreRegained reports that the store answers a watch again.
+// StoreRegained reports that the store is available to a watch again.
 type StoreRegained struct{ Watch string }
 
 func (StoreRegained) EventName() string { return "topology.store_regained" }
@@ -114,9 +115,9 @@
 		return s.dropExpired(input.Now)
 	case ConfigurationRead:
 		return s.install(event.Config)
-	case TakenOutRead:
-		return s.setTakenOut(event.DataCentre, event.Out)
-	case TakenOutListed:
+	case DataCentreRead:
+		return s.setTakenOut(event.DataCentre, event.TakenOut)
+	case TakenOutDataCentresListed:
 		return s.replaceTakenOut(event.DataCentres)
 	case ServerRead:
 		return s.updateServer(event.Server, input.Now)
@@ -153,14 +154,14 @@
 	return s, []reduce.Effect{Change{What: "configuration", Outcome: "installed", Version: config.Version}}
 }
 
-func (s State) setTakenOut(dataCentre string, out bool) (State, []reduce.Effect) {
-	if s.TakenOut[dataCentre] == out {
+func (s State) setTakenOut(dataCentre string, takenOut bool) (State, []reduce.Effect) {
+	if s.TakenOut[dataCentre] == takenOut {
 		return s, nil
 	}
 	s.TakenOut = maps.Clone(s.TakenOut)
 	s.revision++
 	outcome := "returned"
-	if out {
+	if takenOut {
 		s.TakenOut[dataCentre] = true
 		outcome = "taken_out"
 	} else {
@@ -193,13 +194,13 @@
 // updateServer stores the row of a server. It reports a change only if more than the
 // row's revision and the remaining warm-up time differ.
 func (s State) updateServer(server Server, now time.Time) (State, []reduce.Effect) {
-	before, known := s.Servers[server.ID]
+	previous, exists := s.Servers[server.ID]
 	next := ServerState{Server: server, SeenAt: now}
 	s.Servers = maps.Clone(s.Servers)
 	s.Servers[server.ID] = next
 	s.revision++
-	before.Server.Revision, before.Server.WarmUpLeft = server.Revision, server.WarmUpLeft
-	if known && before.DropAt.IsZero() && before.Server == server {
+	previous.Server.Revision, previous.Server.WarmUpLeft = server.Revision, server.WarmUpLeft
+	if exists && previous.DropAt.IsZero() && previous.Server == server {
 		return s, nil
 	}
 	outcome := "ready"
@@ -212,8 +213,8 @@
 // removeServer sets the time at which the server is dropped. A leaving server
 // has announced its removal and is dropped at once.
 func (s State) removeServer(id string, now time.Time) (State, []reduce.Effect) {
-	server, known := s.Servers[id]
-	if !known || !server.DropAt.IsZero() {
+	server, exists := s.Servers[id]
+	if !exists || !server.DropAt.IsZero() {
 		return s, nil
 	}
 	s.Servers = maps.Clone(s.Servers)
--- a/policy/topology/topology_test.go
+++ b/policy/topology/topology_test.go
@@ -28,11 +28,11 @@
 
 // candidateIDs returns the IDs of the servers that may receive new work.
 func candidateIDs(s State) []string {
-	var found []string
+	var ids []string
 	for _, candidate := range s.Snapshot(nil).Candidates("llm") {
-		found = append(found, candidate.ID)
+		ids = append(ids, candidate.ID)
 	}
-	return found
+	return ids
 }
 
 func TestConfiguration(t *testing.T) {
@@ -97,9 +97,9 @@
 			So(candidateIDs(s), ShouldBeEmpty)
 		})
 		Convey("no server in a data centre that is taken out gets work until the data centre is returned", func() {
-			s = applyEvents(s, &now, TakenOutRead{DataCentre: "a", Out: true})
+			s = applyEvents(s, &now, DataCentreRead{DataCentre: "a", TakenOut: true})
 			So(candidateIDs(s), ShouldBeEmpty)
-			s = applyEvents(s, &now, TakenOutListed{})
+			s = applyEvents(s, &now, TakenOutDataCentresListed{})
 			So(candidateIDs(s), ShouldHaveLength, 3)
 		})
 		Convey("a server whose address belongs to a newer server is left out", func() {
