--- a/ctl/experiment/shares/shares.go
+++ b/ctl/experiment/shares/shares.go
@@ -29,12 +29,14 @@
 // tolerance is the accepted relative deviation from an organisation's limit.
 const tolerance = 0.1
 
-// minBusyLimit is the limit, in requests per second or slots, from which the count
-// of a single organisation is large enough to be compared with its limit.
-const minBusyLimit = 5.0
+// minBusyRateOrSlotLimit is the rate limit, in requests per second, or concurrency
+// limit, in slots, from which the count of a single organisation is large enough to
+// be compared with its limit.
+const minBusyRateOrSlotLimit = 5.0
 
 // summary holds the figures of one run. Rates and slots are relative to the
-// organisation's limit. A busy organisation has a limit of at least minBusyLimit.
+// organisation's limit. A busy organisation has a limit of at least
+// minBusyRateOrSlotLimit.
 type summary struct {
 	minBusyRate, maxBusyRate float64 // Lowest and highest admitted rate of a busy organisation that offers more than its limit.
 	overLimitRate            float64 // Total admitted rate of the organisations that offer more than their rate limit, divided by the sum of those limits.
@@ -59,12 +61,12 @@
 		case o.exceedsRate:
 			admittedOverLimit += float64(o.admitted)
 			overLimits += o.limits.Rate * seconds
-			if o.limits.Rate >= minBusyLimit {
+			if o.limits.Rate >= minBusyRateOrSlotLimit {
 				result.minBusyRate, result.maxBusyRate = min(result.minBusyRate, ratio), max(result.maxBusyRate, ratio)
 			}
 		case o.exceedsConcurrency:
 			result.maxSlotsInUse = max(result.maxSlotsInUse, float64(o.peakSlotsInUse)/float64(o.limits.Concurrency))
-			if float64(o.limits.Concurrency) >= minBusyLimit {
+			if float64(o.limits.Concurrency) >= minBusyRateOrSlotLimit {
 				meanInUse += o.slotSeconds / seconds
 				slots += float64(o.limits.Concurrency)
 			}
--- a/policy/admission/speed_estimate.go
+++ b/policy/admission/speed_estimate.go
@@ -26,20 +26,20 @@
 }
 
 // speedEstimate estimates the backend server's speed from observed answers: the
-// time to the first chunk of an answer per token of estimated work, which the
-// function cost returns.
+// time to the first chunk of an answer, divided by the request's estimated work in
+// tokens, which the function cost returns.
 type speedEstimate struct {
 	samples             int           // Samples taken while the backend server was warm.
-	warmSecondsPerToken float64       // Seconds to the first chunk per token of estimated work when warm.
-	cold                float64       // Seconds to the first chunk per token of estimated work in cold start; 0 before any sample.
-	lateSecondsPerToken float64       // Seconds per token of estimated work of the last answer whose first chunk was late.
+	warmSecondsPerToken float64       // Time to the first chunk in seconds, divided by the request's estimated work in tokens, when warm.
+	cold                float64       // Time to the first chunk in seconds, divided by the request's estimated work in tokens, in cold start; 0 before any sample.
+	lateSecondsPerToken float64       // Time to the first chunk in seconds, divided by the request's estimated work in tokens, of the last answer whose first chunk was late.
 	pendingSamples      []speedSample // Samples for which it is not known yet whether the backend server was warm.
 	requestSeconds      float64       // Duration of one whole request in seconds; 0 before any was completed.
 }
 
 type speedSample struct {
 	at              time.Time
-	secondsPerToken float64 // Seconds to the first chunk per token of estimated work.
+	secondsPerToken float64 // Time to the first chunk in seconds, divided by the request's estimated work in tokens.
 }
 
 // timeToFirstChunk returns the expected time to the first chunk of the answer to a
--- a/policy/choose/candidates.go
+++ b/policy/choose/candidates.go
@@ -22,7 +22,7 @@
 
 // Work describes the request for which a backend server is chosen.
 type Work struct {
-	Model   string // Name of the model or of the plain service.
+	Model   string // Name of the model or of the plain service: a backend service that is not a model engine.
 	Version string
 	Adapter string
 	Prompt  prefix.Prompt // Empty for a plain service.
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -67,7 +67,7 @@
 	TotalInFlight       int           // Requests of all entries in flight at the service, as far as known.
 	Limit               int           // Upper limit of TotalInFlight; 0 for no limit.
 	PredictedWait       time.Duration // Expected time in the queue.
-	PredictedFirstEvent time.Duration // Expected time from now to the first event of the answer if the verdict is Go at an engine.
+	PredictedFirstEvent time.Duration // Expected time from now to the first event of the answer; set only if the request is sent to an engine.
 	ReportAge           time.Duration // Age of the oldest load report that the decision used.
 }
 
--- a/policy/dispatch/warm_up_limit.go
+++ b/policy/dispatch/warm_up_limit.go
@@ -13,8 +13,9 @@
 }
 
 // serversPerEntry is the least number of backend servers per entry, spare entries
-// included, at large sites: 63 servers for 18 entries. Small sites are covered by
-// the initial value of Entries.
+// included, at large sites: 63 servers for 18 entries, which is 3.5, rounded down.
+// Small sites are covered by the initial value of Entries: the gateway sets it to a
+// few more than the largest number of entries on today's machines.
 const serversPerEntry = 3
 
 // raiseEntries raises the estimate of running entries to match the number of
--- a/policy/evidence/evidence.go
+++ b/policy/evidence/evidence.go
@@ -72,8 +72,8 @@
 	// start work on the evidence of contacts either.
 	PeerStartupCheck
 	// StoreStartupCheck sets State.Started only on a read of the table service
-	// that began after the process started. Until then the answers of the process
-	// are no evidence for others.
+	// that began after the process started. Until then, peers must not take this
+	// process's replies as proof that their configuration is current.
 	StoreStartupCheck
 )
 
--- a/policy/expertmap/engine.go
+++ b/policy/expertmap/engine.go
@@ -1,8 +1,9 @@
 package expertmap
 
 // EngineState is the state that the engine of one rank keeps about its map; its
-// methods specify how an engine must behave. The zero value with a Boot is an
-// engine that has just started: it runs no step before a map is installed.
+// methods specify how an engine must behave. If only Boot is set, the ID of the
+// engine's run, the engine has just started: it runs no step before a map is
+// installed.
 type EngineState struct {
 	Boot     string `json:"boot"`      // Identifies one run of the engine; changes when the engine loses its state.
 	Next     uint64 `json:"next"`      // Next step to run.
--- a/policy/hotexperts/hotexperts.go
+++ b/policy/hotexperts/hotexperts.go
@@ -46,7 +46,9 @@
 	return max(1, s.Slowness[rank])
 }
 
-// Map lists the experts that each rank holds, by expert set and rank.
+// Map lists the experts that each rank holds. An expert set is a set of layers that
+// share one placement. The dimensions are the expert set, the rank, and the experts
+// that the rank holds in this set.
 type Map = [][][]int
 
 // Plan is a map to put in force, with the number of copies that it needs and the
--- a/policy/once/budget.go
+++ b/policy/once/budget.go
@@ -11,7 +11,7 @@
 
 const (
 	finalCancelsPerSecond = 50 // Final cancellations per second of all entries combined.
-	finalCancelBurst      = 5  // Most tokens that one entry's bucket holds.
+	finalCancelBurst      = 5  // Capacity of one entry's bucket, in tokens; a token pays for one write of a final cancellation.
 )
 
 // Take takes a token for one final cancellation and reports whether one was
--- a/policy/view/view.go
+++ b/policy/view/view.go
@@ -35,7 +35,7 @@
 	// CurrentAt is the latest known start of a read of the table service, of
 	// this process or another, that showed InForce as the newest.
 	CurrentAt time.Time
-	PollAfter time.Duration // Age of CurrentAt at which to read the table service.
+	PollAfter time.Duration // The table service is read when the configuration has not been confirmed as the newest for this long.
 
 	Fetching  bool
 	NextFetch time.Time
--- a/server/agent/generate.go
+++ b/server/agent/generate.go
@@ -140,8 +140,9 @@
 	return nil
 }
 
-// sendFailure ends the answer with an error piece that marks it as cut. If the
-// entry can't be reached, it aborts the response instead.
+// sendFailure ends the answer with an error piece, which tells the entry that the
+// answer is truncated. If the entry can't be reached, it aborts the response
+// instead.
 func (r *relay) sendFailure(err error) {
 	if r.sendErr != nil {
 		panic(http.ErrAbortHandler)
--- a/server/dev/processes.go
+++ b/server/dev/processes.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	control, err := net.Listen("tcp", loopbackAnyPort)
+	controlListener, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return fmt.Errorf("listen for agent of %q: %w", server.Name, err)
 	}
@@ -31,7 +31,7 @@
 	id := "agent-" + server.Name
 	s.Store.SetInstance(ports.Instance{
 		ID: id, Role: ports.RoleAgent, DataCentre: server.DataCentre, BackendServer: server.Name,
-		Control: control.Addr().String(), Traffic: traffic.Addr().String(),
+		Control: controlListener.Addr().String(), Traffic: traffic.Addr().String(),
 	})
 	health, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
@@ -40,7 +40,7 @@
 	process := settings.Process{ID: id, DataCentre: server.DataCentre, Store: s.storeURL}
 	a := agent.New(
 		settings.Agent{Process: process, BackendServer: server.Name, Kind: kind, Backend: url},
-		agent.Listeners{Control: control, Traffic: traffic, Health: health, Keys: s.keys},
+		agent.Listeners{Control: controlListener, Traffic: traffic, Health: health, Keys: s.keys},
 		s.options.Log.WithField("process", id),
 	)
 	s.addProcess(a.Run)
--- a/server/entry/route/gather.go
+++ b/server/entry/route/gather.go
@@ -12,8 +12,8 @@
 // only for a fraction of the expected time to first token, so that a dead or
 // slow agent among those probed does not delay the work.
 const (
-	minOfferWait     = 2 * time.Millisecond // Lower bound of the wait; longer than a round trip within a region.
-	offerWaitDivisor = 20                   // The wait is the expected time to first token divided by this.
+	minOfferWait     = 2 * time.Millisecond // Shortest time that the entry waits for further agents' offers after the first offer; longer than a round trip within a region.
+	offerWaitDivisor = 20                   // The entry waits for the expected time to first token of the first offer, divided by this.
 )
 
 // offerWait returns how long to wait for better offers than the given one.
--- a/server/wire/configuration.go
+++ b/server/wire/configuration.go
@@ -18,8 +18,8 @@
 // this revision is the newest.
 type ExchangeReply struct {
 	Stamp   Stamp
-	Current bool          // Whether the peer knows a time at which its revision was the newest.
-	Age     time.Duration // Time since the latest time at which that was known; set if Current is.
+	Current bool          // Whether the peer has ever confirmed that its revision was the newest.
+	Age     time.Duration // If Current, the time since the latest such confirmation.
 	Started bool          // Whether the peer has passed its start-up check.
 }
 
