--- a/ctl/cmd/persimmonctl/experiment.go
+++ b/ctl/cmd/persimmonctl/experiment.go
@@ -155,8 +155,8 @@
 	return saveReport(w, flags, named)
 }
 
-func printReport(w io.Writer, named namedReport, output string) error {
-	if output == "json" {
+func printReport(w io.Writer, named namedReport, format string) error {
+	if format == "json" {
 		return json.NewEncoder(w).Encode(named)
 	}
 	if err := named.Report.WriteText(w); err != nil {
--- a/ctl/experiment/retries/run.go
+++ b/ctl/experiment/retries/run.go
@@ -55,7 +55,7 @@
 }
 
 // runStats holds the results of a run. Unless stated otherwise, it counts the requests
-// that arrive between stopAt and requestTimeout before the end of the run.
+// that arrive after stopAt and at least requestTimeout before the end of the run.
 type runStats struct {
 	requests, attempts, refusals, truncatedAnswers int
 	refusalsWithoutRetryAfter                      int // Refusals whose error has no RetryAfter.
--- a/ctl/load/answer_trace.go
+++ b/ctl/load/answer_trace.go
@@ -8,7 +8,7 @@
 // gap is the time between two consecutive parts of one answer.
 type gap struct {
 	duration time.Duration
-	tokens   int // Number of tokens in the later of the two parts.
+	tokens   int // Number of tokens in the second of the two parts.
 }
 
 // answerTrace records the arrival times and the text of the parts of one answer.
--- a/ctl/report/quantile.go
+++ b/ctl/report/quantile.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// quantile returns the upper bound of the bucket that contains the quantile. It
+// quantile returns the upper bound of the bucket that contains the q-quantile. It
 // returns false for an empty histogram.
-func (c bucketCounts) quantile(share float64) (float64, bool) {
+func (c bucketCounts) quantile(q float64) (float64, bool) {
 	bounds := make([]float64, 0, len(c))
 	for bound := range c {
 		bounds = append(bounds, bound)
@@ -37,7 +37,7 @@
 	}
 	total := c[bounds[len(bounds)-1]]
 	for _, bound := range bounds {
-		if c[bound] >= share*total {
+		if c[bound] >= q*total {
 			return bound, true
 		}
 	}
--- a/ctl/wholepath/slopes_test.go
+++ b/ctl/wholepath/slopes_test.go
@@ -126,8 +126,9 @@
 	}
 }
 
-// BenchmarkProbes measures the processor time and bytes per request with one event by the
-// number of engines, as an entry probes up to five agents for each request.
+// BenchmarkProbes measures the processor time and bytes per request for different numbers
+// of engines; each request has a one-event answer. An entry probes up to five agents for
+// each request, so the cost depends on the number of engines.
 func BenchmarkProbes(b *testing.B) {
 	for range b.N {
 		fmt.Printf("\n%10s %8s %-8s %10s %16s %14s\n", "requests/s", "events", "role", "cores", "ms a request", "kB a request")
--- a/policy/expertmap/decide.go
+++ b/policy/expertmap/decide.go
@@ -86,9 +86,10 @@
 	return Change{}
 }
 
-// mustComplete reports whether a rank was released for the change, or the change is in
-// the group's record and every rank with a map waits before its first step and has not
-// voided it.
+// mustComplete reports whether the change must be completed, which is so in two cases:
+//   - A rank was released for the change.
+//   - The change is in the group's record, and every rank that has a map waits before
+//     the first step of the change and has received no order that voids the change.
 func (s *transition) mustComplete(change Change) bool {
 	allHold := true
 	for _, state := range s.States {
--- a/policy/mapswitch/group_test.go
+++ b/policy/mapswitch/group_test.go
@@ -35,7 +35,8 @@
 	return g
 }
 
-// startEpoch starts a new epoch with map 0 and nothing prepared, armed or held.
+// startEpoch starts a new epoch, in which every rank uses map version 0 and has no
+// prepared or armed map version and no pass before which it waits.
 func (g *modelGroup) startEpoch() {
 	g.epoch++
 	for i := range g.ranks {
--- a/policy/mapswitch/hold.go
+++ b/policy/mapswitch/hold.go
@@ -35,7 +35,7 @@
 	firstOrderedAt     time.Time // When a rank was first ordered to wait before a pass for this change.
 	senderRank         int       // The rank whose agent sends the order.
 	orderRepliedAt     time.Time // When the sender replied to the order; zero until it has.
-	recheckRequestedAt time.Time // When the second check of the sender was requested; zero until it has been.
+	recheckRequestedAt time.Time // When the read that checks whether the sender's agent still answers was requested; zero until it has been.
 }
 
 // orderHold orders a rank to wait before the pass until it is released, and stays in
--- a/policy/view/view.go
+++ b/policy/view/view.go
@@ -76,8 +76,8 @@
 	DataCentre string
 	Revision   uint64 // Revision in force at the peer, 0 for none.
 	BeganAt    time.Time
-	Current    bool          // The peer knows that its revision was the newest at a time, which Age gives.
-	Age        time.Duration // How long before the peer's answer that time was.
+	Current    bool          // The peer knows of a read of the table service that showed its revision as the newest.
+	Age        time.Duration // Time from the start of the latest such read to the peer's answer; set if Current is.
 	Started    bool          // evidence.State.Started of the peer: it has passed its start-up check.
 }
 
--- a/server/admin/configuration.go
+++ b/server/admin/configuration.go
@@ -92,9 +92,9 @@
 		return adminapi.Comparison{}, storeError(err)
 	}
 	accepted := config.Files{}
-	var base uint64
+	var baseRevision uint64
 	if current != nil {
-		accepted, base = current.Files, current.Revision
+		accepted, baseRevision = current.Files, current.Revision
 	}
 	merged := config.Files{}
 	for _, files := range []config.Files{accepted, changed} {
@@ -102,9 +102,9 @@
 			merged[name] = text
 		}
 	}
-	if _, err := config.Build(base+1, merged); err != nil {
+	if _, err := config.Build(baseRevision+1, merged); err != nil {
 		return adminapi.Comparison{}, err
 	}
 	changes, err := config.Diff(accepted, merged)
-	return adminapi.Comparison{Base: base, Changes: changes}, err
+	return adminapi.Comparison{Base: baseRevision, Changes: changes}, err
 }
--- a/server/entry/attempt/generation.go
+++ b/server/entry/attempt/generation.go
@@ -142,12 +142,12 @@
 }
 
 func (g *generation) accept(id string, piece stream.Piece) *result.Error {
-	due, err := g.assembler.Accept(id, stream.PartOf(piece))
+	ready, err := g.assembler.Accept(id, stream.PartOf(piece))
 	if err != nil {
 		return result.Errorf(result.CutAnswer, "%v", err)
 	}
-	for index, next := range due {
-		next.More = piece.More || index < len(due)-1
+	for index, next := range ready {
+		next.More = piece.More || index < len(ready)-1
 		if next.Usage != nil {
 			next.Usage.CompletionTokens = g.assembler.Delivered()
 		}
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -55,7 +55,7 @@
 	organisation *topology.Organisation // The caller; nil for public routes and if no organisations are configured.
 	deadline     time.Time              // The caller's deadline or the end of the route's timeout, whichever is sooner.
 
-	sends                 int    // Attempts that reached a connection.
+	sends                 int    // Attempts that obtained a connection to a server, including those that the server refused.
 	possibleExecutions    int    // Attempts that the server may have executed.
 	foundGroupClosed      bool   // An attempt was refused because the group is closed.
 	refusedByDispatcher   bool   // The dispatcher has refused the request; no attempt follows.
--- a/server/mapcontrol/lease.go
+++ b/server/mapcontrol/lease.go
@@ -18,8 +18,10 @@
 // coordinator has called all other agents. It reads the list of servers first.
 const maxFirstCallDelay = 800 * time.Millisecond
 
-// errLeaseLost means that another agent acquired the lease first, or so recently that
-// it may not have called the other agents yet.
+// errLeaseLost is returned if another agent wrote the lease's row between the read and
+// the compare-and-set of this agent. It is also returned if another agent acquired the
+// lease so recently that its first read calls (methodRead) may not have reached all
+// other agents yet.
 var errLeaseLost = errors.New("another agent acquired the lease")
 
 // Store is the part of the platform's store that leases use.
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -67,9 +67,9 @@
 }
 
 // offerToPeers sends the snapshot to all other processes. It closes the
-// connections that it opens: at the size aimed at, 330 entries and 1,900 agents,
-// connections kept between all processes do not fit the limits that a process has
-// for control, 256 MB of memory and 26 KB of traffic a second.
+// connections that it opens: at the target size of 330 entries and 1,900 agents,
+// connections kept between all processes would exceed a process's control-plane
+// budget of 256 MB of memory and 26 KB a second of traffic.
 func (n *Node) offerToPeers(ctx context.Context, old, snapshot *config.Snapshot) (reached, total int) {
 	request := wire.OfferRequest{Stamp: n.Stamp(), Configuration: n.snapshotCache.deltaFor(snapshot, digests(old))}
 	request.Stamp.Revision = snapshot.Revision
--- a/server/soak/deployment_test.go
+++ b/server/soak/deployment_test.go
@@ -264,7 +264,7 @@
 }
 
 // settled reports whether the process and its link have been free of faults for
-// settleTime, so that rules with a time limit apply to it.
+// settleTime. Only then must the process apply a new configuration within applyLimit.
 func (d *deployment) settled(m *machine, now time.Time) bool {
 	return !d.faultBetween(now.Add(-settleTime), now, func(faulty *machine) bool { return faulty == m })
 }
